--- a/Loomreach/Schedule/Cell.cpp
+++ b/Loomreach/Schedule/Cell.cpp
@@ -14,18 +14,18 @@
 // Keys of a cell's log: one letter, then the job's id.
 static constexpr char cSpecKey = 'j';
 static constexpr char cStateKey = 's';
-static constexpr char cCrashKey = 'x';   ///< Only where a worker has crashed under a task of the job.
-static constexpr char cCaseKey = 'r';    ///< Likewise: what else may have caused the crashes. Earlier versions pass it over.
-static constexpr char cPlaceKey = 'w';   ///< With a worker's id.
-static constexpr char cBirthKey = 'b';   ///< Likewise: which life of it the cell's runs were placed on. Earlier versions pass it over.
-static constexpr char cPromiseKey = 'p'; ///< Likewise: how long a promise lasts that it is empty. Earlier versions pass it over.
+static constexpr char cCrashKey = 'x';       ///< Only where a worker has crashed under a task of the job.
+static constexpr char cCrashCaseKey = 'r';   ///< Likewise: what else may have caused the crashes. Earlier versions pass it over.
+static constexpr char cLocationKey = 'w';    ///< With a worker's id.
+static constexpr char cIncarnationKey = 'b'; ///< Likewise: which life of it the cell's runs were placed on. Earlier versions pass it over.
+static constexpr char cDrainGrantKey = 'p';  ///< Likewise: how long a promise lasts that it is empty. Earlier versions pass it over.
 static constexpr std::string_view cCursorKey = "c";
 static constexpr std::string_view cTimesKey = "t";
 static constexpr std::string_view cLeaseKey = "l";
 /// Learned run times are written this often, with whatever is written anyway.
-static constexpr int64 cTimesEveryMs = 3000;
+static constexpr int64 cRunTimesWriteMs = 3000;
 /// Ended jobs are looked through this often.
-static constexpr int64 cForgetEveryMs = 5000;
+static constexpr int64 cEndedSweepMs = 5000;
 
 bool Cell::Restore(std::string_view inKey, std::string_view inValue)
 {
@@ -54,12 +54,12 @@
 	if (inKey.size() < 2)
 		return true;
 	const std::string id(inKey.substr(1));
-	if (inKey[0] == cPlaceKey)
-		return this->RestorePlace(id, inValue);
-	if (inKey[0] == cBirthKey)
-		return this->RestoreBirth(id, inValue);
-	if (inKey[0] == cPromiseKey)
-		return this->RestorePromise(id, inValue);
+	if (inKey[0] == cLocationKey)
+		return this->RestoreLocation(id, inValue);
+	if (inKey[0] == cIncarnationKey)
+		return this->RestoreIncarnation(id, inValue);
+	if (inKey[0] == cDrainGrantKey)
+		return this->RestoreDrainGrant(id, inValue);
 	// An empty value removes the job
 	if (inValue.empty())
 	{
@@ -82,7 +82,7 @@
 		this->jobs[id].crashes = std::move(*crashes);
 		this->jobs[id].crashes_logged = true;
 	}
-	if (inKey[0] == cCaseKey)
+	if (inKey[0] == cCrashCaseKey)
 	{
 		std::optional<CrashCasesByTask> cases = DecodeValue<CrashCasesByTask>(inValue);
 		if (!cases.has_value())
@@ -99,17 +99,17 @@
 	return true;
 }
 
-bool Cell::RestorePlace(const std::string &inWorker, std::string_view inValue)
+bool Cell::RestoreLocation(const std::string &inWorker, std::string_view inValue)
 {
 	if (inValue.empty())
 	{
 		// It may have been promised empty since
 		auto found = this->workers.find(inWorker);
-		if (found != this->workers.end() && found->second.promise_logged_ms == 0)
+		if (found != this->workers.end() && found->second.logged_grant_ms == 0)
 			this->workers.erase(found);
 		return true;
 	}
-	std::optional<WorkerPlace> place = DecodeValue<WorkerPlace>(inValue);
+	std::optional<WorkerLocation> place = DecodeValue<WorkerLocation>(inValue);
 	if (!place.has_value())
 		return false;
 	CellWorker &worker = this->workers[inWorker];
@@ -117,11 +117,11 @@
 	worker.entry.address = std::move(place->address);
 	worker.entry.availability_zone = std::move(place->availability_zone);
 	worker.listed = false;
-	worker.place_logged = true;
+	worker.location_logged = true;
 	return true;
 }
 
-bool Cell::RestoreBirth(const std::string &inWorker, std::string_view inValue)
+bool Cell::RestoreIncarnation(const std::string &inWorker, std::string_view inValue)
 {
 	// The place is removed with it
 	if (inValue.empty())
@@ -132,32 +132,32 @@
 	CellWorker &worker = this->workers[inWorker];
 	worker.entry.id = inWorker;
 	worker.listed = false;
-	worker.place_logged = true;
+	worker.location_logged = true;
 	worker.born_ms = *born;
-	worker.birth_logged = *born;
+	worker.logged_started_ms = *born;
 	return true;
 }
 
-bool Cell::RestorePromise(const std::string &inWorker, std::string_view inValue)
+bool Cell::RestoreDrainGrant(const std::string &inWorker, std::string_view inValue)
 {
 	if (inValue.empty())
 		return true;
-	const std::optional<Millis> lasts = DecodeValue<Millis>(inValue);
-	if (!lasts.has_value())
+	const std::optional<Millis> duration = DecodeValue<Millis>(inValue);
+	if (!duration.has_value())
 		return false;
 	CellWorker &worker = this->workers[inWorker];
 	worker.entry.id = inWorker;
 	worker.listed = false;
-	worker.promise_ms = *lasts;
-	worker.promise_writing_ms = *lasts;
-	worker.promise_logged_ms = *lasts;
+	worker.drain_grant_ms = *duration;
+	worker.appending_grant_ms = *duration;
+	worker.logged_grant_ms = *duration;
 	return true;
 }
 
 void Cell::Begin(uint64 inEpoch, Millis inNow, uint32 inCell)
 {
 	this->epoch = inEpoch;
-	this->trail.Begin(inCell, inEpoch);
+	this->run_events.Begin(inCell, inEpoch);
 	this->replicator.Begin(inCell, inEpoch);
 	this->leases.Begin(this->tuning.lease_ms, this->tuning.most_lease_ms, inNow);
 	for (auto it = this->jobs.begin(); it != this->jobs.end();)
@@ -171,39 +171,39 @@
 			continue;
 		}
 		TakeCases(job.crashes, std::exchange(job.crash_cases, {}));
-		job.shown = job.record.phase;
-		job.writing = job.shown;
+		job.logged_phase = job.record.phase;
+		job.appending_phase = job.logged_phase;
 		job.arrived_at = inNow;
 		this->InheritRuns(job, inNow);
 		if (!IsFinal(job.record.phase))
 		{
 			this->active.insert(it->first);
-			this->unsettled.insert(it->first);
+			this->jobs_to_plan.insert(it->first);
 		}
 		++it;
 	}
 	// A predecessor may have given them right up to now
 	for (auto &[id, worker] : this->workers)
-		if (worker.promise_logged_ms > 0)
+		if (worker.logged_grant_ms > 0)
 		{
-			worker.vacate_until = inNow + worker.promise_logged_ms;
-			worker.promised_until = worker.vacate_until;
+			worker.drain_until = inNow + worker.logged_grant_ms;
+			worker.drain_grant_until = worker.drain_until;
 		}
 	// Leases that are about to be extended are otherwise known to nobody but this owner; later the record goes with others
 	const bool has_runs =
 		std::any_of(this->workers.begin(), this->workers.end(), [](const auto &inWorker) { return !inWorker.second.runs.empty(); });
-	this->news = has_runs && !this->leases.IsLogged();
+	this->unwritten_changes = has_runs && !this->leases.IsLogged();
 }
 
 void Cell::InheritRuns(CellJob &ioJob, Millis inNow)
 {
-	ioJob.memory.resize(ioJob.record.steps.size());
+	ioJob.volatile_state.resize(ioJob.record.steps.size());
 	ioJob.seen.resize(ioJob.record.steps.size());
 	for (size_t unit = 0; unit < ioJob.record.steps.size(); ++unit)
 	{
 		const StepSpec &step = ioJob.StepOf(unit);
 		std::vector<TaskRecord> &tasks = ioJob.record.steps[unit].tasks;
-		ioJob.memory[unit].resize(tasks.size());
+		ioJob.volatile_state[unit].resize(tasks.size());
 		for (uint32 index = 0; index < tasks.size(); ++index)
 			for (const RunRecord &run : tasks[index].runs)
 			{
@@ -212,18 +212,18 @@
 				worker.listed = false;
 				worker.unlisted_at = inNow;
 				// A predecessor may have extended the lease right up to now
-				worker.lease_over_at = inNow + LongestLease(this->leases.Longest(inNow));
+				worker.lease_expires_at = inNow + LongestLease(this->leases.Longest(inNow));
 				const size_t steps = ioJob.spec.steps.size();
 				const RunId id{{ioJob.spec.id, static_cast<uint32>(unit / steps), static_cast<uint32>(unit % steps), index}, run.run};
-				Run inherited = RunOf(ioJob.spec, step, ERunState::Inherited, inNow);
+				Run inherited = NewRun(ioJob.spec, step, ERunState::Inherited, inNow);
 				inherited.inherited = true;
-				this->CountRun(worker, inherited);
+				this->AddUsage(worker, inherited);
 				worker.runs.emplace(id, std::move(inherited));
 			}
 	}
 }
 
-void Cell::SetWorkers(const std::vector<WorkerEntry> &inWorkers, Millis inNow, Millis inTrustUntil)
+void Cell::SetWorkers(const std::vector<WorkerEntry> &inWorkers, Millis inNow, Millis inAssumePresentUntil)
 {
 	std::set<std::string> present;
 	for (const WorkerEntry &entry : inWorkers)
@@ -233,16 +233,16 @@
 		CellWorker &worker = found->second;
 		// It may have been known before, and have seen the token of a later life than the first
 		if (is_unknown)
-			worker.number = this->lives;
+			worker.incarnation_number = this->incarnations_begun;
 		const bool is_new = worker.entry.pool.empty();
 		// Written late, it says nothing of the life that there is now
-		if (!this->TakeLife(worker, entry, inNow))
+		if (!this->UpdateIncarnation(worker, entry, inNow))
 			continue;
 		const bool drains_now = entry.draining && !worker.entry.draining;
 		worker.entry = entry;
 		worker.listed = true;
 		if (is_new)
-			worker.next_hold_at = inNow;
+			worker.next_poll_at = inNow;
 		if (is_new || drains_now)
 			LogEvent(ELogLevel::Info, is_new ? "worker_found" : "worker_drains")
 				.Field("worker", entry.id)
@@ -259,33 +259,33 @@
 		{
 			worker.listed = false;
 			worker.unlisted_at = inNow;
-			worker.trusted_until = inTrustUntil;
+			worker.assumed_present_until = inAssumePresentUntil;
 			LogEvent(ELogLevel::Info, "worker_unlisted")
 				.Field("worker", it->first)
 				.Field("runs", worker.runs.size())
-				.Field("trusted_ms", std::max<Millis>(inTrustUntil - inNow, 0));
+				.Field("trusted_ms", std::max<Millis>(inAssumePresentUntil - inNow, 0));
 		}
 		// Nothing is remembered of a worker that left and has nothing, but what was said of its host: its entry may come back before that
 		// is over
-		const bool bound = inNow < std::max({worker.vacate_until, worker.promised_until, worker.left_until});
+		const bool bound = inNow < std::max({worker.drain_until, worker.drain_grant_until, worker.removed_until});
 		// And until the log holds its ends, they are part of what a successor must know
-		const bool forget = !worker.IsPresent(inNow) && worker.IsClear() && !worker.hold_sent && !bound;
-		if (forget && (worker.place_logged || worker.promise_writing_ms > 0))
-			this->forgotten.push_back(it->first);
+		const bool forget = !worker.IsPresent(inNow) && worker.IsIdleAndLogged() && !worker.poll_in_flight && !bound;
+		if (forget && (worker.location_logged || worker.appending_grant_ms > 0))
+			this->removed_workers.push_back(it->first);
 		it = forget ? this->workers.erase(it) : std::next(it);
 	}
 }
 
-void Cell::CountRun(CellWorker &ioWorker, const Run &inRun)
+void Cell::AddUsage(CellWorker &ioWorker, const Run &inRun)
 {
-	ioWorker.used.Add(inRun.room);
-	this->teams.Add(inRun.team, inRun.need);
+	ioWorker.used.Add(inRun.reserved);
+	this->teams.Add(inRun.team, inRun.requested);
 }
 
-void Cell::DiscountRun(CellWorker &ioWorker, const Run &inRun)
+void Cell::SubtractUsage(CellWorker &ioWorker, const Run &inRun)
 {
-	ioWorker.used.Subtract(inRun.room);
-	this->teams.Subtract(inRun.team, inRun.need);
+	ioWorker.used.Subtract(inRun.reserved);
+	this->teams.Subtract(inRun.team, inRun.requested);
 }
 
 void Cell::SetCatalogue(std::shared_ptr<const Catalogue> inCatalogue)
@@ -301,7 +301,7 @@
 	for (auto &[id, worker] : this->workers)
 		if (this->IsEvacuated(worker) && !inZones.contains(worker.entry.availability_zone))
 			worker.slow_until = std::max(worker.slow_until, inNow + this->tuning.slow_ms);
-	this->evacuated = inZones;
+	this->evacuated_zones = inZones;
 }
 
 CellJob *Cell::FindJob(const std::string &inId)
@@ -319,29 +319,29 @@
 	return inTask.index < tasks.size() ? &tasks[inTask.index] : nullptr;
 }
 
-TaskMemory *Cell::FindMemory(const TaskId &inTask)
+VolatileTaskState *Cell::FindVolatileState(const TaskId &inTask)
 {
 	if (this->FindTask(inTask) == nullptr)
 		return nullptr;
 	CellJob *job = this->FindJob(inTask.job);
-	return &job->memory[job->Unit(inTask.round, inTask.step)][inTask.index];
+	return &job->volatile_state[job->Unit(inTask.round, inTask.step)][inTask.index];
 }
 
-void Cell::Touch(CellJob &ioJob)
+void Cell::MarkChanged(CellJob &ioJob)
 {
 	this->dirty.insert(ioJob.spec.id);
-	ioJob.rated_at = -1;
+	ioJob.ranked_at = -1;
 	if (IsFinal(ioJob.record.phase))
 	{
 		this->active.erase(ioJob.spec.id);
-		this->unsettled.erase(ioJob.spec.id);
+		this->jobs_to_plan.erase(ioJob.spec.id);
 	}
 	else
 	{
 		this->active.insert(ioJob.spec.id);
-		this->unsettled.insert(ioJob.spec.id);
+		this->jobs_to_plan.insert(ioJob.spec.id);
 	}
-	this->news = true;
+	this->unwritten_changes = true;
 }
 
 /// The caller's guesses of the steps' run times, for the log.
@@ -359,7 +359,7 @@
 	if (inOffset < this->inbox_next)
 		return;
 	this->inbox_next = inOffset + 1;
-	this->news = true;
+	this->unwritten_changes = true;
 	if (inRecord.kind == EInbox::Ends)
 		return this->IngestEnds(inRecord.ends, inNow);
 	const std::string &id = inRecord.spec.id;
@@ -387,13 +387,13 @@
 	CellJob &job = this->jobs[id];
 	job.spec = inRecord.spec;
 	job.record = NewRecord(job.spec);
-	job.memory.resize(job.record.steps.size());
+	job.volatile_state.resize(job.record.steps.size());
 	job.seen.resize(job.record.steps.size());
-	for (size_t unit = 0; unit < job.memory.size(); ++unit)
-		job.memory[unit].resize(job.record.steps[unit].tasks.size());
+	for (size_t unit = 0; unit < job.volatile_state.size(); ++unit)
+		job.volatile_state[unit].resize(job.record.steps[unit].tasks.size());
 	job.arrived_at = inNow;
 	this->arrivals[job.spec.pool].Note(inNow, this->WorkLeft(job));
-	this->Touch(job);
+	this->MarkChanged(job);
 	LogEvent(ELogLevel::Info, "job_taken")
 		.Field("request", id)
 		.Field("queue", job.spec.queue)
@@ -413,16 +413,17 @@
 		.Field("age_ms", inWallNow - job.spec.accepted_wall_ms);
 }
 
-void Cell::ForgetEnded(int64 inWallNow, std::vector<KeyedRecord> &outBatch)
+void Cell::RemoveEndedJobs(int64 inWallNow, std::vector<KeyedRecord> &outBatch)
 {
-	if (inWallNow - this->forgot_wall_ms < cForgetEveryMs)
+	if (inWallNow - this->ended_swept_wall_ms < cEndedSweepMs)
 		return;
-	this->forgot_wall_ms = inWallNow;
+	this->ended_swept_wall_ms = inWallNow;
 	for (auto it = this->jobs.begin(); it != this->jobs.end();)
 	{
 		const CellJob &job = it->second;
-		const bool in_use = this->dirty.contains(it->first) || this->to_write.contains(it->first) || this->in_batch.contains(it->first);
-		const bool old = IsFinal(job.shown) && !in_use && inWallNow - job.record.ended_wall_ms > this->tuning.keep_ended_ms;
+		const bool in_use =
+			this->dirty.contains(it->first) || this->jobs_to_write.contains(it->first) || this->in_batch.contains(it->first);
+		const bool old = IsFinal(job.logged_phase) && !in_use && inWallNow - job.record.ended_wall_ms > this->tuning.keep_ended_ms;
 		if (!old)
 		{
 			++it;
@@ -431,31 +432,31 @@
 		outBatch.push_back({cSpecKey + it->first, ""});
 		outBatch.push_back({cStateKey + it->first, ""});
 		if (job.crashes_logged)
-			for (const char key : {cCrashKey, cCaseKey})
+			for (const char key : {cCrashKey, cCrashCaseKey})
 				outBatch.push_back({key + it->first, ""});
 		it = this->jobs.erase(it);
 	}
 }
 
-void Cell::BeginWriting()
+void Cell::BeginAppendSeries()
 {
-	this->to_write = std::exchange(this->dirty, {});
+	this->jobs_to_write = std::exchange(this->dirty, {});
 	this->inbox_to_write = this->inbox_next;
 	this->replicator.BeginWriting();
 	for (auto &[id, worker] : this->workers)
 	{
-		worker.to_write = worker.noted;
-		worker.former.to_write = worker.former.rows.size();
+		worker.series_seq = worker.recorded_seq;
+		worker.previous_ends.series_count = worker.previous_ends.rows.size();
 	}
 }
 
-void Cell::TakeJobs(int64 inWallNow, std::vector<KeyedRecord> &outBatch)
+void Cell::AddJobRecords(int64 inWallNow, std::vector<KeyedRecord> &outBatch)
 {
 	this->in_batch.clear();
 	size_t bytes = 0;
-	while (!this->to_write.empty() && bytes < this->tuning.batch_bytes)
+	while (!this->jobs_to_write.empty() && bytes < this->tuning.batch_bytes)
 	{
-		const std::string id = std::move(this->to_write.extract(this->to_write.begin()).value());
+		const std::string id = std::move(this->jobs_to_write.extract(this->jobs_to_write.begin()).value());
 		this->in_batch.insert(id);
 		CellJob &job = *this->FindJob(id);
 		if (IsFinal(job.record.phase) && job.record.ended_wall_ms == 0)
@@ -465,52 +466,52 @@
 			outBatch.push_back({cSpecKey + id, EncodeValue(job.spec)});
 			bytes += outBatch.back().value.size();
 		}
-		job.spec_writing = !job.spec_logged;
+		job.spec_appending = !job.spec_logged;
 		job.crashes_logged = job.crashes_logged || !job.crashes.empty();
 		if (job.crashes_logged)
 		{
 			outBatch.push_back({cCrashKey + id, EncodeValue(job.crashes)});
-			outBatch.push_back({cCaseKey + id, EncodeValue(CasesOf(job.crashes))});
+			outBatch.push_back({cCrashCaseKey + id, EncodeValue(CasesOf(job.crashes))});
 		}
 		outBatch.push_back({cStateKey + id, EncodeValue(job.record)});
 		bytes += outBatch.back().value.size();
-		job.writing = job.record.phase;
+		job.appending_phase = job.record.phase;
 	}
 }
 
-void Cell::TakePlaces(std::vector<KeyedRecord> &outBatch)
+void Cell::AddLocationRecords(std::vector<KeyedRecord> &outBatch)
 {
-	for (const std::string &id : std::exchange(this->forgotten, {}))
+	for (const std::string &id : std::exchange(this->removed_workers, {}))
 		if (!this->workers.contains(id))
-			for (const char key : {cPlaceKey, cBirthKey, cPromiseKey})
+			for (const char key : {cLocationKey, cIncarnationKey, cDrainGrantKey})
 				outBatch.push_back({key + id, ""});
 	for (auto &[id, worker] : this->workers)
 	{
 		if (worker.runs.empty() || worker.entry.address.port == 0)
 			continue;
-		if (!std::exchange(worker.place_logged, true))
-			outBatch.push_back({cPlaceKey + id, EncodeValue(WorkerPlace{worker.entry.address, worker.entry.availability_zone})});
+		if (!std::exchange(worker.location_logged, true))
+			outBatch.push_back({cLocationKey + id, EncodeValue(WorkerLocation{worker.entry.address, worker.entry.availability_zone})});
 		// While a former life's ends may still be handed in, whoever comes next must wait for them too
 		const bool awaits =
-			std::any_of(worker.runs.begin(), worker.runs.end(), [](const auto &inRun) { return inRun.second.hand_in_until > 0; });
-		if (!awaits && std::exchange(worker.birth_logged, worker.born_ms) != worker.born_ms)
-			outBatch.push_back({cBirthKey + id, EncodeValue(worker.born_ms)});
+			std::any_of(worker.runs.begin(), worker.runs.end(), [](const auto &inRun) { return inRun.second.predecessor_wait_until > 0; });
+		if (!awaits && std::exchange(worker.logged_started_ms, worker.born_ms) != worker.born_ms)
+			outBatch.push_back({cIncarnationKey + id, EncodeValue(worker.born_ms)});
 	}
 }
 
-void Cell::TakePromises(std::vector<KeyedRecord> &outBatch)
+void Cell::AddDrainGrantRecords(std::vector<KeyedRecord> &outBatch)
 {
 	const bool written_anyway = !outBatch.empty();
 	for (auto &[id, worker] : this->workers)
 	{
-		const bool over = this->now >= std::max(worker.vacate_until, worker.promised_until);
+		const bool over = this->now >= std::max(worker.drain_until, worker.drain_grant_until);
 		if (over && written_anyway)
-			worker.promise_ms = 0;
-		if (worker.promise_ms == worker.promise_writing_ms)
+			worker.drain_grant_ms = 0;
+		if (worker.drain_grant_ms == worker.appending_grant_ms)
 			continue;
-		outBatch.push_back({cPromiseKey + id, worker.promise_ms > 0 ? EncodeValue(worker.promise_ms) : ""});
-		worker.promise_writing_ms = worker.promise_ms;
-		worker.promise_logged_ms = std::min(worker.promise_logged_ms, worker.promise_ms);
+		outBatch.push_back({cDrainGrantKey + id, worker.drain_grant_ms > 0 ? EncodeValue(worker.drain_grant_ms) : ""});
+		worker.appending_grant_ms = worker.drain_grant_ms;
+		worker.logged_grant_ms = std::min(worker.logged_grant_ms, worker.drain_grant_ms);
 	}
 }
 
@@ -519,20 +520,20 @@
 	LOOM_INVARIANT(!this->batch_under_way, "one append at a time, or records could pass one another");
 	std::vector<KeyedRecord> batch;
 	// What one append can't hold goes into several. Ends and the place in the inbox are in the log only with the last of them
-	const bool begins = this->to_write.empty();
+	const bool begins = this->jobs_to_write.empty();
 	if (begins)
-		this->BeginWriting();
-	this->TakeJobs(inWallNow, batch);
-	const bool whole = this->to_write.empty();
+		this->BeginAppendSeries();
+	this->AddJobRecords(inWallNow, batch);
+	const bool whole = this->jobs_to_write.empty();
 	if (!batch.empty())
-		this->TakePlaces(batch);
-	this->TakePromises(batch);
-	this->ForgetEnded(inWallNow, batch);
+		this->AddLocationRecords(batch);
+	this->AddDrainGrantRecords(batch);
+	this->RemoveEndedJobs(inWallNow, batch);
 	if (whole && this->inbox_to_write != this->inbox_logged)
 		batch.push_back({std::string(cCursorKey), EncodeValue(this->inbox_to_write)});
-	if (!batch.empty() && inWallNow - this->times_wall_ms >= cTimesEveryMs)
+	if (!batch.empty() && inWallNow - this->run_times_written_wall_ms >= cRunTimesWriteMs)
 	{
-		this->times_wall_ms = inWallNow;
+		this->run_times_written_wall_ms = inWallNow;
 		batch.push_back({std::string(cTimesKey), EncodeValue(this->run_times)});
 	}
 	if (const std::optional<Millis> lease = this->leases.ToLog(this->now))
@@ -542,7 +543,7 @@
 	}
 	this->inbox_writing = whole ? this->inbox_to_write : this->inbox_logged;
 	// While a series was written, more may have come
-	this->news = !begins || !whole;
+	this->unwritten_changes = !begins || !whole;
 	if (whole)
 		this->replicator.OnWriting();
 	if (batch.empty())
@@ -551,12 +552,12 @@
 	{
 		if (whole)
 		{
-			worker.writing = worker.to_write;
-			worker.former.writing = std::exchange(worker.former.to_write, 0);
+			worker.appending_seq = worker.series_seq;
+			worker.previous_ends.appending_count = std::exchange(worker.previous_ends.series_count, 0);
 		}
 		// Ends that changed no record need no append
 		if (batch.empty())
-			this->NoteLogged(worker);
+			this->OnEndsLogged(worker);
 		for (auto &[run_id, run] : worker.runs)
 			if (run.state == ERunState::Planned && this->in_batch.contains(run_id.task.job))
 				run.state = ERunState::Writing;
@@ -564,20 +565,21 @@
 	this->batch_under_way = !batch.empty();
 	this->batch_at = this->now;
 	this->batch_records = batch.size();
-	this->trail.FlushAppend(0, 0);
+	this->run_events.FlushAppend(0, 0);
 	return batch;
 }
 
-void Cell::NoteLogged(CellWorker &ioWorker)
+void Cell::OnEndsLogged(CellWorker &ioWorker)
 {
-	std::vector<EndedRow> &former = ioWorker.former.rows;
-	former.erase(former.begin(), former.begin() + static_cast<std::ptrdiff_t>(std::exchange(ioWorker.former.writing, 0)));
-	if (ioWorker.writing <= ioWorker.last_seen)
+	std::vector<EndedRow> &previous = ioWorker.previous_ends.rows;
+	previous.erase(previous.begin(),
+				   previous.begin() + static_cast<std::ptrdiff_t>(std::exchange(ioWorker.previous_ends.appending_count, 0)));
+	if (ioWorker.appending_seq <= ioWorker.logged_seq)
 		return;
-	ioWorker.logged_at = this->now;
-	this->trail.Logged(ioWorker.entry.id, ioWorker.last_seen + 1, ioWorker.writing);
-	ioWorker.last_seen = ioWorker.writing;
-	std::erase_if(ioWorker.unlogged, [&ioWorker](const EndedRow &inRow) { return inRow.number <= ioWorker.last_seen; });
+	ioWorker.ends_logged_at = this->now;
+	this->run_events.Logged(ioWorker.entry.id, ioWorker.logged_seq + 1, ioWorker.appending_seq);
+	ioWorker.logged_seq = ioWorker.appending_seq;
+	std::erase_if(ioWorker.unlogged_ends, [&ioWorker](const EndedRow &inRow) { return inRow.number <= ioWorker.logged_seq; });
 }
 
 void Cell::OnAppended(Millis inNow)
@@ -590,20 +592,20 @@
 	for (const std::string &id : std::exchange(this->in_batch, {}))
 	{
 		CellJob &job = *this->FindJob(id);
-		job.spec_logged = job.spec_logged || job.spec_writing;
-		if (job.shown != job.writing)
+		job.spec_logged = job.spec_logged || job.spec_appending;
+		if (job.logged_phase != job.appending_phase)
 			LogEvent(ELogLevel::Info, "job_shown")
 				.Field("request", id)
-				.Field("phase", NameOf(cJobPhaseNames, job.writing))
+				.Field("phase", NameOf(cJobPhaseNames, job.appending_phase))
 				.Field("epoch", this->epoch);
-		job.shown = job.writing;
+		job.logged_phase = job.appending_phase;
 	}
 	for (auto &[id, worker] : this->workers)
 	{
-		worker.promise_logged_ms = worker.promise_writing_ms;
-		if (worker.last_seen < worker.writing)
-			worker.next_hold_at = inNow;
-		this->NoteLogged(worker);
+		worker.logged_grant_ms = worker.appending_grant_ms;
+		if (worker.logged_seq < worker.appending_seq)
+			worker.next_poll_at = inNow;
+		this->OnEndsLogged(worker);
 		for (auto &[run_id, run] : worker.runs)
 			if (run.state == ERunState::Writing)
 			{
@@ -613,7 +615,7 @@
 				this->start_workers[run_id] = id;
 			}
 	}
-	this->trail.FlushAppend(inNow - this->batch_at, this->batch_records);
+	this->run_events.FlushAppend(inNow - this->batch_at, this->batch_records);
 }
 
 JobAnswer Cell::Query(std::string_view inQueue, std::string_view inId) const
@@ -624,7 +626,7 @@
 		return answer;
 	answer.known = true;
 	answer.team = found->second.spec.team;
-	answer.phase = found->second.shown;
+	answer.phase = found->second.logged_phase;
 	if (answer.phase == EJobPhase::Queued && found->second.record.begun)
 		answer.phase = EJobPhase::Running;
 	return answer;
@@ -647,8 +649,8 @@
 	{
 		// It may have left by the time it is asked again; and a successor knows nothing of what was promised
 		// What an unlisted worker has just told is heard here, or only after a successor's look
-		const bool telling = worker.hold_sent && !worker.listed;
-		const bool settled = worker.IsLogged() && inNow >= worker.promised_until && !telling;
+		const bool telling = worker.poll_in_flight && !worker.listed;
+		const bool settled = worker.AreEndsLogged() && inNow >= worker.drain_grant_until && !telling;
 		if (!settled)
 			return false;
 	}
--- a/Loomreach/Schedule/CellAdvice.cpp
+++ b/Loomreach/Schedule/CellAdvice.cpp
@@ -10,8 +10,8 @@
 
 /// A ticket must be good for the append and the order: two store answers at their slow pace.
 static constexpr Millis cTicketSlackMs = 500;
-static constexpr size_t cMostAdvised = 10; ///< Workers named in one question: each costs time.
-static constexpr Millis cAskAgainMs = 250; ///< After a question that got no answer.
+static constexpr size_t cMaxWorkersPerQuestion = 10; ///< Workers named in one question: each costs time.
+static constexpr Millis cAdviceRetryMs = 250;        ///< After a question that got no answer.
 
 bool Cell::HasTicket(const CellJob &inJob, size_t inUnit, const std::string &inWorker, Millis inNow)
 {
@@ -29,22 +29,22 @@
 	StepAdvice &advice = ioJob.advice[inUnit];
 	if (advice.asked || inNow < advice.ask_after)
 		return;
-	std::vector<std::pair<double, std::string>> likely;
+	std::vector<std::pair<double, std::string>> candidates;
 	for (const auto &[id, worker] : this->workers)
 	{
-		const bool possible = worker.entry.pool == ioJob.spec.pool && this->CanTake(worker, inNow) && !advice.refused.contains(id);
+		const bool possible = worker.entry.pool == ioJob.spec.pool && this->CanAcceptRuns(worker, inNow) && !advice.refused.contains(id);
 		if (possible && !HasTicket(ioJob, inUnit, id, inNow))
-			likely.emplace_back(-this->ScoreOf(worker, ioJob, inUnit), id);
+			candidates.emplace_back(-this->ScoreOf(worker, ioJob, inUnit), id);
 	}
-	if (likely.empty())
+	if (candidates.empty())
 		return;
-	std::sort(likely.begin(), likely.end());
+	std::sort(candidates.begin(), candidates.end());
 	AdviceQuestion question;
 	question.job = ioJob.spec.id;
 	question.round = static_cast<uint32>(inUnit / ioJob.spec.steps.size());
 	question.step = static_cast<uint32>(inUnit % ioJob.spec.steps.size());
-	for (const auto &[score, id] : likely)
-		if (question.workers.size() < cMostAdvised)
+	for (const auto &[score, id] : candidates)
+		if (question.workers.size() < cMaxWorkersPerQuestion)
 			question.workers.push_back(id);
 	const Queue *queue = nullptr;
 	if (this->catalogue != nullptr)
@@ -58,7 +58,7 @@
 		.Field("request", question.job)
 		.Field("step", question.step)
 		.Field("workers", question.workers.size());
-	this->questions.push_back(std::move(question));
+	this->advice_questions.push_back(std::move(question));
 }
 
 void Cell::OnAdvice(const AdviceQuestion &inQuestion, const AdviceAnswer &inAnswer, Millis inNow)
@@ -76,7 +76,7 @@
 		.Field("named", inQuestion.workers.size());
 	if (!inAnswer.answered)
 	{
-		advice.ask_after = inNow + cAskAgainMs;
+		advice.ask_after = inNow + cAdviceRetryMs;
 		return;
 	}
 	for (const std::string &worker : inQuestion.workers)
--- a/Loomreach/Schedule/CellDemand.cpp
+++ b/Loomreach/Schedule/CellDemand.cpp
@@ -14,9 +14,9 @@
 static constexpr Millis cListLagMs = 5000;
 static constexpr size_t cSurgeJobs = 5;
 /// Tasks that wait for a trial need hosts apart from one another, whatever room they ask for: so many at most.
-static constexpr uint32 cTrialHosts = 8;
+static constexpr uint32 cMaxTrialHosts = 8;
 
-void Cell::NeedNow(std::string_view inPool, int64 inWallNow, Resources &outInTime, Resources &outLate) const
+void Cell::CurrentDemand(std::string_view inPool, int64 inWallNow, Resources &outInTime, Resources &outLate) const
 {
 	std::map<std::string_view, std::array<Resources, 2>> by_team; ///< In time, and late.
 	for (const std::string &id : this->active)
@@ -24,16 +24,16 @@
 		const CellJob &job = this->jobs.at(id);
 		if (job.spec.pool != inPool)
 			continue;
-		const EHope hope = this->HopeOf(job, inWallNow);
+		const EDeadlineOutlook outlook = this->OutlookOf(job, inWallNow);
 		for (size_t unit = 0; unit < job.record.steps.size(); ++unit)
 		{
 			if (!this->IsDue(job, unit, inWallNow))
 				continue;
-			const Resources room = job.StepOf(unit).Room();
-			Resources &sum = by_team[job.spec.team][hope == EHope::InTime ? 0 : 1];
+			const Resources reserved = job.StepOf(unit).Room();
+			Resources &sum = by_team[job.spec.team][outlook == EDeadlineOutlook::InTime ? 0 : 1];
 			for (const TaskRecord &task : job.record.steps[unit].tasks)
 				if (!task.done)
-					sum.Add(room);
+					sum.Add(reserved);
 		}
 	}
 	for (auto &[team, sums] : by_team)
@@ -56,7 +56,7 @@
 std::map<std::string, Resources> Cell::WantedByTeam(int64 inWallNow) const
 {
 	std::map<std::string, Resources> wanted;
-	for (const std::string &id : this->unsettled)
+	for (const std::string &id : this->jobs_to_plan)
 	{
 		const CellJob &job = this->jobs.at(id);
 		if (this->teams.Limits().Find(job.spec.team) == nullptr)
@@ -78,7 +78,7 @@
 	if (this->teams.Limits().IsEmpty())
 		return std::nullopt;
 	ShareQuestion question = this->teams.Ask(this->epoch, this->WantedByTeam(inWallNow), inNow);
-	question.cell = this->trail.Cell();
+	question.cell = this->run_events.Cell();
 	return question;
 }
 
@@ -103,26 +103,26 @@
 		auto found = this->workers.find(id);
 		if (found == this->workers.end())
 			continue;
-		if (inNow >= found->second.left_until)
+		if (inNow >= found->second.removed_until)
 			LogEvent(ELogLevel::Info, "worker_left").Field("worker", id).Field("runs", found->second.runs.size());
 		// No more than that: what may run there is judged by its leases alone
-		found->second.left_until = inNow + cListLagMs;
+		found->second.removed_until = inNow + cListLagMs;
 	}
 }
 
 uint32 Cell::WaitingTrials(const std::string &inPool) const
 {
 	uint32 waiting = 0;
-	for (const std::string &id : this->unsettled)
+	for (const std::string &id : this->jobs_to_plan)
 	{
 		const CellJob &job = this->jobs.at(id);
 		if (job.spec.pool != inPool)
 			continue;
-		for (size_t unit = 0; unit < job.memory.size(); ++unit)
-			for (size_t index = 0; index < job.memory[unit].size(); ++index)
+		for (size_t unit = 0; unit < job.volatile_state.size(); ++unit)
+			for (size_t index = 0; index < job.volatile_state[unit].size(); ++index)
 			{
 				const TaskRecord &task = job.record.steps[unit].tasks[index];
-				waiting += job.memory[unit][index].trial_since >= 0 && !task.done && task.runs.empty() ? 1 : 0;
+				waiting += job.volatile_state[unit][index].trial_wanted_since >= 0 && !task.done && task.runs.empty() ? 1 : 0;
 			}
 	}
 	return waiting;
@@ -132,16 +132,16 @@
 {
 	this->now = inNow;
 	PoolDemand demand;
-	std::deque<std::pair<Millis, Resources>> &seen = this->needs[inPool];
+	std::deque<std::pair<Millis, Resources>> &seen = this->recent_demand[inPool];
 	Resources in_time;
-	this->NeedNow(inPool, inWallNow, in_time, demand.late);
+	this->CurrentDemand(inPool, inWallNow, in_time, demand.late);
 	seen.emplace_back(inNow, in_time);
 	while (inNow - seen.front().first > this->tuning.demand_hold_ms)
 		seen.pop_front();
 	// What comes in each second must also be worked off each second, later steps included
 	demand.need.cpu_milli = this->arrivals[inPool].Forecast(cMoveLeadMs, inNow);
-	for (const auto &[at, need] : seen)
-		RaiseTo(demand.need, need);
+	for (const auto &[at, amount] : seen)
+		RaiseTo(demand.need, amount);
 	for (const std::string &id : this->active)
 	{
 		const CellJob &job = this->jobs.at(id);
@@ -149,20 +149,20 @@
 			if (job.spec.pool == inPool && step.lasting && step.max_per_worker > 0)
 				demand.least_hosts = std::max(demand.least_hosts, (step.count + step.max_per_worker - 1) / step.max_per_worker);
 	}
-	demand.least_hosts = std::max(demand.least_hosts, std::min(this->WaitingTrials(inPool), cTrialHosts));
+	demand.least_hosts = std::max(demand.least_hosts, std::min(this->WaitingTrials(inPool), cMaxTrialHosts));
 	// The emptiest hosts that hold nothing lasting take no new work, and go once they are empty
 	std::vector<std::pair<int64, CellWorker *>> least_used;
 	for (auto &[id, worker] : this->workers)
 	{
-		bool can_go = worker.entry.pool == inPool && worker.listed && !worker.entry.draining && !worker.gone;
+		bool can_go = worker.entry.pool == inPool && worker.listed && !worker.entry.draining && !worker.ended;
 		// One that has gone already would take the place of one that can go
-		can_go = can_go && !this->IsEvacuated(worker) && worker.reachable && inNow >= worker.left_until;
+		can_go = can_go && !this->IsEvacuated(worker) && worker.reachable && inNow >= worker.removed_until;
 		for (const auto &[run_id, run] : worker.runs)
 			can_go = can_go && !run.lasting;
 		if (can_go)
 		{
 			// One that the log tells of already can be promised at once
-			const int64 empty = worker.promise_logged_ms > 0 ? -2 : -1;
+			const int64 empty = worker.logged_grant_ms > 0 ? -2 : -1;
 			least_used.emplace_back(worker.runs.empty() ? empty : worker.used.cpu_milli, &worker);
 		}
 	}
@@ -170,8 +170,8 @@
 	for (size_t i = 0; i < least_used.size() && i < inSpare; ++i)
 	{
 		CellWorker &worker = *least_used[i].second;
-		worker.vacate_until = std::max(worker.vacate_until, inNow + inForMs);
-		if (this->Promise(worker, inForMs))
+		worker.drain_until = std::max(worker.drain_until, inNow + inForMs);
+		if (this->GrantDrain(worker, inForMs))
 			demand.spared.push_back(worker.entry.id);
 	}
 	if (!demand.spared.empty())
--- a/Loomreach/Schedule/CellEnds.cpp
+++ b/Loomreach/Schedule/CellEnds.cpp
@@ -13,10 +13,10 @@
 /// A worker is slow when its runs take this many times what is expected, in a mean that an end moves by a fifth and a look at a run that
 /// is over its time by a tenth. Slow workers of the users' days work 4 to 6.5 times as long.
 static constexpr double cSlowRatio = 2.2;
-static constexpr double cMostRatio = 8.0; ///< One odd run must not decide.
-static constexpr double cEndShare = 0.2;
-static constexpr double cProgressShare = 0.1;
-static constexpr Millis cJudgeAfterMs = 300;
+static constexpr double cMaxRatio = 8.0; ///< One odd run must not decide.
+static constexpr double cEndWeight = 0.2;
+static constexpr double cProgressWeight = 0.1;
+static constexpr Millis cMinElapsedMs = 300;
 
 static constexpr uint32 cTasksForSpread = 3; ///< Fewer tasks say little of how far those of a step differ.
 
@@ -38,7 +38,7 @@
 		.Field("worker", ioWorker.entry.id)
 		.Field("end", NameOf(cRunEndNames, inRow.end))
 		.Field("number", inRow.number)
-		.Field("cell", this->trail.Cell())
+		.Field("cell", this->run_events.Cell())
 		.Field("epoch", this->epoch);
 	this->FinishTask(*job, inRow.task);
 }
@@ -48,8 +48,8 @@
 	std::vector<EndReport> reports;
 	for (const auto &[id, worker] : this->workers)
 	{
-		std::vector<EndedRow> rows = worker.former.rows;
-		rows.insert(rows.end(), worker.unlogged.begin(), worker.unlogged.end());
+		std::vector<EndedRow> rows = worker.previous_ends.rows;
+		rows.insert(rows.end(), worker.unlogged_ends.begin(), worker.unlogged_ends.end());
 		if (!rows.empty())
 			reports.push_back({id, this->epoch, std::move(rows)});
 	}
@@ -63,7 +63,7 @@
 		.Field("worker", inReport.worker)
 		.Field("count", inReport.ended.size())
 		.Field("from_epoch", inReport.epoch)
-		.Field("cell", this->trail.Cell())
+		.Field("cell", this->run_events.Cell())
 		.Field("epoch", this->epoch);
 	// The worker may have left, and been forgotten: its ends count all the same
 	CellWorker stranger;
@@ -71,28 +71,29 @@
 	auto known = this->workers.find(inReport.worker);
 	CellWorker &worker = known == this->workers.end() ? stranger : known->second;
 	// Up to which number the worker may forget is for a look of our own to tell: these may not be all its ends, or a former life's
-	this->TakeEnds(worker, inReport.ended, inNow);
+	this->ApplyEnds(worker, inReport.ended, inNow);
 }
 
-void Cell::TakeEnds(CellWorker &ioWorker, const std::vector<EndedRow> &inEnded, Millis inNow)
+void Cell::ApplyEnds(CellWorker &ioWorker, const std::vector<EndedRow> &inEnded, Millis inNow)
 {
 	for (const EndedRow &row : inEnded)
 		this->OnEnded(ioWorker, row, inNow);
-	this->trail.FlushUnmatched(ioWorker.entry.id, 0);
+	this->run_events.FlushUnmatched(ioWorker.entry.id, 0);
 }
 
-void Cell::TakeEndsOfLook(CellWorker &ioWorker, const std::vector<EndedRow> &inEnded, Millis inNow)
+void Cell::ApplyPolledEnds(CellWorker &ioWorker, const std::vector<EndedRow> &inEnded, Millis inNow)
 {
 	for (const EndedRow &row : inEnded)
 		this->replicator.Note(ioWorker.entry.id, row);
-	this->TakeEnds(ioWorker, inEnded, inNow);
+	this->ApplyEnds(ioWorker, inEnded, inNow);
 }
 
 void Cell::LogUnmatched(const EndedRow &inRow)
 {
 	const CellJob *job = this->FindJob(inRow.task.job);
 	const TaskRecord *task = this->FindTask(inRow.task);
-	this->trail.Unmatched(inRow, job == nullptr ? "unknown" : NameOf(cJobPhaseNames, job->record.phase), task != nullptr && task->done);
+	this->run_events.Unmatched(inRow, job == nullptr ? "unknown" : NameOf(cJobPhaseNames, job->record.phase),
+							   task != nullptr && task->done);
 }
 
 void Cell::LogUnknownRun(const CellWorker &inWorker, const RunningRow &inRow, Millis inSentAt)
@@ -114,7 +115,7 @@
 		.Field("last_run", task == nullptr ? 0 : task->last_run)
 		.Field("present", present)
 		.Field("look_ms", this->now - inSentAt)
-		.Field("cell", this->trail.Cell())
+		.Field("cell", this->run_events.Cell())
 		.Field("epoch", this->epoch);
 }
 
@@ -130,17 +131,17 @@
 		.Field("after_ms", inRun.confirmed_at < 0 ? -1 : this->now - inRun.confirmed_at)
 		.Field("why", inWhy)
 		.Field("number", inNumber)
-		.Field("cell", this->trail.Cell())
+		.Field("cell", this->run_events.Cell())
 		.Field("epoch", this->epoch);
 	if (inNumber != 0)
 		return;
 	// Concluded, not heard: from what, and how old that is
 	line.Field("listed", inWorker.listed ? 1 : 0)
 		.Field("answer_ms_ago", inWorker.last_answer_at < 0 ? -1 : this->now - inWorker.last_answer_at)
-		.Field("closed_ms_ago", inWorker.closed_at < 0 ? -1 : this->now - inWorker.closed_at)
-		.Field("lease_left_ms", inWorker.lease_over_at - this->now)
+		.Field("closed_ms_ago", inWorker.connections_closed_at < 0 ? -1 : this->now - inWorker.connections_closed_at)
+		.Field("lease_left_ms", inWorker.lease_expires_at - this->now)
 		.Field("born_ms", inWorker.born_ms)
-		.Field("last_seen", inWorker.last_seen);
+		.Field("last_seen", inWorker.logged_seq);
 }
 
 void Cell::EndRun(CellWorker &ioWorker, const RunId &inRun, ERunEnd inEnd, const std::string &inCheckpoint, std::string_view inWhy,
@@ -158,27 +159,27 @@
 		return;
 	if (!inCheckpoint.empty())
 		task->checkpoint = inCheckpoint;
-	TaskMemory &memory = *this->FindMemory(inRun.task);
+	VolatileTaskState &state = *this->FindVolatileState(inRun.task);
 	if (!run.lasting && inEnd == ERunEnd::Failed)
 	{
-		++ioWorker.failures_in_row;
-		memory.last_worker = ioWorker.entry.id;
-		if (ioWorker.failures_in_row >= cFailuresToQuarantine)
+		++ioWorker.consecutive_failures;
+		state.last_failed_worker = ioWorker.entry.id;
+		if (ioWorker.consecutive_failures >= cFailuresToQuarantine)
 		{
 			ioWorker.quarantine_until = inNow + this->tuning.quarantine_ms;
 			LogEvent(ELogLevel::Warning, "worker_quarantined")
 				.Field("worker", ioWorker.entry.id)
-				.Field("failures", ioWorker.failures_in_row);
+				.Field("failures", ioWorker.consecutive_failures);
 		}
 	}
 	if (inEnd == ERunEnd::Done)
 	{
-		ioWorker.failures_in_row = 0;
+		ioWorker.consecutive_failures = 0;
 		if (run.confirmed_at >= 0 && !run.resumed)
 			this->LearnRun(ioWorker, *job, inRun.task, inNow - run.confirmed_at, inNow);
 	}
 	if (run.lasting && inEnd == ERunEnd::Failed)
-		memory.not_before = inNow + this->tuning.fail_pause_ms;
+		state.not_before = inNow + this->tuning.restart_backoff_ms;
 	if (IsFinal(job->record.phase))
 		return;
 	if (inEnd == ERunEnd::Done && !run.lasting)
@@ -204,21 +205,21 @@
 	}
 }
 
-void Cell::LearnRun(CellWorker &ioWorker, CellJob &ioJob, const TaskId &inTask, Millis inTook, Millis inNow)
+void Cell::LearnRun(CellWorker &ioWorker, CellJob &ioJob, const TaskId &inTask, Millis inDuration, Millis inNow)
 {
 	const size_t unit = ioJob.Unit(inTask.round, inTask.step);
-	const auto expected = static_cast<double>(this->UsualRun(ioJob, unit));
-	this->NoteSpeed(ioWorker, static_cast<double>(inTook) / expected, cEndShare, inNow);
-	this->run_times.Learn(ioJob.spec, ioJob.StepOf(unit), inTook);
+	const auto expected = static_cast<double>(this->SlownessBaselineMs(ioJob, unit));
+	this->UpdateSlowness(ioWorker, static_cast<double>(inDuration) / expected, cEndWeight, inNow);
+	this->run_times.Learn(ioJob.spec, ioJob.StepOf(unit), inDuration);
 	StepSeen &seen = ioJob.seen[unit];
-	seen.Add(inTook);
+	seen.Add(inDuration);
 	if (seen.Count() == ioJob.record.steps[unit].tasks.size() && seen.Count() >= cTasksForSpread)
 		this->run_times.LearnSpread(ioJob.spec, seen.Spread());
 }
 
-void Cell::NoteSpeed(CellWorker &ioWorker, double inRatio, double inShare, Millis inNow)
+void Cell::UpdateSlowness(CellWorker &ioWorker, double inRatio, double inShare, Millis inNow)
 {
-	ioWorker.slowness += inShare * (std::min(inRatio, cMostRatio) - ioWorker.slowness);
+	ioWorker.slowness += inShare * (std::min(inRatio, cMaxRatio) - ioWorker.slowness);
 	if (ioWorker.slowness < cSlowRatio || ioWorker.slow_until > inNow)
 		return;
 	ioWorker.slow_until = inNow + this->tuning.slow_ms;
@@ -227,19 +228,19 @@
 	ioWorker.slowness = 1.0;
 }
 
-void Cell::NoteProgress(CellWorker &ioWorker, const RunId &inRun, const Run &inProgress, Millis inNow)
+void Cell::RecordProgress(CellWorker &ioWorker, const RunId &inRun, const Run &inProgress, Millis inNow)
 {
 	const CellJob *job = this->FindJob(inRun.task.job);
 	const bool counts = !inProgress.lasting && inProgress.confirmed_at >= 0 && job != nullptr;
 	if (!counts)
 		return;
-	const Millis expected = this->UsualRun(*job, job->Unit(inRun.task.round, inRun.task.step));
+	const Millis expected = this->SlownessBaselineMs(*job, job->Unit(inRun.task.round, inRun.task.step));
 	const Millis elapsed = inNow - inProgress.confirmed_at;
 	// Early on, progress says nothing
-	if (elapsed < std::max(expected, cJudgeAfterMs))
+	if (elapsed < std::max(expected, cMinElapsedMs))
 		return;
 	const double projected = static_cast<double>(elapsed) * 100.0 / static_cast<double>(std::max<int64>(inProgress.percent, 1));
-	this->NoteSpeed(ioWorker, projected / static_cast<double>(expected), cProgressShare, inNow);
+	this->UpdateSlowness(ioWorker, projected / static_cast<double>(expected), cProgressWeight, inNow);
 }
 
 void Cell::FinishTask(CellJob &ioJob, const TaskId &inTask)
@@ -251,7 +252,7 @@
 		for (TaskRecord &member : tasks)
 			member.done = true;
 	tasks[inTask.index].done = true;
-	this->Touch(ioJob);
+	this->MarkChanged(ioJob);
 	// Copies that still run are no longer needed; one that is being written is not told
 	const std::vector<RunRecord> copies = tasks[inTask.index].runs;
 	for (const RunRecord &copy : copies)
@@ -281,7 +282,7 @@
 		return;
 	counted.failed_run = std::max(counted.failed_run, inRun);
 	++counted.failures;
-	this->Touch(ioJob);
+	this->MarkChanged(ioJob);
 	if (counted.failures < ioJob.spec.max_attempts)
 		return;
 	this->CloseJob(ioJob, EJobPhase::Failed, "attempts used up");
@@ -291,7 +292,7 @@
 void Cell::CloseJob(CellJob &ioJob, EJobPhase inPhase, std::string_view inWhy)
 {
 	ioJob.record.phase = inPhase;
-	this->Touch(ioJob);
+	this->MarkChanged(ioJob);
 	LogEvent(ELogLevel::Info, "job_closed")
 		.Field("request", ioJob.spec.id)
 		.Field("queue", ioJob.spec.queue)
@@ -300,22 +301,22 @@
 		.Field("after_ms", this->now - ioJob.arrived_at);
 }
 
-void Cell::StopStray(CellWorker &ioWorker, const RunId &inRun, Millis inNow)
+void Cell::StopUnrecordedRun(CellWorker &ioWorker, const RunId &inRun, Millis inNow)
 {
 	const CellJob *job = this->FindJob(inRun.task.job);
 	Run stray;
 	// What is being stopped takes its room until it has ended; where nobody knows how much, nothing starts beside it
 	if (this->FindTask(inRun.task) != nullptr)
-		stray = RunOf(job->spec, job->spec.steps[inRun.task.step], ERunState::Stopping, inNow);
+		stray = NewRun(job->spec, job->spec.steps[inRun.task.step], ERunState::Stopping, inNow);
 	else
-		stray.need_unknown = true;
+		stray.size_unknown = true;
 	stray.state = ERunState::Stopping;
 	stray.since = inNow;
-	ioWorker.unknown_runs += stray.need_unknown ? 1 : 0;
-	this->CountRun(ioWorker, stray);
+	ioWorker.unsized_runs += stray.size_unknown ? 1 : 0;
+	this->AddUsage(ioWorker, stray);
 	ioWorker.runs.emplace(inRun, std::move(stray));
 	// It has a lease, whoever gave it: until that must be over, the run is not given up
-	ioWorker.lease_over_at = std::max(ioWorker.lease_over_at, inNow + LongestLease(this->leases.Longest(inNow)));
+	ioWorker.lease_expires_at = std::max(ioWorker.lease_expires_at, inNow + LongestLease(this->leases.Longest(inNow)));
 }
 
 void Cell::StopRun(CellWorker &ioWorker, const RunId &inRun, std::string_view inWhy, Millis inNow)
@@ -323,12 +324,12 @@
 	auto found = ioWorker.runs.find(inRun);
 	// A run that the records do not have still goes, but takes part in nothing
 	if (found == ioWorker.runs.end())
-		return this->StopStray(ioWorker, inRun, inNow);
+		return this->StopUnrecordedRun(ioWorker, inRun, inNow);
 	Run &run = found->second;
 	// What its worker was never told needs no stop
 	if (run.state == ERunState::Planned || run.state == ERunState::Logged)
 	{
-		this->trail.Dropped(inRun, inWhy);
+		this->run_events.Dropped(inRun, inWhy);
 		this->DropRun(ioWorker, inRun);
 		return;
 	}
@@ -340,7 +341,7 @@
 		.Field("run", inRun.run)
 		.Field("worker", ioWorker.entry.id)
 		.Field("why", inWhy)
-		.Field("cell", this->trail.Cell())
+		.Field("cell", this->run_events.Cell())
 		.Field("epoch", this->epoch);
 	run.state = ERunState::Stopping;
 	run.since = inNow;
@@ -368,49 +369,49 @@
 	auto found = ioWorker.runs.find(inRun);
 	if (found == ioWorker.runs.end())
 		return;
-	this->DiscountRun(ioWorker, found->second);
-	ioWorker.unknown_runs -= found->second.need_unknown ? 1 : 0;
+	this->SubtractUsage(ioWorker, found->second);
+	ioWorker.unsized_runs -= found->second.size_unknown ? 1 : 0;
 	ioWorker.runs.erase(found);
 	TaskRecord *task = this->FindTask(inRun.task);
 	if (task == nullptr)
 		return;
 	std::erase_if(task->runs, [&](const RunRecord &inRecord) { return inRecord.run == inRun.run && inRecord.worker == ioWorker.entry.id; });
-	this->Touch(*this->FindJob(inRun.task.job));
+	this->MarkChanged(*this->FindJob(inRun.task.job));
 }
 
 /// Whether the ends of a worker's runs may be known to a predecessor that stands still, and come from it (Cell::IngestEnds): the worker
 /// left before this owner could ask. One that leaves by plan goes from the list at once; one that crashes is shown there for a while.
 /// Bounded by the lease that the predecessor may have given.
-static bool MayBeHandedIn(const CellWorker &inWorker, Millis inNow)
+static bool MayBeReportedByPredecessor(const CellWorker &inWorker, Millis inNow)
 {
 	const bool inherited =
 		std::any_of(inWorker.runs.begin(), inWorker.runs.end(),
 					[](const auto &inRun) { return inRun.second.state == ERunState::Inherited && !inRun.second.lasting; });
-	return inherited && !inWorker.listed && inNow < inWorker.lease_over_at;
+	return inherited && !inWorker.listed && inNow < inWorker.lease_expires_at;
 }
 
-void Cell::OnLifeOver(CellWorker &ioWorker, std::string_view inWhy, Millis inNow)
+void Cell::OnIncarnationEnded(CellWorker &ioWorker, std::string_view inWhy, Millis inNow)
 {
-	if (!ioWorker.gone)
+	if (!ioWorker.ended)
 		LogEvent(ELogLevel::Warning, "worker_gone")
 			.Field("worker", ioWorker.entry.id)
 			.Field("why", inWhy)
 			.Field("runs", ioWorker.runs.size())
 			.Field("listed", ioWorker.listed ? 1 : 0)
 			.Field("answer_ms_ago", ioWorker.last_answer_at < 0 ? -1 : inNow - ioWorker.last_answer_at)
-			.Field("closed_ms_ago", ioWorker.closed_at < 0 ? -1 : inNow - ioWorker.closed_at)
-			.Field("lease_left_ms", ioWorker.lease_over_at - inNow)
-			.Field("cell", this->trail.Cell())
+			.Field("closed_ms_ago", ioWorker.connections_closed_at < 0 ? -1 : inNow - ioWorker.connections_closed_at)
+			.Field("lease_left_ms", ioWorker.lease_expires_at - inNow)
+			.Field("cell", this->run_events.Cell())
 			.Field("epoch", this->epoch);
-	ioWorker.gone = true;
+	ioWorker.ended = true;
 	// PlanLapsed ends what waits. The crash is counted only then: each owner that finds the runs in the log would count it anew
-	const bool waits = MayBeHandedIn(ioWorker, inNow);
+	const bool waits = MayBeReportedByPredecessor(ioWorker, inNow);
 	if (!waits)
-		this->BlameCrash(ioWorker, inNow);
+		this->AttributeCrash(ioWorker, inNow);
 	std::vector<RunId> runs;
 	for (const auto &[id, run] : ioWorker.runs)
 		// What lasts has no good end that could come
-		if (IsTold(run.state) && (!waits || run.lasting))
+		if (IsDispatched(run.state) && (!waits || run.lasting))
 			runs.push_back(id);
 	for (const RunId &id : runs)
 		this->EndRun(ioWorker, id, ERunEnd::Lapsed, "", inWhy, inNow);
--- a/Loomreach/Schedule/CellLives.cpp
+++ b/Loomreach/Schedule/CellLives.cpp
@@ -14,126 +14,129 @@
 {
 
 /// Clocks are told in whole milliseconds, and read some time before they are sent.
-static constexpr Millis cClockFitMs = 250;
+static constexpr Millis cClockToleranceMs = 250;
 /// An order without an answer is not expected to be carried out later than this: the users say "seconds", the cell's small world 12 s.
-static constexpr Millis cLateOrderMs = 12000;
+static constexpr Millis cMaxOrderDelayMs = 12000;
 
-bool WorkerLife::FitsClock(Millis inClock, Millis inSentAt, Millis inNow) const
+bool WorkerIncarnation::FitsClock(Millis inClock, Millis inSentAt, Millis inNow) const
 {
 	// When the order left, the clock had reached this: it never runs faster than ours
-	const Millis since = inSentAt - this->clock_at;
+	const Millis since = inSentAt - this->clock_read_at;
 	const Millis least = this->clock_ms + (since > 0 ? since * (1000 - cClockSlackPerMille) / 1000 : since);
-	if (inClock < least - cClockFitMs)
+	if (inClock < least - cClockToleranceMs)
 		return false;
-	return this->clock_asked_at < 0 || inClock <= this->clock_ms + (inNow - this->clock_asked_at) + cClockFitMs;
+	return this->clock_order_sent_at < 0 || inClock <= this->clock_ms + (inNow - this->clock_order_sent_at) + cClockToleranceMs;
 }
 
-void Cell::Doubt(CellWorker &ioWorker, std::string_view inWhy, Millis inNow)
+void Cell::SuspectRestart(CellWorker &ioWorker, std::string_view inWhy, Millis inNow)
 {
-	if (std::exchange(ioWorker.doubted, true))
+	if (std::exchange(ioWorker.restart_suspected, true))
 		return;
 	// Also while another look waits there
-	ioWorker.hold_sent = false;
-	ioWorker.hold_at = inNow - this->tuning.hold_gap_ms;
-	ioWorker.next_hold_at = inNow;
+	ioWorker.poll_in_flight = false;
+	ioWorker.last_poll_at = inNow - this->tuning.min_poll_gap_ms;
+	ioWorker.next_poll_at = inNow;
 	LogEvent(ELogLevel::Info, "worker_doubted")
 		.Field("worker", ioWorker.entry.id)
 		.Field("why", inWhy)
 		.Field("born_ms", ioWorker.born_ms)
 		.Field("runs", ioWorker.runs.size())
-		.Field("cell", this->trail.Cell())
+		.Field("cell", this->run_events.Cell())
 		.Field("epoch", this->epoch);
 }
 
-bool Cell::TakeLife(CellWorker &ioWorker, const WorkerEntry &inEntry, Millis inNow)
+bool Cell::UpdateIncarnation(CellWorker &ioWorker, const WorkerEntry &inEntry, Millis inNow)
 {
 	if (IsBornAfter(ioWorker.born_ms, inEntry.born_ms))
 		return false;
 	const bool is_later = IsBornAfter(inEntry.born_ms, ioWorker.born_ms);
-	if (is_later && !ioWorker.gone)
+	if (is_later && !ioWorker.ended)
 	{
-		this->Doubt(ioWorker, "the list shows a later life", inNow);
+		this->SuspectRestart(ioWorker, "the list shows a later life", inNow);
 		return true;
 	}
 	if (is_later)
-		this->BeginLife(ioWorker, inEntry.born_ms, {}, inNow, inNow);
+		this->BeginIncarnation(ioWorker, inEntry.born_ms, {}, inNow, inNow);
 	if (ioWorker.born_ms == cBirthUnknown)
 		ioWorker.born_ms = inEntry.born_ms;
-	ioWorker.drained = ioWorker.drained || inEntry.draining;
+	ioWorker.leave_announced = ioWorker.leave_announced || inEntry.draining;
 	// What the list says is some time old, so the worker's clock is past it
 	if (inEntry.clock_ms >= 0 && (ioWorker.clock_ms < 0 || inEntry.clock_ms > ioWorker.ClockAt(inNow)))
 	{
 		ioWorker.clock_ms = inEntry.clock_ms;
-		ioWorker.clock_at = inNow;
-		ioWorker.clock_asked_at = -1;
+		ioWorker.clock_read_at = inNow;
+		ioWorker.clock_order_sent_at = -1;
 	}
 	return true;
 }
 
-bool Cell::IsNextLife(CellWorker &ioWorker, const Order &inOrder, const OrderAnswer &inAnswer, Millis inSentAt, Millis inNow)
+bool Cell::DetectNewIncarnation(CellWorker &ioWorker, const Order &inOrder, const OrderAnswer &inAnswer, Millis inSentAt, Millis inNow)
 {
 	const bool by_worker = inAnswer.result != EOrderResult::Unknown && inAnswer.result != EOrderResult::NotSent;
 	if (!by_worker || inAnswer.result == EOrderResult::OtherLife)
 		return false;
 	if (IsBornAfter(inAnswer.born_ms, ioWorker.born_ms))
 	{
-		this->BeginLife(ioWorker, inAnswer.born_ms, inAnswer, inSentAt, inNow);
+		this->BeginIncarnation(ioWorker, inAnswer.born_ms, inAnswer, inSentAt, inNow);
 		return true;
 	}
 	if (IsBornAfter(ioWorker.born_ms, inAnswer.born_ms))
 		return true;
-	const bool looked = inOrder.kind == EOrder::Hold && inAnswer.result == EOrderResult::Done;
-	if (looked)
+	const bool polled = inOrder.kind == EOrder::Hold && inAnswer.result == EOrderResult::Done;
+	if (polled)
 	{
-		ioWorker.doubted = false;
+		ioWorker.restart_suspected = false;
 		ioWorker.born_ms = std::max(ioWorker.born_ms, inAnswer.born_ms);
 	}
 	else if (ioWorker.born_ms != cBirthUnknown && inAnswer.clock_ms >= 0 && ioWorker.clock_ms >= 0 &&
 			 !ioWorker.FitsClock(inAnswer.clock_ms, inSentAt, inNow))
 	{
-		this->ExpectLongLease(ioWorker, inNow);
-		this->Doubt(ioWorker, "an answer has another clock", inNow);
+		this->AssumeMaxLease(ioWorker, inNow);
+		this->SuspectRestart(ioWorker, "an answer has another clock", inNow);
 	}
 	return false;
 }
 
-void Cell::BeginLife(CellWorker &ioWorker, int64 inBorn, const OrderAnswer &inAnswer, Millis inSentAt, Millis inNow)
+void Cell::BeginIncarnation(CellWorker &ioWorker, int64 inStartedMs, const OrderAnswer &inAnswer, Millis inSentAt, Millis inNow)
 {
 	LogEvent(ELogLevel::Warning, "worker_started_again")
 		.Field("worker", ioWorker.entry.id)
-		.Field("born_ms", inBorn)
+		.Field("born_ms", inStartedMs)
 		.Field("was_born_ms", ioWorker.born_ms)
 		.Field("seen_by", inAnswer.result == EOrderResult::Done ? "look" : "list")
 		.Field("runs", ioWorker.runs.size())
-		.Field("last_seen", ioWorker.last_seen)
-		.Field("closed_ms_ago", ioWorker.closed_at < 0 ? -1 : inNow - ioWorker.closed_at)
-		.Field("token", TokenOf(this->epoch, this->lives + 1))
-		.Field("cell", this->trail.Cell())
+		.Field("last_seen", ioWorker.logged_seq)
+		.Field("closed_ms_ago", ioWorker.connections_closed_at < 0 ? -1 : inNow - ioWorker.connections_closed_at)
+		.Field("token", TokenOf(this->epoch, this->incarnations_begun + 1))
+		.Field("cell", this->run_events.Cell())
 		.Field("epoch", this->epoch);
-	this->EndFormerRuns(ioWorker, inAnswer, inSentAt, inNow);
-	this->AskForRuns(ioWorker, inNow);
-	this->ForgetAdvice(ioWorker.entry.id);
+	this->EndPreviousRuns(ioWorker, inAnswer, inSentAt, inNow);
+	this->VerifyRuns(ioWorker, inNow);
+	this->DropAdvice(ioWorker.entry.id);
 	// What the former life told of and the log does not hold yet, only this owner knows
-	std::vector<EndedRow> &former = ioWorker.former.rows;
-	former.insert(former.end(), ioWorker.unlogged.begin(), ioWorker.unlogged.end());
-	WorkerLife &life = ioWorker;
-	life = WorkerLife{};
-	life.born_ms = inBorn;
-	life.number = ++this->lives;
+	std::vector<EndedRow> &previous = ioWorker.previous_ends.rows;
+	previous.insert(previous.end(), ioWorker.unlogged_ends.begin(), ioWorker.unlogged_ends.end());
+	WorkerIncarnation &incarnation = ioWorker;
+	incarnation = WorkerIncarnation{};
+	incarnation.born_ms = inStartedMs;
+	incarnation.incarnation_number = ++this->incarnations_begun;
 	// Once it has heard its own token, it refuses orders for the former life
-	life.look_once = true;
-	life.next_hold_at = inNow;
-	life.reachable = inAnswer.result == EOrderResult::Done;
-	life.last_answer_at = life.reachable ? inNow : -1;
-	life.clock_ms = inAnswer.clock_ms;
-	life.clock_at = inNow;
-	life.clock_asked_at = inSentAt;
+	incarnation.poll_once = true;
+	incarnation.next_poll_at = inNow;
+	incarnation.reachable = inAnswer.result == EOrderResult::Done;
+	incarnation.last_answer_at = incarnation.reachable ? inNow : -1;
+	incarnation.clock_ms = inAnswer.clock_ms;
+	incarnation.clock_read_at = inNow;
+	incarnation.clock_order_sent_at = inSentAt;
 	// Its host is back
-	ioWorker.left_until = 0;
+	ioWorker.removed_until = 0;
 }
 
 /// Whether a predecessor placed a run, and may have been told of its end: this owner has heard nothing of it.
-static bool MayBeHandedIn(const Run &inRun) { return inRun.state == ERunState::Inherited && inRun.inherited && !inRun.lasting; }
+static bool MayBeReportedByPredecessor(const Run &inRun)
+{
+	return inRun.state == ERunState::Inherited && inRun.inherited && !inRun.lasting;
+}
 
 /// Marks the runs that the next life lists, as running or as ended.
 template <class Row>
@@ -141,37 +144,37 @@
 {
 	for (const Row &row : inRows)
 		if (auto run = ioWorker.runs.find({row.task, row.run}); run != ioWorker.runs.end())
-			run->second.in_next_life = true;
+			run->second.in_new_incarnation = true;
 }
 
-void Cell::EndFormerRuns(CellWorker &ioWorker, const OrderAnswer &inAnswer, Millis inSentAt, Millis inNow)
+void Cell::EndPreviousRuns(CellWorker &ioWorker, const OrderAnswer &inAnswer, Millis inSentAt, Millis inNow)
 {
 	MarkListed(ioWorker, inAnswer.running);
 	MarkListed(ioWorker, inAnswer.ended);
 	// What a predecessor placed, and may know the end of, is counted when that is waited for no longer
 	for (auto &[id, run] : ioWorker.runs)
-		run.crash_counted = run.crash_counted || MayBeHandedIn(run);
-	if (!std::exchange(ioWorker.gone, true))
-		this->BlameCrash(ioWorker, inNow);
+		run.crash_counted = run.crash_counted || MayBeReportedByPredecessor(run);
+	if (!std::exchange(ioWorker.ended, true))
+		this->AttributeCrash(ioWorker, inNow);
 	std::vector<RunId> died;
 	for (auto &[id, run] : ioWorker.runs)
 	{
 		// What was confirmed before the look left, and is not in its answer, the former life had
 		const bool was_there = run.confirmed_at >= 0 && run.confirmed_at < inSentAt && !inAnswer.partial;
-		run.crash_counted = IsTold(run.state) && !run.in_next_life;
-		if (!std::exchange(run.in_next_life, false) && was_there && IsTold(run.state))
+		run.crash_counted = IsDispatched(run.state) && !run.in_new_incarnation;
+		if (!std::exchange(run.in_new_incarnation, false) && was_there && IsDispatched(run.state))
 			died.push_back(id);
 	}
 	for (const RunId &id : died)
 		this->EndRun(ioWorker, id, ERunEnd::Lapsed, "", "worker started again", inNow);
 }
 
-void Cell::AskForRuns(CellWorker &ioWorker, Millis inNow)
+void Cell::VerifyRuns(CellWorker &ioWorker, Millis inNow)
 {
 	bool any = false;
 	for (auto &[id, run] : ioWorker.runs)
 	{
-		if (!IsTold(run.state))
+		if (!IsDispatched(run.state))
 			continue;
 		any = true;
 		if (run.state == ERunState::Stopping)
@@ -182,30 +185,30 @@
 			continue;
 		}
 		// What the predecessor hands in comes within the wait for its lease
-		if (MayBeHandedIn(run) && run.hand_in_until == 0)
-			run.hand_in_until = ioWorker.lease_over_at;
+		if (MayBeReportedByPredecessor(run) && run.predecessor_wait_until == 0)
+			run.predecessor_wait_until = ioWorker.lease_expires_at;
 		run.state = ERunState::Inherited;
 		run.since = inNow;
 		run.confirmed_at = -1;
 		run.percent = 0;
-		run.pace_sent = false;
+		run.throttle_in_flight = false;
 	}
 	// The end of the lease in an order for the former life is on another clock, and such an order may still come
-	if (any || inNow - ioWorker.unheard_at < cLateOrderMs)
-		this->ExpectLongLease(ioWorker, inNow);
+	if (any || inNow - ioWorker.last_unanswered_at < cMaxOrderDelayMs)
+		this->AssumeMaxLease(ioWorker, inNow);
 }
 
-void Cell::ExpectLongLease(CellWorker &ioWorker, Millis inNow) const
+void Cell::AssumeMaxLease(CellWorker &ioWorker, Millis inNow) const
 {
-	ioWorker.lease_over_at = std::max(ioWorker.lease_over_at, inNow + LongestLease(this->tuning.granted_lease_ms));
+	ioWorker.lease_expires_at = std::max(ioWorker.lease_expires_at, inNow + LongestLease(this->tuning.granted_lease_ms));
 }
 
-void Cell::OnFormerAnswer(CellWorker &ioWorker, const Order &inOrder, const OrderAnswer &inAnswer, Millis inNow)
+void Cell::OnPreviousIncarnationAnswer(CellWorker &ioWorker, const Order &inOrder, const OrderAnswer &inAnswer, Millis inNow)
 {
 	if (inAnswer.result == EOrderResult::Unknown && !inAnswer.closed)
-		this->ExpectLongLease(ioWorker, inNow);
+		this->AssumeMaxLease(ioWorker, inNow);
 	if (inOrder.kind == EOrder::Hold)
-		return this->TakeEndsOfLook(ioWorker, inAnswer.ended, inNow);
+		return this->ApplyPolledEnds(ioWorker, inAnswer.ended, inNow);
 	if (inOrder.kind != EOrder::Start)
 		return;
 	const RunId id{inOrder.task, inOrder.run};
@@ -218,20 +221,20 @@
 		this->EndRun(ioWorker, id, ERunEnd::Stopped, "", NameOf(cOrderResultNames, inAnswer.result), inNow);
 }
 
-void Cell::CountFormerCrash(const RunId &inRun)
+void Cell::CountPreviousCrash(const RunId &inRun)
 {
 	CellJob *job = this->OpenJobOf(inRun.task);
 	if (job == nullptr)
 		return;
 	TaskCrashes &crashes = job->crashes[Cell::CrashKey(*job, inRun.task)];
 	++crashes.beside;
-	this->Touch(*job);
+	this->MarkChanged(*job);
 	// Blamed before, it was on trial there
 	if (crashes.blamed > 0 && IsMoreThanBorne(crashes))
-		this->GiveUp(*job, crashes, this->now);
+		this->FailCrashingJob(*job, crashes, this->now);
 }
 
-void Cell::ForgetAdvice(const std::string &inWorker)
+void Cell::DropAdvice(const std::string &inWorker)
 {
 	for (auto &[id, job] : this->jobs)
 		for (auto &[unit, advice] : job.advice)
@@ -241,13 +244,13 @@
 		}
 }
 
-void Cell::LogPassedOver(const CellWorker &inWorker, const OrderAnswer &inAnswer)
+void Cell::LogRelistedEnds(const CellWorker &inWorker, const OrderAnswer &inAnswer)
 {
 	std::string ends;
 	size_t count = 0;
 	for (const EndedRow &row : inAnswer.ended)
 	{
-		if (row.number > inWorker.forgotten)
+		if (row.number > inWorker.acked_seq)
 			break;
 		ends += (count++ == 0 ? "" : " ") + TaskText(row.task) + '.' + std::to_string(row.run) + '#' + std::to_string(row.number);
 	}
@@ -258,9 +261,9 @@
 		.Field("born_ms", inAnswer.born_ms)
 		.Field("count", count)
 		.Field("ends", ends)
-		.Field("last_seen", inWorker.last_seen)
-		.Field("noted", inWorker.noted)
-		.Field("cell", this->trail.Cell())
+		.Field("last_seen", inWorker.logged_seq)
+		.Field("noted", inWorker.recorded_seq)
+		.Field("cell", this->run_events.Cell())
 		.Field("epoch", this->epoch);
 }
 
--- a/Loomreach/Schedule/CellMisses.cpp
+++ b/Loomreach/Schedule/CellMisses.cpp
@@ -15,17 +15,17 @@
 static constexpr Millis cAtWorkFreshMs = 1200;
 
 /// A worker takes at most this long to stop a run (users' figures 0.4 and 0.9 s), and half as long again.
-static constexpr Millis cStopMostMs = 1400;
+static constexpr Millis cMaxStopMs = 1400;
 /// An order without an answer is not expected to be carried out later than this: the users say "seconds", the cell's small world 12 s.
-static constexpr Millis cStopLateMs = 12000;
+static constexpr Millis cMaxStopDelayMs = 12000;
 /// An entry that has only lapsed is back within this (the users' figure).
 static constexpr Millis cRelistMs = 2000;
 
-void Cell::PlanDraining(CellWorker &ioWorker, Millis inNow)
+void Cell::StopRunsOnLeavingWorker(CellWorker &ioWorker, Millis inNow)
 {
 	// Some workers never say that they leave: their entry goes, and they serve on for a while
 	const bool silent =
-		!ioWorker.listed && ioWorker.reachable && inNow >= std::max(ioWorker.trusted_until, ioWorker.unlisted_at + cRelistMs);
+		!ioWorker.listed && ioWorker.reachable && inNow >= std::max(ioWorker.assumed_present_until, ioWorker.unlisted_at + cRelistMs);
 	if ((!ioWorker.entry.draining && !silent) || ioWorker.runs.empty())
 		return;
 	// What lasts dies with the worker: better restarted now than missed until a lease is over
@@ -38,7 +38,7 @@
 		const CellJob *job = this->FindJob(id.task.job);
 		// It has not said so: one by one, as if it were emptied
 		if (!ioWorker.entry.draining &&
-			(job == nullptr || !this->MayMiss(*job, job->Unit(id.task.round, id.task.step), id.task.index, inNow)))
+			(job == nullptr || !this->MayBeUnavailable(*job, job->Unit(id.task.round, id.task.step), id.task.index, inNow)))
 			continue;
 		this->StopRun(ioWorker, id, ioWorker.entry.draining ? "worker drains" : "worker left the list", inNow);
 	}
@@ -46,16 +46,16 @@
 
 /// Whether a predecessor's order to stop may still be under way: it looks like work until its end. Once the worker has heard the higher
 /// token, no further such order reaches it.
-static bool MayBeStopping(const Run &inRun, Millis inNow) { return inRun.inherited && inNow - inRun.confirmed_at < cStopMostMs; }
+static bool MayBeStopping(const Run &inRun, Millis inNow) { return inRun.inherited && inNow - inRun.confirmed_at < cMaxStopMs; }
 
 /// Whether a run was ordered to stop without an answer, and is at work long after. The stops of two such runs must not wait for each other.
-static bool HasOutlivedStop(const Run &inRun, Millis inNow)
+static bool HasSurvivedStop(const Run &inRun, Millis inNow)
 {
-	const bool unheard = inRun.state == ERunState::Stopping && !inRun.stop_sent && inRun.stop_acked_at < 0 && inRun.next_stop_at > 0;
-	return unheard && inNow - inRun.next_stop_at >= cStopLateMs && inNow - inRun.progress_at <= cAtWorkFreshMs;
+	const bool unanswered = inRun.state == ERunState::Stopping && !inRun.stop_sent && inRun.stop_acked_at < 0 && inRun.next_stop_at > 0;
+	return unanswered && inNow - inRun.next_stop_at >= cMaxStopDelayMs && inNow - inRun.progress_at <= cAtWorkFreshMs;
 }
 
-bool Cell::MayMiss(const CellJob &inJob, size_t inUnit, uint32 inTask, Millis inNow) const
+bool Cell::MayBeUnavailable(const CellJob &inJob, size_t inUnit, uint32 inTask, Millis inNow) const
 {
 	const StepSpec &step = inJob.StepOf(inUnit);
 	const std::vector<TaskRecord> &tasks = inJob.record.steps[inUnit].tasks;
@@ -77,7 +77,7 @@
 			const RunId id{{inJob.spec.id, static_cast<uint32>(inUnit / steps), static_cast<uint32>(inUnit % steps), index}, record.run};
 			auto run = worker->second.runs.find(id);
 			if (run != worker->second.runs.end())
-				at_work = (run->second.state == ERunState::Confirmed || HasOutlivedStop(run->second, inNow)) &&
+				at_work = (run->second.state == ERunState::Confirmed || HasSurvivedStop(run->second, inNow)) &&
 						  run->second.percent >= cAtWorkPercent && !MayBeStopping(run->second, inNow);
 		}
 		away += at_work ? 0 : 1;
@@ -85,7 +85,7 @@
 	return step.limits_misses ? away < step.may_miss : away == 0;
 }
 
-bool Cell::LimitsStops(const CellWorker &inWorker, const RunId &inRun) const
+bool Cell::IsStopLimited(const CellWorker &inWorker, const RunId &inRun) const
 {
 	auto job = this->jobs.find(inRun.task.job);
 	if (inWorker.entry.draining || job == this->jobs.end() || IsFinal(job->second.record.phase))
@@ -94,34 +94,34 @@
 	return step.lasting && step.limits_misses;
 }
 
-bool Cell::MayStopDoubtful(const CellWorker &inWorker, const RunId &inId, const Run &inRun, Millis inNow) const
+bool Cell::MayStopUnconfirmed(const CellWorker &inWorker, const RunId &inId, const Run &inRun, Millis inNow) const
 {
 	// A start that is carried out late may be at work when the stop comes. Once its own lease is over it does nothing, so that a stop ends
 	// nothing either
-	return !this->LimitsStops(inWorker, inId) || inWorker.ClockAt(inNow) >= inRun.void_at;
+	return !this->IsStopLimited(inWorker, inId) || inWorker.ClockAt(inNow) >= inRun.start_expires_at;
 }
 
 bool Cell::MaySendStop(const CellWorker &inWorker, const RunId &inId, const Run &inRun, Millis inNow) const
 {
 	// What was never seen there, and can no longer come, is not at work
-	if (inRun.confirmed_at < 0 || !this->LimitsStops(inWorker, inId))
+	if (inRun.confirmed_at < 0 || !this->IsStopLimited(inWorker, inId))
 		return true;
 	const CellJob &job = this->jobs.at(inId.task.job);
-	return this->MayMiss(job, job.Unit(inId.task.round, inId.task.step), inId.task.index, inNow);
+	return this->MayBeUnavailable(job, job.Unit(inId.task.round, inId.task.step), inId.task.index, inNow);
 }
 
-void Cell::PlanVacating(CellWorker &ioWorker, Millis inNow)
+void Cell::StopRunsOnDrainedWorker(CellWorker &ioWorker, Millis inNow)
 {
-	if (inNow >= ioWorker.vacate_until || ioWorker.runs.empty())
+	if (inNow >= ioWorker.drain_until || ioWorker.runs.empty())
 		return;
-	std::vector<RunId> lasting;
+	std::vector<RunId> to_stop;
 	for (const auto &[id, run] : ioWorker.runs)
 		if (run.lasting && run.state == ERunState::Confirmed)
-			lasting.push_back(id);
-	for (const RunId &id : lasting)
+			to_stop.push_back(id);
+	for (const RunId &id : to_stop)
 	{
 		const CellJob *job = this->FindJob(id.task.job);
-		if (job != nullptr && this->MayMiss(*job, job->Unit(id.task.round, id.task.step), id.task.index, inNow))
+		if (job != nullptr && this->MayBeUnavailable(*job, job->Unit(id.task.round, id.task.step), id.task.index, inNow))
 			this->StopRun(ioWorker, id, "worker is emptied", inNow);
 	}
 }
@@ -132,24 +132,24 @@
 	if (found == this->workers.end())
 		return false;
 	CellWorker &worker = found->second;
-	if (inNow >= worker.vacate_until)
+	if (inNow >= worker.drain_until)
 		LogEvent(ELogLevel::Info, "worker_emptied").Field("worker", inWorker).Field("runs", worker.runs.size());
-	worker.vacate_until = std::max(worker.vacate_until, inNow + inForMs);
+	worker.drain_until = std::max(worker.drain_until, inNow + inForMs);
 	if (!worker.runs.empty())
-		this->emptying_until = worker.vacate_until;
-	return this->Promise(worker, inForMs);
+		this->draining_until = worker.drain_until;
+	return this->GrantDrain(worker, inForMs);
 }
 
-bool Cell::Promise(CellWorker &ioWorker, Millis inForMs)
+bool Cell::GrantDrain(CellWorker &ioWorker, Millis inForMs)
 {
 	if (this->retiring)
 		return false;
-	ioWorker.promise_ms = std::max(ioWorker.promise_ms, inForMs);
-	this->news = this->news || ioWorker.promise_writing_ms < inForMs;
+	ioWorker.drain_grant_ms = std::max(ioWorker.drain_grant_ms, inForMs);
+	this->unwritten_changes = this->unwritten_changes || ioWorker.appending_grant_ms < inForMs;
 	// Its host may be taken down when this owner has gone
-	if (ioWorker.promise_logged_ms < inForMs || ioWorker.doubted || !ioWorker.IsClear() || !ioWorker.IsTakenNoteOf())
+	if (ioWorker.logged_grant_ms < inForMs || ioWorker.restart_suspected || !ioWorker.IsIdleAndLogged() || !ioWorker.AreEndsAcknowledged())
 		return false;
-	ioWorker.promised_until = ioWorker.vacate_until;
+	ioWorker.drain_grant_until = ioWorker.drain_until;
 	return true;
 }
 
--- a/Loomreach/Schedule/CellOrders.cpp
+++ b/Loomreach/Schedule/CellOrders.cpp
@@ -11,7 +11,7 @@
 {
 
 /// A stop that got no answer is sent again after this.
-static constexpr Millis cStopAgainMs = 500;
+static constexpr Millis cStopRetryMs = 500;
 Order Cell::NewOrder(EOrder inKind, CellWorker &ioWorker, Millis)
 {
 	Order order;
@@ -24,7 +24,7 @@
 	return order;
 }
 
-std::string_view Cell::WhyNotTold(const CellWorker &inWorker, const RunId &inRun, Millis inNow)
+std::string_view Cell::WhyNotDispatched(const CellWorker &inWorker, const RunId &inRun, Millis inNow)
 {
 	if (!this->inbox_fresh)
 		return "its job may have been cancelled since the inbox was read";
@@ -37,11 +37,11 @@
 		return "its room has shrunk";
 	if (this->IsEvacuated(inWorker))
 		return "its zone is evacuated";
-	const bool trial = inWorker.failures_in_row >= cFailuresToQuarantine && inWorker.listed && !inWorker.entry.draining;
-	return this->CanTake(inWorker, inNow) || trial ? "" : "worker cannot take it now";
+	const bool trial = inWorker.consecutive_failures >= cFailuresToQuarantine && inWorker.listed && !inWorker.entry.draining;
+	return this->CanAcceptRuns(inWorker, inNow) || trial ? "" : "worker cannot take it now";
 }
 
-std::map<TaskId, size_t> Cell::TellableMembers(const std::vector<RunId> &inRuns, Millis inNow)
+std::map<TaskId, size_t> Cell::DispatchableMembers(const std::vector<RunId> &inRuns, Millis inNow)
 {
 	std::map<TaskId, size_t> members;
 	for (const RunId &id : inRuns)
@@ -52,7 +52,8 @@
 		auto worker = this->workers.find(this->start_workers[id]);
 		const bool there = worker != this->workers.end() && worker->second.runs.contains(id);
 		// Also with none: the gang is then known to be one
-		members[{id.task.job, id.task.round, id.task.step, 0}] += there && this->WhyNotTold(worker->second, id, inNow).empty() ? 1 : 0;
+		members[{id.task.job, id.task.round, id.task.step, 0}] +=
+			there && this->WhyNotDispatched(worker->second, id, inNow).empty() ? 1 : 0;
 	}
 	return members;
 }
@@ -63,7 +64,7 @@
 	std::vector<Order> orders;
 	std::vector<RunId> to_start = std::move(this->to_start);
 	this->to_start.clear();
-	const std::map<TaskId, size_t> members = this->TellableMembers(to_start, inNow);
+	const std::map<TaskId, size_t> members = this->DispatchableMembers(to_start, inNow);
 	for (const RunId &id : to_start)
 	{
 		const std::string worker_id = this->start_workers[id];
@@ -75,19 +76,19 @@
 		CellWorker &worker = found->second;
 		// Things may have changed while the log was written; the worker was not told, so the run simply never was
 		const TaskRecord *task = this->FindTask(id.task);
-		std::string_view why = this->WhyNotTold(worker, id, inNow);
+		std::string_view why = this->WhyNotDispatched(worker, id, inNow);
 		const TaskId gang{id.task.job, id.task.round, id.task.step, 0};
 		const auto counted = members.find(gang);
 		if (why.empty() && counted != members.end() && counted->second < job->spec.steps[id.task.step].count)
 			why = "another member cannot be told";
 		if (!why.empty())
 		{
-			this->trail.Dropped(id, why);
+			this->run_events.Dropped(id, why);
 			this->DropRun(worker, id);
 			continue;
 		}
 		Run &run = worker.runs.at(id);
-		this->trail.Told(id);
+		this->run_events.Told(id);
 		run.state = ERunState::Starting;
 		run.since = inNow;
 		Order order = this->NewOrder(EOrder::Start, worker, inNow);
@@ -98,19 +99,19 @@
 		run.resumed = !task->checkpoint.empty();
 		order.ticket = run.ticket;
 		order.until_ms = worker.ClockAt(inNow) + this->leases.ToGive();
-		run.void_at = order.until_ms;
-		worker.lease_over_at = std::max(worker.lease_over_at, inNow + LongestLease(this->leases.ToGive()));
+		run.start_expires_at = order.until_ms;
+		worker.lease_expires_at = std::max(worker.lease_expires_at, inNow + LongestLease(this->leases.ToGive()));
 		orders.push_back(std::move(order));
 	}
 	for (auto &[id, worker] : this->workers)
 	{
 		this->TakeStops(worker, inNow, orders);
-		this->TakeHold(worker, inNow, orders);
+		this->TakePoll(worker, inNow, orders);
 	}
-	for (Order &pace : this->paces)
-		orders.push_back(std::move(pace));
-	this->paces.clear();
-	this->trail.FlushOrders();
+	for (Order &order : this->throttle_orders)
+		orders.push_back(std::move(order));
+	this->throttle_orders.clear();
+	this->run_events.FlushOrders();
 	return orders;
 }
 
@@ -133,93 +134,96 @@
 	}
 }
 
-void Cell::TakeHold(CellWorker &ioWorker, Millis inNow, std::vector<Order> &outOrders)
+void Cell::TakePoll(CellWorker &ioWorker, Millis inNow, std::vector<Order> &outOrders)
 {
 	// A waiting look that has just ended may be followed at once only if it waited
-	const Millis gap = Cell::HasYoungTrial(ioWorker) ? this->tuning.trial_gap_ms : this->tuning.hold_gap_ms;
-	if (inNow < ioWorker.hold_at + gap)
+	const Millis gap = Cell::HasJustStartedTrial(ioWorker) ? this->tuning.min_trial_poll_gap_ms : this->tuning.min_poll_gap_ms;
+	if (inNow < ioWorker.last_poll_at + gap)
 		return;
 	// See CanHandOver
 	if (this->retiring && !ioWorker.listed)
 		return;
-	if (ioWorker.hold_sent || ioWorker.gone || ioWorker.entry.address.port == 0 || inNow < ioWorker.next_hold_at)
+	if (ioWorker.poll_in_flight || ioWorker.ended || ioWorker.entry.address.port == 0 || inNow < ioWorker.next_poll_at)
 		return;
-	bool told_runs = false;
-	bool doubt = false;
-	bool watch = false;
-	bool serves = false;
-	bool lasts = false;
-	bool fills = false;
-	bool tries = false;
+	bool has_dispatched = false;
+	bool has_unverified = false;
+	bool short_wait = false;
+	bool has_latency_sensitive = false;
+	bool has_long_running = false;
+	bool has_best_effort = false;
+	bool has_trial = false;
 	for (const auto &[id, run] : ioWorker.runs)
 	{
-		told_runs = told_runs || IsTold(run.state);
-		doubt = doubt || run.state == ERunState::Doubtful || run.state == ERunState::Inherited || run.state == ERunState::Stopping;
-		doubt = doubt || (run.lasting && run.percent < 100);
-		tries = tries || (run.trial == ETrial::Start && ioWorker.open_trials > 0);
-		serves = serves || run.serves;
-		lasts = lasts || run.lasting;
-		fills = fills || run.fills;
+		has_dispatched = has_dispatched || IsDispatched(run.state);
+		has_unverified =
+			has_unverified || run.state == ERunState::Unconfirmed || run.state == ERunState::Inherited || run.state == ERunState::Stopping;
+		has_unverified = has_unverified || (run.lasting && run.percent < 100);
+		has_trial = has_trial || (run.trial == ETrial::Start && ioWorker.open_trials > 0);
+		has_latency_sensitive = has_latency_sensitive || run.latency_sensitive;
+		has_long_running = has_long_running || run.lasting;
+		has_best_effort = has_best_effort || run.fills;
 	}
 	// While a worker is emptied, what lasts elsewhere must be known to be at work
-	watch = (serves && fills) || (lasts && this->emptying_until > inNow);
-	const bool unacked = ioWorker.noted > ioWorker.last_seen;
+	short_wait = (has_latency_sensitive && has_best_effort) || (has_long_running && this->draining_until > inNow);
+	const bool unlogged = ioWorker.recorded_seq > ioWorker.logged_seq;
 	const bool first = ioWorker.clock_ms < 0 || !ioWorker.reachable;
 	// Also with nothing left on it: ends are taken note of once the worker has been told so, and its host may be about to go
-	const bool untold = ioWorker.last_seen > ioWorker.forgotten && ioWorker.reachable;
-	const bool wanted = told_runs || unacked || untold || (first && ioWorker.listed) || ioWorker.look_once || ioWorker.doubted;
+	const bool unacknowledged = ioWorker.logged_seq > ioWorker.acked_seq && ioWorker.reachable;
+	const bool wanted =
+		has_dispatched || unlogged || unacknowledged || (first && ioWorker.listed) || ioWorker.poll_once || ioWorker.restart_suspected;
 	if (!wanted)
 		return;
 	Order order = this->NewOrder(EOrder::Hold, ioWorker, inNow);
 	// Another life's ends have the same numbers: only a worker that has just been heard is let forget, and by a look that does not wait
 	// there
-	const bool forgets = untold && !ioWorker.doubted;
-	order.last_seen = forgets ? ioWorker.last_seen : 0;
-	if (forgets && ioWorker.last_seen > ioWorker.covered)
+	const bool acknowledges = unacknowledged && !ioWorker.restart_suspected;
+	order.last_seen = acknowledges ? ioWorker.logged_seq : 0;
+	if (acknowledges && ioWorker.logged_seq > ioWorker.sent_ack_seq)
 	{
-		this->trail.Covered(ioWorker.entry.id, ioWorker.covered + 1, ioWorker.last_seen, inNow - ioWorker.logged_at);
-		ioWorker.covered = ioWorker.last_seen;
+		this->run_events.Covered(ioWorker.entry.id, ioWorker.sent_ack_seq + 1, ioWorker.logged_seq, inNow - ioWorker.ends_logged_at);
+		ioWorker.sent_ack_seq = ioWorker.logged_seq;
 	}
 	// A lease is extended only for a worker that answers: else it would never be over
-	if (told_runs && ioWorker.clock_ms >= 0 && ioWorker.reachable)
+	if (has_dispatched && ioWorker.clock_ms >= 0 && ioWorker.reachable)
 	{
 		order.until_ms = ioWorker.ClockAt(inNow) + this->leases.ToGive();
-		ioWorker.lease_over_at = std::max(ioWorker.lease_over_at, inNow + LongestLease(this->leases.ToGive()));
+		ioWorker.lease_expires_at = std::max(ioWorker.lease_expires_at, inNow + LongestLease(this->leases.ToGive()));
 	}
-	const bool look_at_once = first || unacked || doubt || forgets || ioWorker.doubted || ioWorker.more_ends || !told_runs;
-	if (!look_at_once)
-		order.wait_ms = watch ? this->tuning.watch_wait_ms : this->tuning.hold_wait_ms;
+	const bool immediate =
+		first || unlogged || has_unverified || acknowledges || ioWorker.restart_suspected || ioWorker.ends_truncated || !has_dispatched;
+	if (!immediate)
+		order.wait_ms = short_wait ? this->tuning.short_poll_wait_ms : this->tuning.poll_wait_ms;
 	// Others wait until a run on trial has outlived its start; and a look that waits shows at once when its worker crashes
-	if (tries)
-		order.wait_ms = std::min(order.wait_ms, this->tuning.trial_wait_ms);
-	ioWorker.hold_sent = true;
-	ioWorker.newest_look = order.serial;
-	ioWorker.look_once = false;
-	ioWorker.hold_at = inNow;
-	ioWorker.next_hold_at = inNow + (look_at_once ? this->tuning.retry_hold_ms : 0);
+	if (has_trial)
+		order.wait_ms = std::min(order.wait_ms, this->tuning.trial_poll_wait_ms);
+	ioWorker.poll_in_flight = true;
+	ioWorker.newest_poll = order.serial;
+	ioWorker.poll_once = false;
+	ioWorker.last_poll_at = inNow;
+	ioWorker.next_poll_at = inNow + (immediate ? this->tuning.poll_retry_ms : 0);
 	outOrders.push_back(std::move(order));
 }
 
-void Cell::NoteContact(CellWorker &ioWorker, const OrderAnswer &inAnswer, bool inAnswered, Millis inNow)
+void Cell::RecordContact(CellWorker &ioWorker, const OrderAnswer &inAnswer, bool inAnswered, Millis inNow)
 {
 	// What answers for another life is not this one
 	if (inAnswered && inAnswer.result != EOrderResult::OtherLife)
 	{
 		ioWorker.last_answer_at = inNow;
-		ioWorker.closed_at = -1;
-		ioWorker.silent_at = -1;
+		ioWorker.connections_closed_at = -1;
+		ioWorker.unanswered_since = -1;
 	}
-	if (inAnswer.closed && ioWorker.closed_at < 0)
+	if (inAnswer.closed && ioWorker.connections_closed_at < 0)
 	{
-		ioWorker.closed_at = inNow;
+		ioWorker.connections_closed_at = inNow;
 		if (ioWorker.open_trials > 0)
-			this->LookAtRack(ioWorker, inNow);
+			this->PollRack(ioWorker, inNow);
 	}
-	const bool unheard = inAnswer.result == EOrderResult::Unknown && !inAnswer.closed;
-	if (unheard)
-		ioWorker.unheard_at = inNow;
-	if (unheard && ioWorker.closed_at < 0 && ioWorker.silent_at < 0)
-		ioWorker.silent_at = inNow;
+	const bool unanswered = inAnswer.result == EOrderResult::Unknown && !inAnswer.closed;
+	if (unanswered)
+		ioWorker.last_unanswered_at = inNow;
+	if (unanswered && ioWorker.connections_closed_at < 0 && ioWorker.unanswered_since < 0)
+		ioWorker.unanswered_since = inNow;
 }
 
 void Cell::OnAnswer(const Order &inOrder, const OrderAnswer &inAnswer, Millis inSentAt, Millis inNow)
@@ -229,18 +233,18 @@
 	if (found == this->workers.end())
 		return;
 	CellWorker &worker = found->second;
-	if (inOrder.token != this->TokenFor(worker) || this->IsNextLife(worker, inOrder, inAnswer, inSentAt, inNow))
-		return this->OnFormerAnswer(worker, inOrder, inAnswer, inNow);
-	if (inOrder.kind == EOrder::Hold && inOrder.serial == worker.newest_look)
-		worker.hold_sent = false;
+	if (inOrder.token != this->TokenFor(worker) || this->DetectNewIncarnation(worker, inOrder, inAnswer, inSentAt, inNow))
+		return this->OnPreviousIncarnationAnswer(worker, inOrder, inAnswer, inNow);
+	if (inOrder.kind == EOrder::Hold && inOrder.serial == worker.newest_poll)
+		worker.poll_in_flight = false;
 	const bool answered = inAnswer.result != EOrderResult::Unknown && inAnswer.result != EOrderResult::NotSent;
 	// An answer that may be another life's says nothing of when this one was last there
-	this->NoteContact(worker, inAnswer, answered && !worker.doubted, inNow);
-	if (answered && inAnswer.clock_ms >= 0 && !worker.doubted)
+	this->RecordContact(worker, inAnswer, answered && !worker.restart_suspected, inNow);
+	if (answered && inAnswer.clock_ms >= 0 && !worker.restart_suspected)
 	{
 		worker.clock_ms = inAnswer.clock_ms;
-		worker.clock_at = inNow;
-		worker.clock_asked_at = inSentAt;
+		worker.clock_read_at = inNow;
+		worker.clock_order_sent_at = inSentAt;
 	}
 	// Only a hold proves a worker well again; any order can show that it is not
 	const bool well = answered && inAnswer.result != EOrderResult::Unhealthy;
@@ -252,30 +256,30 @@
 				.Field("result", NameOf(cOrderResultNames, inAnswer.result))
 				.Field("closed", inAnswer.closed ? 1 : 0)
 				.Field("runs", worker.runs.size())
-				.Field("cell", this->trail.Cell())
+				.Field("cell", this->run_events.Cell())
 				.Field("epoch", this->epoch);
 		worker.reachable = well;
 		if (!well)
-			worker.next_hold_at = inNow + this->tuning.retry_hold_ms;
+			worker.next_poll_at = inNow + this->tuning.poll_retry_ms;
 	}
 	if (inAnswer.result == EOrderResult::OtherLife)
 	{
 		// The other life has not taken it up
 		if (inOrder.kind == EOrder::Start)
 			this->EndRun(worker, {inOrder.task, inOrder.run}, ERunEnd::Stopped, "", "its address is another life's", inNow);
-		this->OnLifeOver(worker, "its address is another life's", inNow);
+		this->OnIncarnationEnded(worker, "its address is another life's", inNow);
 		return;
 	}
 	switch (inOrder.kind)
 	{
 	case EOrder::Start: this->OnStartAnswer(worker, inOrder, inAnswer, inNow); break;
 	case EOrder::Stop: this->OnStopAnswer(worker, inOrder, inAnswer, inNow); break;
-	case EOrder::Hold: this->OnHoldAnswer(worker, inOrder, inAnswer, inSentAt, inNow); break;
+	case EOrder::Hold: this->OnPollAnswer(worker, inOrder, inAnswer, inSentAt, inNow); break;
 	case EOrder::Pace:
 	{
 		auto run = worker.runs.find({inOrder.task, inOrder.run});
 		if (run != worker.runs.end())
-			run->second.pace_sent = false;
+			run->second.throttle_in_flight = false;
 		break;
 	}
 	}
@@ -288,13 +292,13 @@
 	if (found == ioWorker.runs.end())
 		return;
 	Run &run = found->second;
-	const bool open = run.state == ERunState::Starting || run.state == ERunState::Doubtful;
+	const bool open = run.state == ERunState::Starting || run.state == ERunState::Unconfirmed;
 	// Whichever life has it, the look under way tells
-	if (inAnswer.result == EOrderResult::Done && ioWorker.doubted)
+	if (inAnswer.result == EOrderResult::Done && ioWorker.restart_suspected)
 	{
 		if (open)
 		{
-			run.state = ERunState::Doubtful;
+			run.state = ERunState::Unconfirmed;
 			run.since = inNow;
 		}
 		return;
@@ -311,12 +315,12 @@
 		if (job != nullptr && !job->record.begun)
 		{
 			job->record.begun = true;
-			this->Touch(*job);
+			this->MarkChanged(*job);
 		}
 		// A look that was answered at once may have put off the next one: a crash on trial proves something only if it is seen at once
-		const bool tries = run.trial != ETrial::None;
-		if (tries || (ioWorker.next_hold_at < inNow && !ioWorker.hold_sent))
-			ioWorker.next_hold_at = inNow;
+		const bool on_trial = run.trial != ETrial::None;
+		if (on_trial || (ioWorker.next_poll_at < inNow && !ioWorker.poll_in_flight))
+			ioWorker.next_poll_at = inNow;
 		return;
 	}
 	LogEvent(ELogLevel::Warning, "start_refused")
@@ -325,7 +329,7 @@
 		.Field("run", inOrder.run)
 		.Field("worker", inOrder.worker)
 		.Field("result", NameOf(cOrderResultNames, inAnswer.result))
-		.Field("cell", this->trail.Cell())
+		.Field("cell", this->run_events.Cell())
 		.Field("epoch", this->epoch);
 	if (inAnswer.result == EOrderResult::Unknown || inAnswer.result == EOrderResult::StaleRun)
 	{
@@ -333,20 +337,20 @@
 		// until the worker says
 		if (open)
 		{
-			run.state = ERunState::Doubtful;
+			run.state = ERunState::Unconfirmed;
 			run.since = inNow;
 			// What is old comes no more: nothing is to be waited for but its end
 			if (inAnswer.result == EOrderResult::StaleRun)
-				run.void_at = 0;
+				run.start_expires_at = 0;
 		}
-		ioWorker.next_hold_at = inNow;
+		ioWorker.next_poll_at = inNow;
 		return;
 	}
 	// Given for a former life, it would be turned away again and again
 	if (CellJob *job = this->FindJob(inOrder.task.job); job != nullptr && inAnswer.result == EOrderResult::NoTicket)
 		job->advice[job->Unit(inOrder.task.round, inOrder.task.step)].tickets.erase(inOrder.worker);
 	if (inAnswer.result == EOrderResult::Unhealthy || inAnswer.result == EOrderResult::NoRoom)
-		ioWorker.refuse_until = inNow + this->tuning.refused_pause_ms;
+		ioWorker.backoff_until = inNow + this->tuning.refusal_backoff_ms;
 	if (open)
 		this->EndRun(ioWorker, id, ERunEnd::Stopped, "", NameOf(cOrderResultNames, inAnswer.result), inNow);
 }
@@ -358,34 +362,34 @@
 		return;
 	Run &run = found->second;
 	run.stop_sent = false;
-	run.next_stop_at = inNow + cStopAgainMs;
+	run.next_stop_at = inNow + cStopRetryMs;
 	// From here on the run can only be listed as ended, or be absent for good
 	if (inAnswer.result == EOrderResult::Done || inAnswer.result == EOrderResult::StaleRun)
 		run.stop_acked_at = inNow;
-	if (!ioWorker.hold_sent)
-		ioWorker.next_hold_at = inNow;
+	if (!ioWorker.poll_in_flight)
+		ioWorker.next_poll_at = inNow;
 }
 
-void Cell::OnHoldAnswer(CellWorker &ioWorker, const Order &inOrder, const OrderAnswer &inAnswer, Millis inSentAt, Millis inNow)
+void Cell::OnPollAnswer(CellWorker &ioWorker, const Order &inOrder, const OrderAnswer &inAnswer, Millis inSentAt, Millis inNow)
 {
 	if (inAnswer.result != EOrderResult::Done)
 		return;
 	// A newer look may have been answered before this one
-	if (inOrder.serial != ioWorker.newest_look)
-		return this->TakeEndsOfLook(ioWorker, inAnswer.ended, inNow);
-	this->LogPassedOver(ioWorker, inAnswer);
-	ioWorker.forgotten = std::max(ioWorker.forgotten, inOrder.last_seen);
+	if (inOrder.serial != ioWorker.newest_poll)
+		return this->ApplyPolledEnds(ioWorker, inAnswer.ended, inNow);
+	this->LogRelistedEnds(ioWorker, inAnswer);
+	ioWorker.acked_seq = std::max(ioWorker.acked_seq, inOrder.last_seen);
 	for (const EndedRow &row : inAnswer.ended)
 	{
-		if (row.number <= ioWorker.noted)
+		if (row.number <= ioWorker.recorded_seq)
 			continue;
 		this->OnEnded(ioWorker, row, inNow);
-		ioWorker.noted = row.number;
-		ioWorker.unlogged.push_back(row);
+		ioWorker.recorded_seq = row.number;
+		ioWorker.unlogged_ends.push_back(row);
 		this->replicator.Note(ioWorker.entry.id, row);
-		this->news = true;
+		this->unwritten_changes = true;
 	}
-	this->trail.FlushUnmatched(ioWorker.entry.id, inNow - inSentAt);
+	this->run_events.FlushUnmatched(ioWorker.entry.id, inNow - inSentAt);
 	std::set<RunId> listed;
 	std::vector<RunId> unwanted;
 	for (const RunningRow &row : inAnswer.running)
@@ -400,7 +404,7 @@
 			continue;
 		}
 		Run &run = found->second;
-		const bool proves = run.state == ERunState::Doubtful || run.state == ERunState::Inherited || run.state == ERunState::Starting;
+		const bool proves = run.state == ERunState::Unconfirmed || run.state == ERunState::Inherited || run.state == ERunState::Starting;
 		if (proves)
 		{
 			run.crash_counted = false;
@@ -410,7 +414,7 @@
 		}
 		run.percent = row.percent;
 		run.progress_at = inNow;
-		this->NoteProgress(ioWorker, id, run, inNow);
+		this->RecordProgress(ioWorker, id, run, inNow);
 		run.figure = row.figure;
 		TaskRecord *task = this->FindTask(row.task);
 		// Kept in memory at once; the log gets it with the record's next change
@@ -422,7 +426,7 @@
 	}
 	for (const RunId &id : unwanted)
 		this->StopRun(ioWorker, id, "not wanted", inNow);
-	ioWorker.more_ends = inAnswer.partial;
+	ioWorker.ends_truncated = inAnswer.partial;
 	std::vector<RunId> absent;
 	for (auto &[id, run] : ioWorker.runs)
 	{
@@ -431,12 +435,12 @@
 		const bool was_there = run.state == ERunState::Confirmed && run.confirmed_at < inSentAt;
 		const bool stopped = run.state == ERunState::Stopping && run.stop_acked_at >= 0 && run.stop_acked_at < inSentAt;
 		// A predecessor's order is refused by its token, once the worker has heard ours
-		const bool fenced = run.state == ERunState::Inherited && inNow >= run.hand_in_until;
+		const bool fenced = run.state == ERunState::Inherited && inNow >= run.predecessor_wait_until;
 		const bool over = was_there || stopped || fenced;
 		// While more ends may follow, one of them may be its own
 		if (over && !inAnswer.partial)
 			absent.push_back(id);
-		else if (!over && run.state == ERunState::Doubtful && run.since < inSentAt && this->MayStopDoubtful(ioWorker, id, run, inNow))
+		else if (!over && run.state == ERunState::Unconfirmed && run.since < inSentAt && this->MayStopUnconfirmed(ioWorker, id, run, inNow))
 		{
 			// It may still come: a stop makes sure that it never does
 			LogEvent(ELogLevel::Info, "run_doubted")
@@ -451,20 +455,20 @@
 	}
 	for (const RunId &id : absent)
 	{
-		if (ioWorker.runs.at(id).hand_in_until > 0)
-			this->CountFormerCrash(id);
+		if (ioWorker.runs.at(id).predecessor_wait_until > 0)
+			this->CountPreviousCrash(id);
 		this->EndRun(ioWorker, id, ERunEnd::Stopped, "", "worker does not have it", inNow);
 	}
 	// One that let the worker forget has not waited for ends: the next does, at once
-	if (inOrder.last_seen > 0 && ioWorker.noted == ioWorker.last_seen)
+	if (inOrder.last_seen > 0 && ioWorker.recorded_seq == ioWorker.logged_seq)
 	{
-		ioWorker.hold_at = inNow - this->tuning.hold_gap_ms;
-		ioWorker.next_hold_at = inNow;
+		ioWorker.last_poll_at = inNow - this->tuning.min_poll_gap_ms;
+		ioWorker.next_poll_at = inNow;
 	}
-	if (inOrder.wait_ms > 0 || ioWorker.noted == ioWorker.last_seen)
-		ioWorker.next_hold_at = std::max(ioWorker.next_hold_at, inNow);
-	if (ioWorker.noted > ioWorker.last_seen)
-		ioWorker.next_hold_at = inNow + this->tuning.retry_hold_ms;
+	if (inOrder.wait_ms > 0 || ioWorker.recorded_seq == ioWorker.logged_seq)
+		ioWorker.next_poll_at = std::max(ioWorker.next_poll_at, inNow);
+	if (ioWorker.recorded_seq > ioWorker.logged_seq)
+		ioWorker.next_poll_at = inNow + this->tuning.poll_retry_ms;
 }
 
 } // namespace Loomreach::Jobs
--- a/Loomreach/Schedule/CellPlan.cpp
+++ b/Loomreach/Schedule/CellPlan.cpp
@@ -13,22 +13,22 @@
 /// Pacing holds the tail between these shares of its target: above the first, others slow down; below the second, they speed up.
 static constexpr int64 cTailHighPercent = 75;
 static constexpr int64 cTailLowPercent = 50;
-static constexpr int64 cPaceCutPercent = 50; ///< Multiplicative decrease.
-static constexpr int64 cPaceStep = 10;       ///< Additive increase, points.
-static constexpr int64 cFullPace = 100;
+static constexpr int64 cThrottleCutPercent = 50; ///< Multiplicative decrease.
+static constexpr int64 cThrottleStep = 10;       ///< Additive increase, points.
+static constexpr int64 cFullSpeedPercent = 100;
 /// Weights of the placement score: a rack with the data halves the run time, so it outweighs any balance of load.
 static constexpr double cDataRackWeight = 10.0;
 static constexpr double cNeighbourWeight = 2.0; ///< For each serving neighbour of a task that serves or fills.
 /// A job that ends later than this many times its objective earns nothing (the users' rule).
-static constexpr int64 cObjectivesLate = 3;
+static constexpr int64 cCreditObjectives = 3;
 /// A step whose time should be over has this part of it left.
-static constexpr Millis cLeastLeft = 5;
+static constexpr Millis cOverdueDivisor = 5;
 /// Weight of a task's run time against what was expected of its step: tasks of a step differ by a quarter of their mean, steps by half.
-static constexpr Millis cSeenWeight = 3;
+static constexpr Millis cObservedWeight = 3;
 /// Each second of a core that a job still needs puts it this much later in the order.
-static constexpr int64 cKeyMsPerCoreSecond = 30;
+static constexpr int64 cOrderMsPerCoreSecond = 30;
 static constexpr double cFreeShareWeight = 1.0;
-static constexpr double cLastingTogetherWeight = 0.5;
+static constexpr double cLongRunningPackingWeight = 0.5;
 static constexpr double cSameRackWeight = 1.5;
 static constexpr double cSameZoneWeight = 0.5;
 /// A run is far slower than expected after this many times the expected run time, and if what is left at its pace is worth this many fresh
@@ -36,7 +36,7 @@
 static constexpr Millis cStragglerTimes = 2;
 static constexpr Millis cStragglerGain = 2;
 static constexpr Millis cStragglerLeastMs = 400;
-static constexpr uint32 cMostSlowRuns = 1;
+static constexpr uint32 cMaxSlowRuns = 1;
 static constexpr Millis cProgressFreshMs = 200;
 /// For each run on a worker that may be lost by a trial: fewest first, whatever else speaks for it.
 static constexpr double cTrialWeight = 20.0;
@@ -44,32 +44,32 @@
 static constexpr double cSlowWeight = 5.0;
 
 /// A job's place in the order is worked out anew this often, and whenever the job changes.
-static constexpr Millis cRateEveryMs = 100;
+static constexpr Millis cRankIntervalMs = 100;
 
 /// A job's place in the order of planning.
-struct PlanPlace
+struct RankedJob
 {
-	EHope hope = EHope::InTime;
+	EDeadlineOutlook outlook = EDeadlineOutlook::InTime;
 	uint32 priority = 0;
 	int64 key = 0; ///< When it is due, later for larger jobs.
 	CellJob *job = nullptr;
 
-	bool operator<(const PlanPlace &inOther) const
+	bool operator<(const RankedJob &inOther) const
 	{
-		return std::tie(this->hope, this->priority, this->key) < std::tie(inOther.hope, inOther.priority, inOther.key);
+		return std::tie(this->outlook, this->priority, this->key) < std::tie(inOther.outlook, inOther.priority, inOther.key);
 	}
 };
 
-EHope Cell::HopeOf(const CellJob &inJob, int64 inWallNow) const
+EDeadlineOutlook Cell::OutlookOf(const CellJob &inJob, int64 inWallNow) const
 {
 	if (inJob.spec.steps[0].lasting)
-		return EHope::InTime;
+		return EDeadlineOutlook::InTime;
 	const int64 due = this->DueWall(inJob);
 	const int64 from = inJob.spec.accepted_wall_ms;
-	const int64 done_at = inWallNow + this->ChainLeft(inJob);
+	const int64 done_at = inWallNow + this->CriticalPathLeft(inJob);
 	if (done_at <= due)
-		return EHope::InTime;
-	return done_at <= from + cObjectivesLate * (due - from) ? EHope::Late : EHope::None;
+		return EDeadlineOutlook::InTime;
+	return done_at <= from + cCreditObjectives * (due - from) ? EDeadlineOutlook::Late : EDeadlineOutlook::NoCredit;
 }
 
 int64 Cell::WorkLeft(const CellJob &inJob) const
@@ -83,12 +83,12 @@
 		int64 left = 0;
 		for (const TaskRecord &task : inJob.record.steps[unit].tasks)
 			left += task.done ? 0 : 1;
-		work += left * step.need.cpu_milli * this->ExpectRun(inJob, unit) / 1000;
+		work += left * step.need.cpu_milli * this->ExpectedRunMs(inJob, unit) / 1000;
 	}
 	return work;
 }
 
-Millis Cell::ChainLeft(const CellJob &inJob) const
+Millis Cell::CriticalPathLeft(const CellJob &inJob) const
 {
 	const size_t steps = inJob.spec.steps.size();
 	std::vector<Millis> ends(steps, 0);
@@ -117,7 +117,7 @@
 		Millis begin = 0;
 		for (uint32 before : inJob.spec.steps[i].after)
 			begin = std::max(begin, ends[before]);
-		ends[i] = begin + this->StepSpan(inJob, i);
+		ends[i] = begin + this->StepDuration(inJob, i);
 		longest = std::max(longest, ends[i]);
 	}
 	return from + inJob.spec.target_ms + static_cast<int64>(static_cast<double>(longest) * inJob.spec.stretch);
@@ -129,28 +129,28 @@
 	this->trial_racks.clear();
 	for (auto &[id, worker] : this->workers)
 	{
-		this->PlanLapsed(worker, inNow);
-		this->PlanTrials(worker);
-		this->PlanDraining(worker, inNow);
-		this->PlanVacating(worker, inNow);
-		this->PlanPaces(worker, inNow);
+		this->EndLapsedRuns(worker, inNow);
+		this->UpdateTrials(worker);
+		this->StopRunsOnLeavingWorker(worker, inNow);
+		this->StopRunsOnDrainedWorker(worker, inNow);
+		this->PlanThrottles(worker, inNow);
 		this->PlanStragglers(worker, inNow);
 	}
-	this->JudgeAwaiting(inNow);
+	this->DecideAwaiting(inNow);
 	this->PlanJobs(inNow, inWallNow);
 }
 
-void Cell::Rate(CellJob &ioJob, Millis inNow, int64 inWallNow) const
+void Cell::UpdateRank(CellJob &ioJob, Millis inNow, int64 inWallNow) const
 {
 	// Over a whole queue this is most of a planning's work, and moves slowly
-	if (ioJob.rated_at >= 0 && inNow - ioJob.rated_at < cRateEveryMs)
+	if (ioJob.ranked_at >= 0 && inNow - ioJob.ranked_at < cRankIntervalMs)
 		return;
-	ioJob.rated_at = inNow;
-	ioJob.hope = this->HopeOf(ioJob, inWallNow);
-	ioJob.due_key = this->DueWall(ioJob) + this->WorkLeft(ioJob) * cKeyMsPerCoreSecond / 1000;
+	ioJob.ranked_at = inNow;
+	ioJob.outlook = this->OutlookOf(ioJob, inWallNow);
+	ioJob.order_key = this->DueWall(ioJob) + this->WorkLeft(ioJob) * cOrderMsPerCoreSecond / 1000;
 }
 
-bool Cell::HasWaiting(const CellJob &inJob, int64 inWallNow) const
+bool Cell::HasTasksToStart(const CellJob &inJob, int64 inWallNow) const
 {
 	for (size_t unit = 0; unit < inJob.record.steps.size(); ++unit)
 	{
@@ -170,23 +170,23 @@
 
 void Cell::PlanJobs(Millis inNow, int64 inWallNow)
 {
-	std::vector<PlanPlace> order;
-	this->rejects.clear();
-	this->short_teams.clear();
+	std::vector<RankedJob> order;
+	this->capacity_rejects.clear();
+	this->teams_at_limit.clear();
 	if (!this->inbox_fresh)
 		return;
-	for (const std::string &id : this->unsettled)
+	for (const std::string &id : this->jobs_to_plan)
 	{
 		CellJob &job = *this->FindJob(id);
-		this->Rate(job, inNow, inWallNow);
-		order.push_back({job.hope, job.spec.priority, job.due_key, &job});
+		this->UpdateRank(job, inNow, inWallNow);
+		order.push_back({job.outlook, job.spec.priority, job.order_key, &job});
 	}
 	std::sort(order.begin(), order.end());
-	for (const PlanPlace &place : order)
+	for (const RankedJob &place : order)
 	{
 		this->PlanJob(*place.job, inNow, inWallNow);
-		if (!this->HasWaiting(*place.job, inWallNow))
-			this->unsettled.erase(place.job->spec.id);
+		if (!this->HasTasksToStart(*place.job, inWallNow))
+			this->jobs_to_plan.erase(place.job->spec.id);
 	}
 }
 
@@ -226,13 +226,13 @@
 	return count;
 }
 
-bool Cell::HasTeamRoom(const CellJob &inJob, size_t inUnit, int64 inTasks, Millis inNow)
+bool Cell::FitsTeamLimit(const CellJob &inJob, size_t inUnit, int64 inTasks, Millis inNow)
 {
-	Resources need = inJob.StepOf(inUnit).need;
-	need = {need.cpu_milli * inTasks, need.memory_mb * inTasks, need.accelerators * inTasks};
-	if (this->teams.HasRoom(inJob.spec.team, need, inNow))
+	Resources requested = inJob.StepOf(inUnit).need;
+	requested = {requested.cpu_milli * inTasks, requested.memory_mb * inTasks, requested.accelerators * inTasks};
+	if (this->teams.HasRoom(inJob.spec.team, requested, inNow))
 		return true;
-	this->short_teams.insert(inJob.spec.team);
+	this->teams_at_limit.insert(inJob.spec.team);
 	return false;
 }
 
@@ -243,10 +243,10 @@
 	for (uint32 index = 0; index < tasks.size(); ++index)
 	{
 		const TaskRecord &task = tasks[index];
-		const bool waits = !task.done && task.runs.empty() && ioJob.memory[inUnit][index].not_before <= inNow;
+		const bool waits = !task.done && task.runs.empty() && ioJob.volatile_state[inUnit][index].not_before <= inNow;
 		if (!waits)
 			continue;
-		if (!this->HasTeamRoom(ioJob, inUnit, 1, inNow))
+		if (!this->FitsTeamLimit(ioJob, inUnit, 1, inNow))
 			return;
 		if (!on_worker.has_value())
 			on_worker = this->CountByWorker(ioJob, inUnit);
@@ -258,7 +258,7 @@
 			continue;
 		}
 		// A straggler keeps away from one worker that is good enough for its like
-		if (worker == nullptr && inNow < ioJob.memory[inUnit][index].slow_until)
+		if (worker == nullptr && inNow < ioJob.volatile_state[inUnit][index].slow_until)
 			continue;
 		// What one task of the step does not find, its like will not find either
 		if (worker == nullptr)
@@ -275,18 +275,18 @@
 	for (uint32 index = 0; index < tasks.size(); ++index)
 	{
 		// All members or none: earlier runs must be over everywhere
-		const bool free = !tasks[index].done && tasks[index].runs.empty() && ioJob.memory[inUnit][index].not_before <= inNow;
+		const bool free = !tasks[index].done && tasks[index].runs.empty() && ioJob.volatile_state[inUnit][index].not_before <= inNow;
 		if (!free)
 			return;
 		last_run = std::max(last_run, tasks[index].last_run);
 	}
-	if (!this->HasTeamRoom(ioJob, inUnit, static_cast<int64>(tasks.size()), inNow))
+	if (!this->FitsTeamLimit(ioJob, inUnit, static_cast<int64>(tasks.size()), inNow))
 		return;
 	// Room is taken member by member, and given back if one finds none
 	std::map<std::string, uint32> on_worker;
 	std::vector<CellWorker *> places;
 	const StepSpec &step = ioJob.StepOf(inUnit);
-	const Resources room = step.Room();
+	const Resources reserved = step.Room();
 	for (uint32 index = 0; index < tasks.size(); ++index)
 	{
 		CellWorker *worker = this->ChooseWorker(ioJob, inUnit, index, inNow, on_worker);
@@ -294,31 +294,32 @@
 			this->ReserveForTrial(ioJob, inUnit, index, inNow);
 		if (worker == nullptr)
 			break;
-		worker->used.Add(room);
+		worker->used.Add(reserved);
 		++on_worker[worker->entry.id];
 		places.push_back(worker);
 	}
 	for (CellWorker *worker : places)
-		worker->used.Subtract(room);
+		worker->used.Subtract(reserved);
 	if (places.size() < tasks.size())
 		return this->AskAdvice(ioJob, inUnit, inNow);
 	for (uint32 index = 0; index < tasks.size(); ++index)
 		this->AddRun(ioJob, inUnit, index, last_run + 1, *places[index], inNow);
 }
 
-bool Cell::CanTake(const CellWorker &inWorker, Millis inNow) const
+bool Cell::CanAcceptRuns(const CellWorker &inWorker, Millis inNow) const
 {
-	if (!inWorker.IsPresent(inNow) || inWorker.gone || inWorker.entry.draining || !inWorker.reachable || inWorker.clock_ms < 0)
+	if (!inWorker.IsPresent(inNow) || inWorker.ended || inWorker.entry.draining || !inWorker.reachable || inWorker.clock_ms < 0)
 		return false;
-	if (inWorker.doubted || inWorker.unknown_runs > 0 || this->IsEvacuated(inWorker))
+	if (inWorker.restart_suspected || inWorker.unsized_runs > 0 || this->IsEvacuated(inWorker))
 		return false;
 	// What the list says of its room, its kind and its rack is of its former life
 	if (IsBornAfter(inWorker.born_ms, inWorker.entry.born_ms))
 		return false;
-	if (inNow < inWorker.refuse_until || inNow < inWorker.vacate_until || inNow < inWorker.quarantine_until || inNow < inWorker.left_until)
+	if (inNow < inWorker.backoff_until || inNow < inWorker.drain_until || inNow < inWorker.quarantine_until ||
+		inNow < inWorker.removed_until)
 		return false;
 	// After quarantine one trial at a time
-	return inWorker.failures_in_row < cFailuresToQuarantine || inWorker.runs.empty();
+	return inWorker.consecutive_failures < cFailuresToQuarantine || inWorker.runs.empty();
 }
 
 bool Cell::MayRun(const CellWorker &inWorker, const CellJob &inJob, size_t inUnit, Millis inNow)
@@ -345,10 +346,10 @@
 	for (const auto &[id, run] : inWorker.runs)
 	{
 		// Tasks that serve suffer from neighbours that fill or serve; others that last are best kept on few hosts
-		if (shares && (run.serves || run.fills))
+		if (shares && (run.latency_sensitive || run.fills))
 			score -= cNeighbourWeight;
 		else if (run.lasting && !shares)
-			score += cLastingTogetherWeight;
+			score += cLongRunningPackingWeight;
 	}
 	// The loss of a rack or a zone should take few tasks of one step
 	for (const TaskRecord &task : inJob.record.steps[inUnit].tasks)
@@ -367,12 +368,12 @@
 							   const std::map<std::string, uint32> &inOnWorker)
 {
 	const StepSpec &step = inJob.StepOf(inUnit);
-	const TaskMemory &memory = inJob.memory[inUnit][inTask];
-	const std::string &failed_on = memory.last_worker;
-	const Resources room = step.Room();
+	const VolatileTaskState &state = inJob.volatile_state[inUnit][inTask];
+	const std::string &failed_on = state.last_failed_worker;
+	const Resources reserved = step.Room();
 	// Something as small has been tried for this pool already
-	for (const PlanReject &reject : this->rejects)
-		if (reject.pool == inJob.spec.pool && reject.room.FitsInto(room))
+	for (const PlanReject &reject : this->capacity_rejects)
+		if (reject.pool == inJob.spec.pool && reject.reserved.FitsInto(reserved))
 			return nullptr;
 	const ETrial trial = Cell::TrialOf(inJob, inUnit, inTask, inNow);
 	CellWorker *best = nullptr;
@@ -380,11 +381,11 @@
 	double best_score = 0.0;
 	for (auto &[id, worker] : this->workers)
 	{
-		if (worker.entry.pool != inJob.spec.pool || !this->CanTake(worker, inNow) || !room.FitsInto(worker.Free()))
+		if (worker.entry.pool != inJob.spec.pool || !this->CanAcceptRuns(worker, inNow) || !reserved.FitsInto(worker.Free()))
 			continue;
 		any_fits = true;
 		// Stopped there to be started elsewhere, it waits until another worker has room
-		if (id == memory.slow_worker && inNow < memory.slow_until)
+		if (id == state.slow_worker && inNow < state.slow_until)
 			continue;
 		if (!this->AllowsStart(worker, trial, inNow))
 			continue;
@@ -407,7 +408,7 @@
 		best_score = score;
 	}
 	if (!any_fits)
-		this->rejects.push_back({inJob.spec.pool, room});
+		this->capacity_rejects.push_back({inJob.spec.pool, reserved});
 	return best;
 }
 
@@ -416,88 +417,89 @@
 	const StepSpec &step = ioJob.StepOf(inUnit);
 	const size_t steps = ioJob.spec.steps.size();
 	const RunId id{{ioJob.spec.id, static_cast<uint32>(inUnit / steps), static_cast<uint32>(inUnit % steps), inTask}, inRun};
-	Run run = RunOf(ioJob.spec, step, ERunState::Planned, inNow);
-	LOOM_INVARIANT(run.room.FitsInto(ioWorker.Free()), "a worker is never told to run more than it has room for");
-	LOOM_INVARIANT(this->teams.HasRoom(run.team, run.need, inNow), "a team never has more running than its share here");
+	Run run = NewRun(ioJob.spec, step, ERunState::Planned, inNow);
+	LOOM_INVARIANT(run.reserved.FitsInto(ioWorker.Free()), "a worker is never told to run more than it has room for");
+	LOOM_INVARIANT(this->teams.HasRoom(run.team, run.requested, inNow), "a team never has more running than its share here");
 	TaskRecord &task = ioJob.record.steps[inUnit].tasks[inTask];
 	LOOM_INVARIANT(inRun > task.last_run, "run numbers always rise");
 	LOOM_INVARIANT(task.runs.empty() || step.may_copy, "a task has one run at a time");
 	if (ioJob.spec.advised)
 		run.ticket = ioJob.advice[inUnit].tickets[ioWorker.entry.id].text;
 	run.trial = Cell::TrialOf(ioJob, inUnit, inTask, inNow);
-	ioJob.memory[inUnit][inTask].trial_since = -1;
+	ioJob.volatile_state[inUnit][inTask].trial_wanted_since = -1;
 	if (run.trial != ETrial::None)
 	{
 		++ioWorker.open_trials;
-		ioWorker.calm_until = 0;
+		ioWorker.trial_reserved_until = 0;
 		this->trial_racks.insert(ioWorker.entry.rack);
 	}
 	ioJob.seen[inUnit].NotePlanned(inNow);
 	task.last_run = inRun;
 	task.runs.push_back({inRun, ioWorker.entry.id});
-	this->CountRun(ioWorker, run);
+	this->AddUsage(ioWorker, run);
 	ioWorker.runs.emplace(id, std::move(run));
-	this->Touch(ioJob);
-	this->planned += (this->planned.empty() ? "" : " ") + std::to_string(inTask) + "." + std::to_string(inRun) + "@" + ioWorker.entry.id;
-	this->planned_age = std::max(this->planned_age, inNow - ioWorker.last_answer_at);
+	this->MarkChanged(ioJob);
+	this->planned_text +=
+		(this->planned_text.empty() ? "" : " ") + std::to_string(inTask) + "." + std::to_string(inRun) + "@" + ioWorker.entry.id;
+	this->planned_answer_age = std::max(this->planned_answer_age, inNow - ioWorker.last_answer_at);
 }
 
 void Cell::LogPlanned(const CellJob &inJob, size_t inUnit)
 {
-	if (this->planned.empty())
+	if (this->planned_text.empty())
 		return;
 	const size_t steps = inJob.spec.steps.size();
 	LogEvent(ELogLevel::Info, "runs_planned")
 		.Field("request", inJob.spec.id)
 		.Field("round", inUnit / steps)
 		.Field("step", inUnit % steps)
-		.Field("runs", std::exchange(this->planned, {}))
-		.Field("oldest_news_ms", std::exchange(this->planned_age, 0))
+		.Field("runs", std::exchange(this->planned_text, {}))
+		.Field("oldest_news_ms", std::exchange(this->planned_answer_age, 0))
 		.Field("copies", inJob.StepOf(inUnit).may_copy ? 1 : 0)
 		.Field("lasting", inJob.StepOf(inUnit).lasting ? 1 : 0)
-		.Field("cell", this->trail.Cell())
+		.Field("cell", this->run_events.Cell())
 		.Field("epoch", this->epoch);
 }
 
-void Cell::PlanLapsed(CellWorker &ioWorker, Millis inNow)
+void Cell::EndLapsedRuns(CellWorker &ioWorker, Millis inNow)
 {
-	if (ioWorker.runs.empty() || inNow < ioWorker.lease_over_at)
+	if (ioWorker.runs.empty() || inNow < ioWorker.lease_expires_at)
 		return;
 	std::vector<RunId> lapsed;
 	for (const auto &[id, run] : ioWorker.runs)
-		if (IsTold(run.state))
+		if (IsDispatched(run.state))
 			lapsed.push_back(id);
 	// Closed since its last answer, its process has gone; a silent one may have been cut off, and runs on
-	if ((ioWorker.closed_at >= 0 || ioWorker.gone) && !lapsed.empty())
-		this->BlameCrash(ioWorker, inNow);
+	if ((ioWorker.connections_closed_at >= 0 || ioWorker.ended) && !lapsed.empty())
+		this->AttributeCrash(ioWorker, inNow);
 	// Nothing was extended since: wherever the worker is, its leases are over
 	for (const RunId &id : lapsed)
 		this->EndRun(ioWorker, id, ERunEnd::Lapsed, "", "lease over without an answer", inNow);
 }
 
-Millis Cell::ExpectRun(const CellJob &inJob, size_t inUnit) const
+Millis Cell::ExpectedRunMs(const CellJob &inJob, size_t inUnit) const
 {
 	const Millis before = this->run_times.Expect(inJob.spec, inJob.StepOf(inUnit));
 	const StepSeen &seen = inJob.seen[inUnit];
 	if (seen.Count() == 0)
 		return before;
 	// Tasks of one step are alike: each that has ended tells more than all that was known before
-	const Millis weight = cSeenWeight * static_cast<Millis>(seen.Count());
+	const Millis weight = cObservedWeight * static_cast<Millis>(seen.Count());
 	return (before + weight * seen.Mean()) / (1 + weight);
 }
 
-Millis Cell::UsualRun(const CellJob &inJob, size_t inUnit) const
+Millis Cell::SlownessBaselineMs(const CellJob &inJob, size_t inUnit) const
 {
-	return std::max(this->ExpectRun(inJob, inUnit), this->run_times.Expect(inJob.spec, inJob.StepOf(inUnit)));
+	return std::max(this->ExpectedRunMs(inJob, inUnit), this->run_times.Expect(inJob.spec, inJob.StepOf(inUnit)));
 }
 
-Millis Cell::StepSpan(const CellJob &inJob, size_t inUnit) const
+Millis Cell::StepDuration(const CellJob &inJob, size_t inUnit) const
 {
 	const size_t tasks = inJob.record.steps[inUnit].tasks.size();
 	const StepSeen &seen = inJob.seen[inUnit];
 	if (seen.Count() == tasks)
 		return seen.Longest();
-	return std::max(seen.Longest(), this->run_times.Longest(inJob.spec, this->ExpectRun(inJob, inUnit), tasks));
+	return std::max(seen.Longest(), this->run_times.Longest(inJob.spec, this->ExpectedRunMs(inJob, inUnit), tasks));
 }
 
 Millis Cell::StepLeft(const CellJob &inJob, size_t inUnit) const
@@ -511,20 +513,20 @@
 	}
 	if (!open)
 		return 0;
-	const Millis span = this->StepSpan(inJob, inUnit);
+	const Millis span = this->StepDuration(inJob, inUnit);
 	const Millis planned_at = inJob.seen[inUnit].PlannedAt();
 	if (waits || planned_at < 0)
 		return span;
 	// All of it is under way; what takes longer than expected is not known to be nearly done
-	return std::max(span - (this->now - planned_at), span / cLeastLeft);
+	return std::max(span - (this->now - planned_at), span / cOverdueDivisor);
 }
 
 void Cell::PlanStragglers(CellWorker &ioWorker, Millis inNow)
 {
 	// Only progress that was just reported counts, and each report once
-	if (ioWorker.judged_at == ioWorker.last_answer_at || inNow - ioWorker.last_answer_at > cProgressFreshMs)
+	if (ioWorker.stragglers_checked_at == ioWorker.last_answer_at || inNow - ioWorker.last_answer_at > cProgressFreshMs)
 		return;
-	ioWorker.judged_at = ioWorker.last_answer_at;
+	ioWorker.stragglers_checked_at = ioWorker.last_answer_at;
 	std::vector<RunId> slow;
 	for (const auto &[id, run] : ioWorker.runs)
 	{
@@ -533,7 +535,7 @@
 			run.state == ERunState::Confirmed && !run.lasting && run.percent >= 0 && run.confirmed_at >= 0 && job != nullptr;
 		if (!candidate || job->spec.steps[id.task.step].gang)
 			continue;
-		const Millis expected = this->UsualRun(*job, job->Unit(id.task.round, id.task.step));
+		const Millis expected = this->SlownessBaselineMs(*job, job->Unit(id.task.round, id.task.step));
 		const Millis elapsed = run.progress_at - run.confirmed_at;
 		if (elapsed < expected * cStragglerTimes || elapsed < cStragglerLeastMs)
 			continue;
@@ -547,57 +549,57 @@
 		const CellJob &job = *this->FindJob(id.task.job);
 		const size_t unit = job.Unit(id.task.round, id.task.step);
 		const CellWorker *other = this->ChooseWorker(job, unit, id.task.index, inNow, this->CountByWorker(job, unit));
-		TaskMemory &memory = *this->FindMemory(id.task);
+		VolatileTaskState &state = *this->FindVolatileState(id.task);
 		// One that is slow on another worker too is long by itself: stopped again and again it would never end
-		const bool may_help = other != nullptr && other != &ioWorker && other->slow_until <= inNow && memory.slow_runs < cMostSlowRuns;
+		const bool may_help = other != nullptr && other != &ioWorker && other->slow_until <= inNow && state.slow_runs < cMaxSlowRuns;
 		if (!may_help)
 			continue;
-		++memory.slow_runs;
-		memory.slow_worker = ioWorker.entry.id;
-		memory.slow_until = inNow + this->tuning.slow_ms;
+		++state.slow_runs;
+		state.slow_worker = ioWorker.entry.id;
+		state.slow_until = inNow + this->tuning.slow_ms;
 		this->StopRun(ioWorker, id, "far slower than expected", inNow);
 	}
 }
 
-void Cell::PlanPaces(CellWorker &ioWorker, Millis inNow)
+void Cell::PlanThrottles(CellWorker &ioWorker, Millis inNow)
 {
 	// One decision an answer of the worker
-	if (ioWorker.paced_at >= ioWorker.last_answer_at || ioWorker.runs.empty())
+	if (ioWorker.throttled_at >= ioWorker.last_answer_at || ioWorker.runs.empty())
 		return;
-	ioWorker.paced_at = ioWorker.last_answer_at;
+	ioWorker.throttled_at = ioWorker.last_answer_at;
 	int64 worst = 0;
-	bool serves = false;
-	bool fills = false;
+	bool has_latency_sensitive = false;
+	bool has_best_effort = false;
 	for (const auto &[id, run] : ioWorker.runs)
 	{
-		fills = fills || run.fills;
-		if (!run.serves || run.state != ERunState::Confirmed)
+		has_best_effort = has_best_effort || run.fills;
+		if (!run.latency_sensitive || run.state != ERunState::Confirmed)
 			continue;
-		serves = true;
+		has_latency_sensitive = true;
 		const CellJob *job = this->FindJob(id.task.job);
 		const Millis target = job == nullptr ? 0 : job->spec.steps[id.task.step].target_ms;
 		worst = target <= 0 ? worst : std::max(worst, run.figure * 100 / target);
 	}
-	if (!fills)
+	if (!has_best_effort)
 		return;
 	for (auto &[id, run] : ioWorker.runs)
 	{
-		if (!run.fills || run.state != ERunState::Confirmed || run.pace_sent)
+		if (!run.fills || run.state != ERunState::Confirmed || run.throttle_in_flight)
 			continue;
-		int64 pace = run.pace;
-		if (serves && worst > cTailHighPercent)
-			pace = pace * cPaceCutPercent / 100;
-		else if (!serves || worst < cTailLowPercent)
-			pace = std::min(cFullPace, pace + cPaceStep);
-		if (pace == run.pace)
+		int64 throttle = run.throttle_percent;
+		if (has_latency_sensitive && worst > cTailHighPercent)
+			throttle = throttle * cThrottleCutPercent / 100;
+		else if (!has_latency_sensitive || worst < cTailLowPercent)
+			throttle = std::min(cFullSpeedPercent, throttle + cThrottleStep);
+		if (throttle == run.throttle_percent)
 			continue;
-		run.pace = pace;
-		run.pace_sent = true;
+		run.throttle_percent = throttle;
+		run.throttle_in_flight = true;
 		Order order = this->NewOrder(EOrder::Pace, ioWorker, inNow);
 		order.task = id.task;
 		order.run = id.run;
-		order.percent = pace;
-		this->paces.push_back(std::move(order));
+		order.percent = throttle;
+		this->throttle_orders.push_back(std::move(order));
 	}
 }
 
