--- a/Loomreach/Schedule/Cell.h
+++ b/Loomreach/Schedule/Cell.h
@@ -1,16 +1,15 @@
-// A cell: the jobs and workers of one or more pools whose records share one log, decided on by the log's owner.
-// Pure: time comes in, orders and records go out. Whoever drives it sends orders only while its ownership holds.
+// A cell: the jobs and workers of one or more pools whose records share one replicated log. The owner of the log makes the decisions. The
+// class does no I/O: it takes the time as an argument and returns orders and records. Its driver sends orders only while it owns the log.
 //
-// The order of things, on which the promises rest:
-//  1. a run is in the log before its worker is told of it (Planned, Writing, then Starting);
-//  2. a run's end is in the log before the worker may forget it (CellWorker::last_seen);
-//  3. callers are told a phase only once the log holds it (CellJob::shown);
-//  4. a task gets a new run only when every earlier one is known to have ended, or its lease must be over;
-//  5. the workers that crashed under a task are in the log before it is started again (CellJob::crashes);
-//  6. what is known of a worker's life goes with it (WorkerLife): a worker that starts again may keep its id, and orders that were meant
-//  for
-//     its former life may be carried out by the next one. So each life has a token of its own, ends are numbered by life, and a worker is
-//     let forget ends only by a look that is answered at once.
+// Ordering rules that the guarantees of a cell depend on:
+//  1. A run is in the log before it is dispatched (Planned, Writing, Logged, then Starting).
+//  2. A run end is in the log before it is acknowledged to the worker (WorkerIncarnation::logged_seq).
+//  3. Callers see a job's phase only once it is in the log (CellJob::logged_phase).
+//  4. A task gets a new run only when every earlier one has ended or its lease must have expired.
+//  5. Worker crashes counted against a task are in the log before the task is started again (CellJob::crashes).
+//  6. State of a worker incarnation is dropped with the incarnation. A restarted worker may keep its id and may carry out orders meant for
+//     its previous incarnation. So each incarnation has its own fencing token, ends are numbered per incarnation, and ends are acknowledged
+//     only by polls that are answered immediately.
 
 #pragma once
 
@@ -28,15 +27,15 @@
 namespace Loomreach::Jobs
 {
 
-/// What a question about a job is answered with.
+/// Answer to a query about a job.
 struct JobAnswer
 {
 	bool known = false;
 	EJobPhase phase = EJobPhase::Queued;
-	std::string_view team; ///< Whose job it is.
+	std::string_view team; ///< Team that owns the job.
 };
 
-/// Figures of a cell for metrics.
+/// Counts of a cell for metrics.
 struct CellFigures
 {
 	size_t jobs = 0;
@@ -45,89 +44,88 @@
 	size_t workers = 0;
 };
 
-/// A task that found no place in the planning under way: no task of the pool that asks for as much will find one.
+/// Resources for which the current planning pass found no worker. No task of the pool that requests as much will find one.
 struct PlanReject
 {
 	std::string_view pool;
 	Resources reserved;
 };
 
-/// One cell. See the head of the file.
+/// See the head of this file.
 class Cell
 {
 public:
 	explicit Cell(const CellTuning &inTuning) : tuning(inTuning) {}
 
-	/// Takes in one record of the log during take-over; records of unknown keys are passed over.
+	/// Applies one log record during take-over. Records with unknown keys are skipped. False: the value cannot be decoded.
 	bool Restore(std::string_view inKey, std::string_view inValue);
-	/// Starts to act, as the owner with this epoch. Runs found in the log are asked for before anything else happens to them. `inCell`: the
-	/// cell's number, for the log.
+	/// Starts acting as owner with this epoch. Runs found in the log are polled for before anything else is done with them. `inCell`: the
+	/// cell's number, for log lines.
 	void Begin(uint64 inEpoch, Millis inNow, uint32 inCell = 0);
-	/// The worker list as it is now: workers of this cell's pools. `inTrustUntil`: the store has just come back, so an entry that went may
-	/// only have lapsed; until then its worker is taken for present while it answers.
+	/// Sets the current worker list of this cell's pools. `inAssumePresentUntil`: the store has just become available again, so a missing
+	/// entry may only have expired. Until then its worker counts as present while it answers.
 	void SetWorkers(const std::vector<WorkerEntry> &inWorkers, Millis inNow, Millis inAssumePresentUntil = 0);
-	/// Whether a pool's workers guard their room themselves. Unknown pools do not.
+	/// Sets the configuration: queues with their policies, and team limits.
 	void SetCatalogue(std::shared_ptr<const Catalogue> inCatalogue);
-	/// Availability zones in which nothing may be started. What runs there goes on.
+	/// Availability zones in which nothing may be started. Runs there continue.
 	void SetEvacuated(const std::set<std::string> &inZones, Millis inNow);
-	/// Takes in one record of the inbox. `inOffset` is its place there.
+	/// Applies one inbox record. `inOffset` is its position in the inbox.
 	void Ingest(const InboxRecord &inRecord, uint64 inOffset, Millis inNow, int64 inWallNow);
-	/// Ends that workers have listed and the log does not hold: with this owner gone only its successor can take note of them.
+	/// Ends that workers have reported and the log lacks. When this owner is lost, only its successor can record them.
 	std::vector<EndReport> UnloggedEnds() const;
-	/// What to tell the hosts that keep replicas of this cell's ends: call after answers and appends until there is nothing, before any
-	/// wait.
+	/// Next update for the hosts that replicate this cell's ends. Call after answers and appends, before waiting, until it returns nothing.
 	std::optional<EndsUpdate> TakeEndsUpdate(Millis inNow) { return this->replicator.Take(inNow); }
-	/// Records before this place have been removed unread.
+	/// Inbox records before this position have been removed unread.
 	void SkipInbox(uint64 inFirst) { this->inbox_next = std::max(this->inbox_next, inFirst); }
-	/// The place in the inbox from which to go on reading.
+	/// Position from which to read the inbox.
 	uint64 InboxNext() const { return this->inbox_next; }
 
-	/// Whether the inbox was read so lately that no cancel can have waited there unread. Else nothing is started.
+	/// Whether the inbox was read recently enough that no cancellation can be waiting there. Otherwise nothing is started.
 	void SetInboxFresh(bool inFresh) { this->inbox_fresh = inFresh; }
-	/// Decides what to start, stop and pace. Call after news and at times.
+	/// Decides what to start, stop and throttle. Call after updates and periodically.
 	void Plan(Millis inNow, int64 inWallNow);
-	/// Records to append, all or nothing; empty: nothing to write. One append at a time.
+	/// Records for the next append, which must be atomic; empty: nothing to write. Only one append may be in flight.
 	std::vector<KeyedRecord> TakeBatch(int64 inWallNow);
 	/// The append is in the log.
 	void OnAppended(Millis inNow);
 	/// Orders to send now.
 	std::vector<Order> TakeOrders(Millis inNow);
-	/// An order came out. `inSentAt`: when it was sent.
+	/// Result of an order that was sent at `inSentAt`.
 	void OnAnswer(const Order &inOrder, const OrderAnswer &inAnswer, Millis inSentAt, Millis inNow);
 
-	/// Questions for the adviser that planning has raised.
+	/// Questions for the adviser from the last planning passes.
 	std::vector<AdviceQuestion> TakeAdvice() { return std::exchange(this->advice_questions, {}); }
 	void OnAdvice(const AdviceQuestion &inQuestion, const AdviceAnswer &inAnswer, Millis inNow);
 
-	/// When to ask for the teams' shares next, and what; nothing: there is nothing to ask.
+	/// When to ask for team shares next, and the question; nothing: no team has a limit.
 	Millis NextSharesAt() const { return this->teams.NextAskAt(!this->teams_at_limit.empty()); }
 	std::optional<ShareQuestion> AskShares(Millis inNow, int64 inWallNow);
 	void OnShares(const ShareAnswer &inAnswer, Millis inNow);
 
-	/// What callers may be told of a job.
+	/// What callers may see of a job.
 	JobAnswer Query(std::string_view inQueue, std::string_view inId) const;
-	/// Accepted jobs of a queue none of whose tasks has begun.
+	/// Number of accepted jobs of a queue with no started task.
 	uint32 Waiting(std::string_view inQueue) const;
-	/// Asks to empty a worker for maintenance; true when nothing is on it and nothing will be for the next `inForMs`.
+	/// Starts draining a worker for maintenance. True if it is empty and will stay so for the next `inForMs`.
 	bool Vacate(const std::string &inWorker, Millis inForMs, Millis inNow);
-	/// What a pool needs, and up to `inSpare` of its workers that are empty and will be for the next `inForMs`.
+	/// Demand of a pool, and up to `inSpare` of its workers that are empty and will stay so for the next `inForMs`.
 	PoolDemand Demand(const std::string &inPool, uint32 inSpare, Millis inForMs, Millis inNow, int64 inWallNow);
-	/// The hosts of these workers were moved or taken down: nothing new for them until the worker list drops them.
+	/// The hosts of these workers were moved or taken down: nothing is started on them until they have left the worker list.
 	void NoteLeft(const std::vector<std::string> &inWorkers, Millis inNow);
-	/// A planned hand-over comes: from now on nothing is promised.
+	/// A planned hand-over follows: from now on no drain is granted.
 	void Retire() { this->retiring = true; }
-	/// Whether a successor may begin at once: the log holds every end that a worker told of, and nothing promised is still relied on.
+	/// Whether a successor may take over at once: all reported ends are in the log, and no drain grant is in force.
 	bool CanHandOver(Millis inNow) const;
 	CellFigures Figures() const;
-	/// Whether the last planning found no room for something.
+	/// Whether the last planning pass found too little capacity for some task.
 	bool IsShort() const { return !this->capacity_rejects.empty(); }
-	/// Whether another append has something to write.
+	/// Whether the next append has something to write.
 	bool HasNews() const { return this->unwritten_changes; }
 
 private:
 	friend class CellProbe;
 
-	// Cell.cpp: records
+	// Cell.cpp: log records
 	bool RestoreLocation(const std::string &inWorker, std::string_view inValue);
 	bool RestoreIncarnation(const std::string &inWorker, std::string_view inValue);
 	bool RestoreDrainGrant(const std::string &inWorker, std::string_view inValue);
@@ -137,57 +135,64 @@
 	VolatileTaskState *FindVolatileState(const TaskId &inTask);
 	void MarkChanged(CellJob &ioJob);
 	void InheritRuns(CellJob &ioJob, Millis inNow);
-	/// Begins a series of appends that writes all that has changed until now.
+	/// Begins a series of appends that writes all changes made until now.
 	void BeginAppendSeries();
-	/// Takes the next jobs of the series into an append.
+	/// Adds the records of the next jobs of the series.
 	void AddJobRecords(int64 inWallNow, std::vector<KeyedRecord> &outBatch);
-	/// Takes the places of workers that get their first runs, and drops those of workers that are forgotten.
+	/// Adds the locations and incarnations of workers that got their first runs, and removes those of removed workers.
 	void AddLocationRecords(std::vector<KeyedRecord> &outBatch);
-	/// Takes the promises that are to be given, and drops those that are over, where something is written anyway.
+	/// Adds new drain grants. Expired grants are removed only along with other records.
 	void AddDrainGrantRecords(std::vector<KeyedRecord> &outBatch);
-	/// The log now holds the ends of a worker that were in the append.
+	/// A worker's ends in the append are in the log now.
 	void OnEndsLogged(CellWorker &ioWorker);
 
-	/// A run may exist from now on, or is known to be over.
+	/// Call when a run may exist from now on, and when it is known to have ended.
 	void AddUsage(CellWorker &ioWorker, const Run &inRun);
 	void SubtractUsage(CellWorker &ioWorker, const Run &inRun);
 
 	// CellDemand.cpp
-	/// What could start of each team with a limit, if it had room.
+	/// What each team with a limit could start now if its share allowed it.
 	std::map<std::string, Resources> WantedByTeam(int64 inWallNow) const;
-	/// Tasks that have looked in vain for a worker to be tried on.
+	/// Number of tasks that wait for a worker for their trial run.
 	uint32 WaitingTrials(const std::string &inPool) const;
 	void CurrentDemand(std::string_view inPool, int64 inWallNow, Resources &outInTime, Resources &outLate) const;
 
-	// CellPlan.cpp: decisions
+	// CellPlan.cpp: placement
 	void PlanJobs(Millis inNow, int64 inWallNow);
 	void PlanJob(CellJob &ioJob, Millis inNow, int64 inWallNow);
+	/// Recomputes a job's outlook and order key if they are out of date.
 	void UpdateRank(CellJob &ioJob, Millis inNow, int64 inWallNow) const;
 	bool HasTasksToStart(const CellJob &inJob, int64 inWallNow) const;
 	void LogPlanned(const CellJob &inJob, size_t inUnit);
 	EDeadlineOutlook OutlookOf(const CellJob &inJob, int64 inWallNow) const;
+	/// Remaining work in core-milliseconds.
 	int64 WorkLeft(const CellJob &inJob) const;
+	/// Remaining time of the longest chain of dependent steps.
 	Millis CriticalPathLeft(const CellJob &inJob) const;
-	/// What the longest task of a step takes or took, as far as can be told.
+	/// Run time of a step's longest task, observed or estimated.
 	Millis StepDuration(const CellJob &inJob, size_t inUnit) const;
-	/// How long a step takes from now if what waits of it starts now; 0: it is done.
+	/// Time until a step is done if its waiting tasks start now; 0: it is done.
 	Millis StepLeft(const CellJob &inJob, size_t inUnit) const;
+	/// Wall clock time (ms) by which a job is due.
 	int64 DueWall(const CellJob &inJob) const;
+	/// Whether a unit may start: its scheduled time has come, and the steps before it are done.
 	bool IsDue(const CellJob &inJob, size_t inUnit, int64 inWallNow) const;
-	/// Whether a job's team may have this many more tasks of a step running; remembers which have not.
+	/// Whether the team's limit allows this many more running tasks of a step. Remembers teams at their limit.
 	bool FitsTeamLimit(const CellJob &inJob, size_t inUnit, int64 inTasks, Millis inNow);
 	void PlanUnit(CellJob &ioJob, size_t inUnit, Millis inNow);
 	void PlanGang(CellJob &ioJob, size_t inUnit, Millis inNow);
+	/// Ends the runs of a worker whose leases have expired.
 	void EndLapsedRuns(CellWorker &ioWorker, Millis inNow);
 	void PlanThrottles(CellWorker &ioWorker, Millis inNow);
 	void PlanStragglers(CellWorker &ioWorker, Millis inNow);
-	/// What a task of a step is likely to take.
+	/// Expected run time of a step's task.
 	Millis ExpectedRunMs(const CellJob &inJob, size_t inUnit) const;
-	/// What a worker may take for it without being called slow: quick neighbours alone don't make one slow.
+	/// Expected run time for judging a worker's speed. At least the estimate from earlier jobs, so that fast siblings do not make a worker
+	/// appear slow.
 	Millis SlownessBaselineMs(const CellJob &inJob, size_t inUnit) const;
 	bool CanAcceptRuns(const CellWorker &inWorker, Millis inNow) const;
 	bool IsEvacuated(const CellWorker &inWorker) const { return this->evacuated_zones.contains(inWorker.entry.availability_zone); }
-	/// Whether a worker has the step's label, and the adviser's leave where that is needed.
+	/// Whether a worker has the label that the step needs, and the adviser's ticket where the queue has a policy.
 	static bool MayRun(const CellWorker &inWorker, const CellJob &inJob, size_t inUnit, Millis inNow);
 	CellWorker *ChooseWorker(const CellJob &inJob, size_t inUnit, uint32 inTask, Millis inNow,
 							 const std::map<std::string, uint32> &inOnWorker);
@@ -195,128 +200,134 @@
 	std::map<std::string, uint32> CountByWorker(const CellJob &inJob, size_t inUnit) const;
 	void AddRun(CellJob &ioJob, size_t inUnit, uint32 inTask, uint32 inRun, CellWorker &ioWorker, Millis inNow);
 
-	// CellMisses.cpp: stops of tasks that last
+	// Stops of long-running tasks for drains
+	/// Stops long-running tasks on a worker that is drained for maintenance, as far as their steps permit.
 	void StopRunsOnDrainedWorker(CellWorker &ioWorker, Millis inNow);
+	/// Stops long-running tasks on a worker that announced that it leaves, or that left the list.
 	void StopRunsOnLeavingWorker(CellWorker &ioWorker, Millis inNow);
-	/// Says that a worker is empty and stays so for the next `inForMs`, if that holds and the log tells a successor of it.
+	/// Reports a worker as empty for the next `inForMs`, if that holds and the grant is in the log for a successor.
 	bool GrantDrain(CellWorker &ioWorker, Millis inForMs);
+	/// Whether the step of a task permits the task to be unavailable now, given its other unavailable tasks.
 	bool MayBeUnavailable(const CellJob &inJob, size_t inUnit, uint32 inTask, Millis inNow) const;
-	/// Whether a run's stop is bound by how many others of its step are away. Not once its job or its worker ends anyway.
+	/// Whether the number of unavailable tasks of a step limits the stop of a run. It does not if the job or the worker ends anyway.
 	bool IsStopLimited(const CellWorker &inWorker, const RunId &inRun) const;
-	/// Whether a start without an answer, whose run the worker does not list, may be made sure never to come.
+	/// Whether a stop may be sent for an unanswered start whose run the worker does not list.
 	bool MayStopUnconfirmed(const CellWorker &inWorker, const RunId &inId, const Run &inRun, Millis inNow) const;
-	/// Whether a stop that is due, for the first time or again, may leave now.
+	/// Whether a stop that is due may be sent (or repeated) now.
 	bool MaySendStop(const CellWorker &inWorker, const RunId &inId, const Run &inRun, Millis inNow) const;
 
 	// CellAdvice.cpp
 	void AskAdvice(CellJob &ioJob, size_t inUnit, Millis inNow);
-	/// Whether a worker may run a step of a queue with a policy, for long enough to reach it.
+	/// Whether a worker has a ticket for a step that stays valid until the start reaches it.
 	static bool HasTicket(const CellJob &inJob, size_t inUnit, const std::string &inWorker, Millis inNow);
 
-	// CellOrders.cpp: orders and answers
-	/// Why a run that the log holds is not told to its worker after all; empty: it is.
+	// CellOrders.cpp: orders and their answers
+	/// Why a logged run must not be dispatched after all; empty: it may be.
 	std::string_view WhyNotDispatched(const CellWorker &inWorker, const RunId &inRun, Millis inNow);
-	/// How many members of each gang among these runs can be told, by the gang's first task: all of them are, or none.
+	/// Number of dispatchable members of each gang among these runs, keyed by the gang's first task. A gang is dispatched whole or not at
+	/// all.
 	std::map<TaskId, size_t> DispatchableMembers(const std::vector<RunId> &inRuns, Millis inNow);
 	Order NewOrder(EOrder inKind, CellWorker &ioWorker, Millis inNow);
 	void TakePoll(CellWorker &ioWorker, Millis inNow, std::vector<Order> &outOrders);
 	void TakeStops(CellWorker &ioWorker, Millis inNow, std::vector<Order> &outOrders);
-	/// An answer tells whether the worker's process is there.
+	/// Records what an answer says about whether the worker's process is up.
 	void RecordContact(CellWorker &ioWorker, const OrderAnswer &inAnswer, bool inAnswered, Millis inNow);
 	void OnStartAnswer(CellWorker &ioWorker, const Order &inOrder, const OrderAnswer &inAnswer, Millis inNow);
 	void OnStopAnswer(CellWorker &ioWorker, const Order &inOrder, const OrderAnswer &inAnswer, Millis inNow);
 	void OnPollAnswer(CellWorker &ioWorker, const Order &inOrder, const OrderAnswer &inAnswer, Millis inSentAt, Millis inNow);
 
-	// CellLives.cpp: workers that start again
-	/// The token of a worker's present life.
+	// Worker restarts
+	/// Fencing token of a worker's current incarnation.
 	uint64 TokenFor(const CellWorker &inWorker) const { return TokenOf(this->epoch, inWorker.incarnation_number); }
-	/// Another life may have begun: the next look, which goes at once, tells.
+	/// Another incarnation may have begun. An immediate poll decides.
 	void SuspectRestart(CellWorker &ioWorker, std::string_view inWhy, Millis inNow);
-	/// Draws from the list's entry, before it is taken over, which life of the worker it is of; false: of a former one.
+	/// Compares a new list entry with the known incarnation, before the entry is taken over. False: the entry is of a previous incarnation.
 	bool UpdateIncarnation(CellWorker &ioWorker, const WorkerEntry &inEntry, Millis inNow);
-	/// Draws from an answer to an order of the present life whether another one gave it; true: it did, and has begun.
+	/// Whether the answer to an order for the current incarnation came from another one. A newer one becomes the current incarnation.
 	bool DetectNewIncarnation(CellWorker &ioWorker, const Order &inOrder, const OrderAnswer &inAnswer, Millis inSentAt, Millis inNow);
-	/// Another life of a worker has begun. `inAnswer`: its first; `inSentAt`: when what it answers was sent.
+	/// A new incarnation has begun. `inAnswer`: its first answer; `inSentAt`: when the answered order was sent.
 	void BeginIncarnation(CellWorker &ioWorker, int64 inStartedMs, const OrderAnswer &inAnswer, Millis inSentAt, Millis inNow);
-	/// Ends what only the former life can have had, and counts its crash.
+	/// Ends the runs that only the previous incarnation can have had, and counts its crash.
 	void EndPreviousRuns(CellWorker &ioWorker, const OrderAnswer &inAnswer, Millis inSentAt, Millis inNow);
-	/// Runs that the present life may have, or may still be told of by orders under way, are asked for.
+	/// Marks the runs that the current incarnation may have, or may still be sent by orders in flight, for verification by a poll.
 	void VerifyRuns(CellWorker &ioWorker, Millis inNow);
-	/// The worker may have been given the longest lease that it grants, by an order with the end of a lease on another clock.
+	/// Accounts for an order whose lease end was computed for another clock: the worker may have granted its maximum lease.
 	void AssumeMaxLease(CellWorker &ioWorker, Millis inNow) const;
-	/// An answer to an order that was meant for a former life; which one has given it is not known.
+	/// Handles the answer to an order for a previous incarnation. Either incarnation may have sent it.
 	void OnPreviousIncarnationAnswer(CellWorker &ioWorker, const Order &inOrder, const OrderAnswer &inAnswer, Millis inNow);
-	/// A run was on a former life of its worker, and nobody has handed its end in.
+	/// Counts the crash of a previous incarnation against a run whose end no previous owner has submitted.
 	void CountPreviousCrash(const RunId &inRun);
-	/// An adviser's tickets and refusals hold for one life of a worker.
+	/// Drops the adviser's tickets and refusals, which are valid for one incarnation only.
 	void DropAdvice(const std::string &inWorker);
-	/// Ends that a worker lists although it was told to forget their numbers.
+	/// Logs ends that a worker lists although they were acknowledged.
 	void LogRelistedEnds(const CellWorker &inWorker, const OrderAnswer &inAnswer);
 
 	// CellCrashes.cpp: tasks that crash their workers
-	/// How a task is to be tried now: not at all if no worker has crashed under it.
+	/// Trial run that a task needs now; None if no worker crashes suggest one.
 	ETrial TrialOf(const CellJob &inJob, size_t inUnit, uint32 inTask, Millis inNow);
-	/// Counts a worker's trials that are still open, and clears lasting tasks that have settled there.
+	/// Counts a worker's open trial runs, and exempts long-running tasks that have run long enough from blame.
 	void UpdateTrials(CellWorker &ioWorker);
-	/// A lasting task is at work for so long that it is suspected no more.
+	/// Clears the crashes counted against a long-running task that has been up for long.
 	void ClearCrashes(CellWorker &ioWorker, const RunId &inRun);
-	/// Whether a run on trial there may still be in its start.
+	/// Whether a trial run there may still be in its start phase.
 	static bool HasJustStartedTrial(const CellWorker &inWorker);
-	/// Whether a task may start there as far as trials go, its own and others'.
+	/// Whether trial runs, the task's own and others, permit a start there.
 	bool AllowsStart(const CellWorker &inWorker, ETrial inTrial, Millis inNow) const;
-	/// Keeps other starts off a worker for a task that is to be tried and found none.
+	/// Reserves a worker for a task that found none for its trial run.
 	void ReserveForTrial(CellJob &ioJob, size_t inUnit, uint32 inTask, Millis inNow);
-	/// Asks whether the other workers of a rack have gone with one on which a run was on trial.
+	/// Polls the other workers of a rack, to see whether they were lost together with one that had a trial run.
 	void PollRack(const CellWorker &inWorker, Millis inNow);
-	/// Workers of a pool that may take work, and how many of these are kept for trials.
+	/// Workers of a pool that accept runs, and the number of them that are reserved for trial runs.
 	std::pair<std::vector<CellWorker *>, size_t> WorkersForTrials(const std::string &inPool, Millis inNow);
-	/// A worker's life is over with all its runs, and not by plan: whose start may have done it.
+	/// Attributes the unplanned loss of a worker to the runs whose start may have caused it.
 	void AttributeCrash(CellWorker &ioWorker, Millis inNow);
-	/// The runs that may have done it, likeliest alone; `outBeside`: those that were there as well.
+	/// Runs that may have caused the loss, only the likeliest. `outLessLikely`: other runs that were there.
 	std::vector<RunId> CrashSuspects(const CellWorker &inWorker, bool inChance, std::vector<RunId> &outLessLikely);
-	/// Whether other workers went at that moment of whose loss no task can be the cause: of the same rack, or with nothing just started.
+	/// Whether other workers were lost at the same time for a reason that is no task's fault: in the same rack, or without a recent start.
 	bool IsChanceCrash(const CellWorker &inWorker) const;
-	/// What became of tasks that may have caused a crash instead of another.
+	/// What is known of another suspect of a crash.
 	ERival JudgeSuspect(const CrashRival &inRival);
-	/// What a task's crashes weigh now.
+	/// Current weight of a task's crashes.
 	CrashWeight WeightOf(const TaskCrashes &inCrashes);
-	/// Whether any task of a step has outlived its start, or has done its work.
+	/// Whether any task of a unit has survived its start or is done.
 	bool HasSurvivedStart(const CellJob &inJob, uint64 inUnit) const;
-	/// The steps of other runs than `inRun` that may have crashed a worker. Tasks of its own step are not told apart from it.
+	/// Units of the runs other than `inRun` that may have crashed a worker. Tasks of its own unit count as the same suspect.
 	std::vector<CrashRival> OtherSuspects(const std::vector<RunId> &inSuspects, const RunId &inRun);
-	/// Ends the job of a task that crashes its workers.
+	/// Fails the job of a task that crashes its workers.
 	void FailCrashingJob(CellJob &ioJob, TaskCrashes &ioCrashes, Millis inNow);
-	/// Starts a task no more until it is known what became of its rivals, or for long enough.
+	/// Delays a task until the other suspects are decided on, at most for a fixed time.
 	void AwaitOtherSuspects(CellJob &ioJob, const TaskId &inTask, Millis inNow);
-	/// Gives up those of them that are proved now, and starts the others again once their rivals are decided on.
+	/// Fails the jobs of delayed tasks that are proved to crash workers, and releases tasks whose other suspects are decided on.
 	void DecideAwaiting(Millis inNow);
-	/// Whether a worker's process went right after a run's start.
+	/// Whether a worker's process ended right after a run's start.
 	static bool CrashedRightAfterStart(const CellWorker &inWorker, const Run &inRun);
-	/// One more crash under a run, one of those that may have done it; whether that is enough to give its job up.
+	/// Counts a crash against one of its suspects. True: its job must be failed.
 	bool CountCrash(CellWorker &ioWorker, const RunId &inRun, const std::vector<RunId> &inSuspects, bool inChance, Millis inNow);
-	/// Where a task's crashes are counted.
+	/// Key of a task's crash counts.
 	static CrashCounts::key_type CrashKey(const CellJob &inJob, const TaskId &inTask);
-	/// The job of a task, if neither has ended; else nullptr.
+	/// The job of a task if neither has ended; otherwise nullptr.
 	CellJob *OpenJobOf(const TaskId &inTask);
-	/// Whether a task is to be tried, by what is counted of it.
+	/// Whether the crash counts of a task call for a trial run.
 	bool NeedsTrial(const TaskId &inTask);
 
 	// CellEnds.cpp
 	void OnEnded(CellWorker &ioWorker, const EndedRow &inRow, Millis inNow);
 	void RecordProgress(CellWorker &ioWorker, const RunId &inRun, const Run &inProgress, Millis inNow);
-	/// A task's whole run was seen.
+	/// Learns from the run time of a complete run.
 	void LearnRun(CellWorker &ioWorker, CellJob &ioJob, const TaskId &inTask, Millis inDuration, Millis inNow);
+	/// Adds a ratio of actual to expected run time, with this weight, to the average of a worker.
 	void UpdateSlowness(CellWorker &ioWorker, double inRatio, double inShare, Millis inNow);
+	/// A worker's incarnation is known to have ended: ends its runs, except those that a previous owner may still submit ends of.
 	void OnIncarnationEnded(CellWorker &ioWorker, std::string_view inWhy, Millis inNow);
-	/// `inNumber`: the end's number on its worker; 0: the worker did not list it.
+	/// `inNumber`: the end's number on its worker; 0: inferred, not listed by the worker.
 	void EndRun(CellWorker &ioWorker, const RunId &inRun, ERunEnd inEnd, const std::string &inCheckpoint, std::string_view inWhy,
 				Millis inNow, uint64 inNumber = 0);
-	/// Ends that a predecessor was told of.
+	/// Applies ends submitted by a previous owner.
 	void IngestEnds(const EndReport &inReport, Millis inNow);
 	void LogEnd(const CellWorker &inWorker, const RunId &inId, const Run &inRun, ERunEnd inEnd, std::string_view inWhy, uint64 inNumber);
-	/// Ends, as somebody was told of them; which of them the worker may forget is for looks at its present life alone to tell.
+	/// Applies ends from any source. Only polls of the current incarnation determine which ends the worker may drop.
 	void ApplyEnds(CellWorker &ioWorker, const std::vector<EndedRow> &inEnded, Millis inNow);
-	/// The same of a look: nobody else has been told of them.
+	/// Applies ends from a poll, which no other host knows yet, and replicates them.
 	void ApplyPolledEnds(CellWorker &ioWorker, const std::vector<EndedRow> &inEnded, Millis inNow);
 	void LogUnmatched(const EndedRow &inRow);
 	void LogUnknownRun(const CellWorker &inWorker, const RunningRow &inRow, Millis inSentAt);
@@ -324,7 +335,7 @@
 	void CountFailure(CellJob &ioJob, const TaskId &inTask, uint32 inRun);
 	void CloseIfEnded(CellJob &ioJob);
 	void CloseJob(CellJob &ioJob, EJobPhase inPhase, std::string_view inWhy);
-	/// A run that a worker has and the records do not: it is stopped, and takes its room until then.
+	/// Stops a run that a worker has and the records lack. It occupies capacity until it has ended.
 	void StopUnrecordedRun(CellWorker &ioWorker, const RunId &inRun, Millis inNow);
 	void StopRun(CellWorker &ioWorker, const RunId &inRun, std::string_view inWhy, Millis inNow);
 	void StopAll(CellJob &ioJob, std::string_view inWhy, Millis inNow);
@@ -333,49 +344,50 @@
 	CellTuning tuning;
 	WorkerLeases leases;
 	uint64 epoch = 0;
-	uint64 incarnations_begun = 0; ///< Lives of workers that began while others of theirs were known.
+	uint64 incarnations_begun = 0; ///< Incarnations of workers that replaced a known one.
 	CellTrail run_events;
 	EndReplicator replicator;
 	std::shared_ptr<const Catalogue> catalogue;
 	std::map<std::string, CellJob> jobs;
-	std::set<std::string> active;        ///< Jobs whose phase is not final.
-	std::set<std::string> jobs_to_plan;  ///< Of these, the ones that have something to start now, or that changed since the last planning.
-	std::set<std::string> dirty;         ///< Jobs that the log does not hold as they are.
-	std::set<std::string> jobs_to_write; ///< Of these, the ones that the series of appends under way has still to write.
-	std::set<std::string> in_batch;      ///< Jobs in the append under way.
-	std::vector<PlanReject> capacity_rejects; ///< Of the planning under way.
-	int64 ended_swept_wall_ms = 0;            ///< When ended jobs were last looked through.
+	std::set<std::string> active; ///< Jobs whose phase is not final.
+	/// Active jobs that have something to start now or have changed since the last planning pass.
+	std::set<std::string> jobs_to_plan;
+	std::set<std::string> dirty;              ///< Jobs that have changed since their last record.
+	std::set<std::string> jobs_to_write;      ///< Jobs that the current series of appends has still to write.
+	std::set<std::string> in_batch;           ///< Jobs in the append in flight.
+	std::vector<PlanReject> capacity_rejects; ///< Of the last planning pass.
+	int64 ended_swept_wall_ms = 0;            ///< When ended jobs were last swept.
 	std::map<std::string, CellWorker> workers;
 	std::set<std::string> evacuated_zones;    ///< See SetEvacuated.
-	std::vector<std::string> removed_workers; ///< Workers whose places are to be dropped from the log.
-	TeamUse teams;                            ///< Invariant: counts every run on the workers.
-	std::set<std::string> teams_at_limit;     ///< Teams that had no room in the last planning.
-	std::string planned_text;                 ///< Runs planned for the step in hand, for the log: task, run and worker.
-	Millis planned_answer_age = 0;            ///< How old the oldest news of their workers is.
-	std::vector<RunId> to_start;              ///< Logged runs whose workers are to be told.
+	std::vector<std::string> removed_workers; ///< Workers whose records are to be removed from the log.
+	TeamUse teams;                            ///< Invariant: includes every run of the workers.
+	std::set<std::string> teams_at_limit;     ///< Teams whose limit stopped a task in the last planning pass.
+	std::string planned_text;                 ///< Runs planned for the current unit, for the log line: task.run@worker.
+	Millis planned_answer_age = 0;            ///< Age of the oldest answer of their workers.
+	std::vector<RunId> to_start;              ///< Logged runs to dispatch.
 	std::map<RunId, std::string> start_workers;
-	std::map<std::string, std::deque<std::pair<Millis, Resources>>> recent_demand; ///< Of the last moments, by pool.
+	std::map<std::string, std::deque<std::pair<Millis, Resources>>> recent_demand; ///< Recent samples of demand, by pool.
 	RunTimes run_times;
-	int64 run_times_written_wall_ms = 0;         ///< When they were last written.
+	int64 run_times_written_wall_ms = 0;         ///< When they were last logged.
 	std::map<std::string, ArrivalRate> arrivals; ///< By pool.
 	std::vector<Order> throttle_orders;
 	std::vector<AdviceQuestion> advice_questions;
 	bool inbox_fresh = true; ///< See SetInboxFresh.
 	uint64 inbox_next = 0;
-	uint64 inbox_to_write = 0; ///< The place that the series under way will have reached.
+	uint64 inbox_to_write = 0; ///< Position reached once the current series is in the log.
 	uint64 inbox_writing = 0;
 	uint64 inbox_logged = 0;
 	uint64 next_serial = 1;
-	std::vector<WorkerLoss> recent_losses; ///< Workers that were lost of late.
-	std::set<TaskId> awaiting_suspects;    ///< Tasks that wait for what becomes of their rivals.
-	std::set<std::string> trial_racks;     ///< Racks with an open trial: should two of their workers go at once, it tells nothing.
-	Millis draining_until = 0;             ///< Until then some worker is being emptied for maintenance.
+	std::vector<WorkerLoss> recent_losses; ///< Recently lost workers.
+	std::set<TaskId> awaiting_suspects;    ///< Tasks delayed until their other suspects are decided on.
+	std::set<std::string> trial_racks;     ///< Racks with an open trial run. The loss of two workers of a rack at once would prove nothing.
+	Millis draining_until = 0;             ///< Until then some worker is being drained for maintenance.
 	bool retiring = false;                 ///< See Retire.
 	bool unwritten_changes = false;
 	bool batch_under_way = false;
-	Millis batch_at = 0;      ///< When it was taken,
-	size_t batch_records = 0; ///< and how many records it has.
-	Millis now = 0;           ///< The time of the call under way.
+	Millis batch_at = 0;      ///< When the batch was taken.
+	size_t batch_records = 0; ///< Number of its records.
+	Millis now = 0;           ///< Time of the current call.
 };
 
 } // namespace Loomreach::Jobs
--- a/Loomreach/Schedule/CellTypes.h
+++ b/Loomreach/Schedule/CellTypes.h
@@ -1,4 +1,8 @@
-// What a cell keeps in memory: its jobs, its workers, and the runs that join them.
+// In-memory state of a cell: jobs, workers, and the runs that connect them.
+//
+// Run ends are numbered per worker incarnation. WorkerIncarnation keeps the highest number that has reached each stage: recorded in the job
+// records, part of the current series of appends, part of the append in flight, in the log, acknowledged to the worker, and acknowledgement
+// answered by the worker.
 
 #pragma once
 
@@ -10,52 +14,55 @@
 namespace Loomreach::Jobs
 {
 
-/// Times, limits and weights of one cell. All times in ms.
+/// Times, limits and weights of one cell. Times are in ms.
 struct CellTuning
 {
-	Millis lease_ms = 4000;          ///< Lease given to a worker's runs with each hold. Setting `worker_lease_ms`.
-	Millis most_lease_ms = 10000;    ///< Longest lease that any owner may have given. Setting `worker_most_lease_ms`.
-	Millis granted_lease_ms = 10000; ///< Workers cut a longer lease down to this, also one that was meant for another life's clock.
-	Millis poll_wait_ms = 1500;      ///< A hold's answer waits this long for an end; well under the lease.
-	Millis short_poll_wait_ms = 500; ///< The same where tasks serve and others fill beside them: the tail must be seen within harm's bound.
-	Millis trial_poll_wait_ms = 300; ///< The same while a run is on trial: as long as a start is to be outlived.
-	Millis min_poll_gap_ms =
-		120; ///< Between two looks at a worker: ends that come close together are seen together. Each look is paid for.
-	Millis min_trial_poll_gap_ms = 30; ///< The same while a run is on trial: it must be seen whether its worker goes right after its start.
-	Millis poll_retry_ms = 400;        ///< Between holds that got no answer, and between holds while ends wait for the log.
-	Millis refusal_backoff_ms = 500;   ///< A worker that refused gets nothing for this long.
-	Millis keep_ended_ms = 150000;     ///< An ended job is shown for this long (users' figure 120 s, and a quarter).
-	Millis quarantine_ms = 4000;       ///< A worker that fails all gets no more than a trial within this.
-	Millis demand_hold_ms = 1500;      ///< A need counts this long after it was last seen. Setting.
-	Millis slow_ms = 4000;             ///< A worker found slow is avoided this long, then tried again.
-	Millis restart_backoff_ms = 300;   ///< A lasting task that failed starts again after this.
-	/// An append is closed once it holds this much: half of what the store takes in one call (users' figure, 2 MB); a job's records are far
-	/// smaller than the other half. Larger ones are refused however often they are sent: after a power loss 1,600 records waited for ever.
+	Millis lease_ms = 4000;       ///< Lease granted to a worker's runs by each poll. Setting `worker_lease_ms`.
+	Millis most_lease_ms = 10000; ///< Longest lease that any owner may have granted. Setting `worker_most_lease_ms`.
+	/// Workers truncate longer leases to this, including a lease whose end was computed for the clock of a previous incarnation.
+	Millis granted_lease_ms = 10000;
+	Millis poll_wait_ms = 1500; ///< How long a long poll waits for a run end; well below the lease.
+	/// Poll wait while latency-sensitive and best-effort runs share the worker: tail latency must be seen before it does harm.
+	Millis short_poll_wait_ms = 500;
+	Millis trial_poll_wait_ms = 300; ///< Poll wait during a trial run: as long as the run needs to survive its start.
+	/// Minimum time between two polls of a worker. Run ends within it are reported together, which saves calls.
+	Millis min_poll_gap_ms = 120;
+	Millis min_trial_poll_gap_ms = 30; ///< The same during a trial run: a crash right after the start must be seen promptly.
+	Millis poll_retry_ms = 400;        ///< After an unanswered poll, and between polls while ends wait to be logged.
+	Millis refusal_backoff_ms = 500;   ///< No run is placed on a worker for this long after it refused one.
+	Millis keep_ended_ms = 150000;     ///< Ended jobs are kept for the 120 s that callers may ask for them, plus a quarter.
+	Millis quarantine_ms = 4000;       ///< A worker whose runs all fail gets at most one run per period.
+	Millis demand_hold_ms = 1500;      ///< Demand counts for this long after it was last observed. Setting.
+	Millis slow_ms = 4000;             ///< A slow worker is avoided for this long, then tried again.
+	Millis restart_backoff_ms = 300;   ///< Delay before a failed long-running task is started again.
+	/// An append is closed once it holds this much: half of the 2 MB that the store accepts per call. The records of one job are far
+	/// smaller than the other half. The store rejects larger appends on every retry, so that a backlog (1,600 records after a power loss)
+	/// would never be written.
 	size_t batch_bytes = 1000000;
 };
 
-/// A worker's clock may run this much slower than ours (users' figure 2%, and a half more), thousandths.
+/// Worker clocks may run this much slower than the owner's, in thousandths: the specified 2%, and half of that as margin.
 inline constexpr Millis cClockSlackPerMille = 30;
-/// And a lease is trusted to be over only this much later: two message delays and a timer's lateness.
+/// Margin before a lease counts as expired: two message delays and a late timer.
 inline constexpr Millis cLeaseSlackMs = 150;
 
-/// How long after our sending a lease of `inLeaseMs` on a worker's clock may last on ours.
+/// Longest time on the owner's clock, counted from sending, that a lease of `inLeaseMs` on a worker's clock may last.
 constexpr Millis LongestLease(Millis inLeaseMs) { return inLeaseMs * (1000 + cClockSlackPerMille) / 1000 + cLeaseSlackMs; }
 
-/// Failures in a row on one worker after which it only gets one trial at a time: a chance failure (0.2 to 3%) hardly repeats thrice.
+/// Consecutive failures on one worker after which it gets one run at a time. Random failures (0.2 to 3%) rarely occur three times in a row.
 inline constexpr uint32 cFailuresToQuarantine = 3;
 
-/// Where a run stands, as far as the cell knows. Up to Logged, no worker has heard of it.
+/// State of a run as the cell knows it. Up to Logged, no worker has been sent the run.
 enum class ERunState : uint8
 {
-	Planned,     ///< Decided, not yet in the log.
-	Writing,     ///< In the append that is under way.
-	Logged,      ///< In the log; the worker has not been told.
-	Starting,    ///< The worker has been told.
+	Planned,     ///< Placed, not in the log yet.
+	Writing,     ///< In the append in flight.
+	Logged,      ///< In the log, not dispatched yet.
+	Starting,    ///< Dispatched, no answer yet.
 	Confirmed,   ///< The worker has it.
-	Unconfirmed, ///< No answer: the worker may have it, or may take it up later.
-	Inherited,   ///< Found in the log at take-over, or told to the worker's former life; the present one has not been asked yet.
-	Stopping     ///< A stop is under way.
+	Unconfirmed, ///< No answer: the worker may have it, or may still start it.
+	Inherited,   ///< Found in the log at take-over, or dispatched to a previous incarnation; the current one has not been polled yet.
+	Stopping     ///< Being stopped.
 };
 
 inline constexpr std::array cRunStateNames = {
@@ -65,12 +72,12 @@
 	EnumName<ERunState>{ERunState::Inherited, "inherited"}, EnumName<ERunState>{ERunState::Stopping, "stopping"},
 };
 
-/// What is kept away from a run so that a crash tells whether it was the cause.
+/// How a run is isolated so that a crash shows whether the run was the cause.
 enum class ETrial : uint8
 {
 	None,
-	Start,   ///< Nothing else starts on its worker until the run has outlived its start.
-	Isolated ///< Nothing else is on its worker at all.
+	Start,   ///< Nothing else starts on the worker until the run has survived its start.
+	Isolated ///< Nothing else runs on the worker.
 };
 
 inline constexpr std::array cTrialNames = {
@@ -79,10 +86,10 @@
 	EnumName<ETrial>{ETrial::Isolated, "alone"},
 };
 
-/// Whether a worker may have heard of a run.
+/// Whether a worker may have received the run.
 constexpr bool IsDispatched(ERunState inState) { return inState > ERunState::Logged; }
 
-/// A run names a task and a number.
+/// Identifies a run by its task and number.
 struct RunId
 {
 	TaskId task;
@@ -92,40 +99,40 @@
 	bool operator==(const RunId &) const = default;
 };
 
-/// A run that takes room on a worker.
+/// A run that occupies capacity on a worker.
 struct Run
 {
 	ERunState state = ERunState::Planned;
-	Resources reserved;             ///< What it takes; no processor time for a task that fills.
-	Resources requested;            ///< What its task asks for: it counts for the team.
-	std::string team;               ///< Whose it is; empty: nobody's.
-	bool latency_sensitive = false; ///< Lasting and with a target.
+	Resources reserved;             ///< What it takes on the worker; no processor time for best-effort tasks.
+	Resources requested;            ///< What its task requests; counts against the team's limit.
+	std::string team;               ///< Empty: no team.
+	bool latency_sensitive = false; ///< Long-running with a latency target.
 	bool fills = false;
 	bool lasting = false;
-	bool resumed = false;   ///< Begun from a checkpoint: its time tells nothing of a whole run's.
-	bool inherited = false; ///< Found in the log at take-over: a predecessor may have ordered it to stop.
-	Millis predecessor_wait_until =
-		0; ///< Of a former life of its worker that this owner never heard: a predecessor may know its end until then.
+	bool resumed = false;   ///< Started from a checkpoint, so its run time is not representative.
+	bool inherited = false; ///< Found in the log at take-over: a previous owner may have ordered it to stop.
+	/// The run was on a previous incarnation that this owner never heard from. Until then a previous owner may still submit its end.
+	Millis predecessor_wait_until = 0;
 	ETrial trial = ETrial::None;
-	bool blame_exempt = false;       ///< It lasts, and has been at work for so long that no crash is blamed on it.
-	bool in_new_incarnation = false; ///< A life that has just begun lists it.
-	bool crash_counted = false;      ///< A crash has been counted under it, and no later life was known to have it.
-	bool size_unknown = false;       ///< The worker has it, and no record tells what it takes.
-	Millis since = 0;                ///< When it came into its state.
-	Millis confirmed_at = -1;        ///< When the worker was known to have it.
-	Millis start_expires_at = 0;     ///< On the worker's clock: a start carried out later does nothing.
-	bool stop_sent = false;          ///< An order to stop is under way.
-	Millis stop_acked_at = -1;       ///< When the worker took the stop; -1: not yet.
+	bool blame_exempt = false;       ///< Long-running, and up for so long that no crash is attributed to it.
+	bool in_new_incarnation = false; ///< Listed by the incarnation that has just begun.
+	bool crash_counted = false;      ///< A crash was counted against it, and no later incarnation is known to have it.
+	bool size_unknown = false;       ///< The worker has it, and no record says what it takes.
+	Millis since = 0;                ///< When it entered its state.
+	Millis confirmed_at = -1;        ///< When the worker was known to have it; -1: never.
+	Millis start_expires_at = 0;     ///< On the worker's clock. A start that arrives later has no effect.
+	bool stop_sent = false;          ///< A stop order is in flight.
+	Millis stop_acked_at = -1;       ///< When the worker accepted the stop; -1: not yet.
 	Millis next_stop_at = 0;
 	int64 percent = 0;
 	Millis progress_at = 0;       ///< When `percent` was reported.
-	int64 figure = 0;             ///< See RunningRow.
-	int64 throttle_percent = 100; ///< Share at which it was told to work.
+	int64 figure = 0;             ///< As in RunningRow.
+	int64 throttle_percent = 100; ///< Share of full speed that it was last told to work at.
 	bool throttle_in_flight = false;
 	std::string ticket;
 };
 
-/// A run of a step's task that comes into a state now.
+/// A new run of a step's task in the given state.
 inline Run NewRun(const JobSpec &inJob, const StepSpec &inStep, ERunState inState, Millis inNow)
 {
 	Run run;
@@ -140,94 +147,100 @@
 	return run;
 }
 
-/// What is known of one life of a worker. The next one, which may have the same id, begins with none of it.
+/// State of one incarnation of a worker. The next one, which may have the same id, starts with none of it.
 struct WorkerIncarnation
 {
-	int64 born_ms = cBirthUnknown;   ///< Names it, with the worker's id; unknown until it was told.
-	uint64 incarnation_number = 0;   ///< Gives its orders their token: higher than that of every life of the worker before.
-	bool restart_suspected = false;  ///< Something hints at another life: the next look tells, and nothing is started until then.
-	bool leave_announced = false;    ///< It has said that it leaves.
-	bool ended = false;              ///< It is known to be over.
-	Millis clock_ms = -1;            ///< Its clock when last heard,
-	Millis clock_read_at = 0;        ///< and our clock when the answer came: the worker's has gone on since.
-	Millis clock_order_sent_at = -1; ///< When what it answered was sent; -1: the clock was not read from an answer.
+	int64 born_ms = cBirthUnknown; ///< Identifies the incarnation together with the worker's id.
+	uint64 incarnation_number = 0; ///< Part of the token of its orders; higher than for every earlier incarnation.
+	/// Something suggests that another incarnation has begun. The next poll decides; until then nothing is started.
+	bool restart_suspected = false;
+	bool leave_announced = false;    ///< The worker has announced that it leaves.
+	bool ended = false;              ///< The incarnation is known to have ended.
+	Millis clock_ms = -1;            ///< Its clock when last heard.
+	Millis clock_read_at = 0;        ///< Owner's clock when that answer arrived.
+	Millis clock_order_sent_at = -1; ///< When the order with that answer was sent; -1: the clock was not read from an answer.
 	bool poll_in_flight = false;
-	uint64 newest_poll = 0;      ///< Serial of the last look that was sent.
-	Millis last_poll_at = -1000; ///< When it was.
+	uint64 newest_poll = 0;      ///< Serial of the last poll that was sent.
+	Millis last_poll_at = -1000; ///< When that poll was sent.
 	Millis next_poll_at = 0;
-	Millis last_answer_at = -1;        ///< When it last answered.
-	Millis connections_closed_at = -1; ///< When its connections were first found closed since then; -1: they were not.
-	Millis unanswered_since = -1; ///< When the first call since then went without an answer, unclosed: a dark host, or a cut; -1: none did.
-	Millis trial_reserved_until = 0;     ///< A task on trial waits for it: no other starts there until then.
-	bool poll_once = false;              ///< It is asked also with nothing on it: it has just begun, or a trial has crashed in its rack.
-	bool reachable = false;              ///< Whether the last order was answered.
-	bool ends_truncated = false;         ///< Its last answer may have listed its ends only in part.
-	uint64 recorded_seq = 0;             ///< Highest end that the jobs' records have taken in.
-	uint64 series_seq = 0;               ///< As much of it as the series of appends under way will hold.
-	uint64 appending_seq = 0;            ///< As much of it as the log holds once the append under way is there.
-	uint64 logged_seq = 0;               ///< As much of it as the log holds: may be told to the worker.
-	uint64 sent_ack_seq = 0;             ///< As much of it as a look has told the worker,
-	uint64 acked_seq = 0;                ///< and as much as one that it answered.
-	std::vector<EndedRow> unlogged_ends; ///< Invariant: the ends from `last_seen` to `noted` that a look has listed, by number.
-	Millis ends_logged_at = 0;           ///< When `last_seen` last rose.
-	Millis backoff_until = 0;            ///< It refused; nothing new until then.
+	Millis last_answer_at = -1;        ///< -1: never answered.
+	Millis connections_closed_at = -1; ///< When its connections were first found closed after the last answer; -1: not closed.
+	/// When the first call after the last answer went unanswered on an open connection: the host is unresponsive or partitioned. -1: none
+	/// did.
+	Millis unanswered_since = -1;
+	Millis trial_reserved_until = 0; ///< Reserved for a trial run: nothing else is started there until then.
+	/// Poll it even without runs: it has just begun, or a worker of its rack has crashed during a trial run.
+	bool poll_once = false;
+	bool reachable = false;              ///< It answered its last poll as healthy and has left no order unanswered since.
+	bool ends_truncated = false;         ///< Its last answer may not have listed all its ends.
+	uint64 recorded_seq = 0;             ///< Highest end that the job records contain.
+	uint64 series_seq = 0;               ///< Of these, up to here: in the current series of appends.
+	uint64 appending_seq = 0;            ///< Up to here: in the log once the append in flight completes.
+	uint64 logged_seq = 0;               ///< Up to here: in the log, so the worker may drop them.
+	uint64 sent_ack_seq = 0;             ///< Up to here: acknowledged to the worker by a poll.
+	uint64 acked_seq = 0;                ///< Up to here: acknowledged by a poll that the worker answered.
+	std::vector<EndedRow> unlogged_ends; ///< Invariant: the polled ends after `logged_seq` up to `recorded_seq`, in order.
+	Millis ends_logged_at = 0;           ///< When `logged_seq` last rose.
+	Millis backoff_until = 0;            ///< It refused an order; nothing new until then.
 	Millis quarantine_until = 0;
-	double slowness = 1.0;           ///< Run times here against what is expected, a mean that forgets.
-	Millis slow_until = 0;           ///< Others are preferred until then.
-	uint32 consecutive_failures = 0; ///< Runs ended as failed there with none done in between.
-	Millis throttled_at = 0;
-	Millis stragglers_checked_at = -1; ///< The answer whose progress was last looked through for stragglers.
+	double slowness = 1.0;             ///< Moving average of actual to expected run time.
+	Millis slow_until = 0;             ///< Other workers are preferred until then.
+	uint32 consecutive_failures = 0;   ///< Failed runs since the last successful one.
+	Millis throttled_at = 0;           ///< Time of the answer that throttling was last decided on.
+	Millis stragglers_checked_at = -1; ///< Time of the answer that was last checked for stragglers.
 
-	/// Its clock now, as a lower bound.
+	/// Lower bound of its clock now.
 	Millis ClockAt(Millis inNow) const { return this->clock_ms + (inNow - this->clock_read_at) * (1000 - cClockSlackPerMille) / 1000; }
-	/// Whether an answer's clock may be this life's. Each life's begins anywhere, so that one that does not fit is another's.
+	/// Whether the clock value of an answer is plausible for this incarnation. Each incarnation's clock starts at an arbitrary value, so
+	/// that a value that does not fit belongs to another one.
 	bool FitsClock(Millis inClock, Millis inSentAt, Millis inNow) const;
 };
 
-/// Ends of a worker's former lives that the log does not hold yet.
+/// Ends of a worker's previous incarnations that are not in the log yet.
 struct PreviousIncarnationEnds
 {
 	std::vector<EndedRow> rows;
-	size_t series_count = 0;    ///< So many of them the series of appends under way will hold,
-	size_t appending_count = 0; ///< and so many the log holds once the append under way is there.
+	size_t series_count = 0;    ///< This many are in the current series of appends.
+	size_t appending_count = 0; ///< This many are in the log once the append in flight completes.
 };
 
-/// Long ago.
+/// Age of an event that never happened.
 inline constexpr Millis cNeverMs = 1'000'000'000;
 
-/// A worker of the cell, with what is known of its present life.
+/// A worker of the cell, with the state of its current incarnation.
 struct CellWorker : WorkerIncarnation
 {
 	WorkerEntry entry;
-	bool listed = true;               ///< Whether the worker list shows it now.
-	Millis unlisted_at = 0;           ///< When the list was first seen without it.
-	Millis assumed_present_until = 0; ///< Unlisted only since the store was away: until then it is taken for present while it answers.
-	bool location_logged =
-		false; ///< Whether the log has its place, or the append under way will: a successor asks it also when it is unlisted.
-	int64 logged_started_ms = cBirthUnknown; ///< Which life the log names, likewise.
-	std::map<RunId, Run> runs;               ///< Invariant: every run here is in its task's record and the other way round.
-	Resources used;                          ///< Sum of the runs' room.
-	uint32 open_trials = 0;                  ///< Runs there beside which nothing may start now.
-	uint32 unsized_runs = 0;                 ///< Runs of unknown need.
-	Millis lease_expires_at = 0;             ///< By then, on our clock, everything told to it has lapsed unless extended anew.
-	Millis last_unanswered_at = -cNeverMs;   ///< When an order to it last went without an answer: it may be carried out yet.
+	bool listed = true;     ///< In the worker list now.
+	Millis unlisted_at = 0; ///< When it was first missing from the list.
+	/// It went missing from the list while the store was unavailable; until then it counts as present while it answers.
+	Millis assumed_present_until = 0;
+	/// Its location is in the log or in the append in flight. A successor also polls workers with a logged location that the list lacks.
+	bool location_logged = false;
+	int64 logged_started_ms = cBirthUnknown; ///< Incarnation that the log names, likewise.
+	std::map<RunId, Run> runs;               ///< Invariant: exactly the runs that the task records place here.
+	Resources used;                          ///< Sum of the runs' reserved resources.
+	uint32 open_trials = 0;                  ///< Trial runs that currently forbid other starts.
+	uint32 unsized_runs = 0;                 ///< Runs whose reserved resources are unknown.
+	Millis lease_expires_at = 0;             ///< On the owner's clock; everything dispatched has lapsed by then unless extended.
+	Millis last_unanswered_at = -cNeverMs;   ///< When an order last got no answer; it may still be carried out.
 	PreviousIncarnationEnds previous_ends;
-	Millis drain_until = 0;        ///< It is being emptied for maintenance; nothing new until then.
-	Millis drain_grant_until = 0;  ///< Its host may be moved or taken down until then: it was said to be empty.
-	Millis drain_grant_ms = 0;     ///< A promise of it lasts this long; 0: none is given.
-	Millis appending_grant_ms = 0; ///< The same as the log holds it once the append under way is there,
-	Millis logged_grant_ms = 0;    ///< and as it holds it now: a successor keeps a promise that was given before it began.
-	Millis removed_until = 0;      ///< Its host was moved or taken down: the list may show it until then.
-
-	/// Whether the log holds every end that it told of.
+	Millis drain_until = 0;        ///< Being drained for maintenance; nothing new until then.
+	Millis drain_grant_until = 0;  ///< It was reported empty, so its host may be moved or taken down until then.
+	Millis drain_grant_ms = 0;     ///< Length of a drain grant; 0: none.
+	Millis appending_grant_ms = 0; ///< The same in the log once the append in flight completes.
+	Millis logged_grant_ms = 0;    ///< The same in the log now: a successor honours grants given before its time.
+	Millis removed_until = 0;      ///< Its host was moved or taken down; the worker list may still show it until then.
+
+	/// Whether all ends that it reported are in the log.
 	bool AreEndsLogged() const { return this->recorded_seq <= this->logged_seq && this->previous_ends.rows.empty(); }
-	/// Whether it may be let go: nothing is on it, and the log holds every end that it told of. Its own list of them goes with it.
+	/// Whether it may be removed: it has no runs, and all ends that it reported are in the log. Its own list of them is lost with it.
 	bool IsIdleAndLogged() const { return this->runs.empty() && this->AreEndsLogged(); }
-	/// Whether every end that it told of was taken note of, as far as it can be told: its list of them goes with its host.
+	/// Whether it has seen the acknowledgement of all its ends, or cannot be asked. Its list of them is lost with its host.
 	bool AreEndsAcknowledged() const { return this->acked_seq >= this->recorded_seq || !this->reachable; }
-	/// Whether it is there for new work, as far as the list tells.
+	/// Whether it counts as present for new runs.
 	bool IsPresent(Millis inNow) const { return this->listed || inNow < this->assumed_present_until; }
-	/// What is free.
+	/// Free capacity.
 	Resources Free() const
 	{
 		Resources free = this->entry.capacity;
@@ -236,16 +249,16 @@
 	}
 };
 
-/// A worker that was lost, and what speaks against a task as the cause.
+/// A lost worker, with the evidence whether a task caused the loss.
 struct WorkerLoss
 {
 	Millis at = 0;
-	bool exact = false; ///< Whether its host said when; else a call had to run out.
+	bool exact = false; ///< Its host closed the connections; otherwise a call had to time out.
 	std::string rack;
-	bool just_started = false; ///< Something had just started there.
+	bool just_started = false; ///< A run had just started there.
 };
 
-/// Where a worker is, for whoever owns the cell next.
+/// Where a worker can be reached, for the next owner of the cell.
 struct WorkerLocation
 {
 	Address address;
@@ -258,62 +271,62 @@
 	}
 };
 
-/// What is remembered of a task beside its record.
+/// State of a task that is not in the log.
 struct VolatileTaskState
 {
-	Millis not_before = 0;          ///< Nothing is started earlier.
-	std::string last_failed_worker; ///< Where it failed last.
-	Millis trial_wanted_since = -1; ///< When a worker for its trial was first looked for in vain; -1: was not.
-	uint32 slow_runs = 0;           ///< Runs of it that were stopped for being far slower than expected.
-	std::string slow_worker;        ///< Where the last of them was,
-	Millis slow_until = 0;          ///< and until when it is not started there again.
+	Millis not_before = 0;          ///< Not started before.
+	std::string last_failed_worker; ///< Worker of its last failed run.
+	Millis trial_wanted_since = -1; ///< Since when a worker for its trial run has been sought; -1: not sought.
+	uint32 slow_runs = 0;           ///< Its runs that were stopped as stragglers.
+	std::string slow_worker;        ///< Worker of the last of them.
+	Millis slow_until = 0;          ///< It is not started on `slow_worker` again until then.
 };
 
-/// How likely a job is to earn its credit still.
+/// Whether a job can still meet its objective.
 enum class EDeadlineOutlook : uint8
 {
-	InTime,  ///< It can be done by its objective.
-	Late,    ///< It can only be late.
-	NoCredit ///< Even three objectives are over.
+	InTime,  ///< Can finish within its objective.
+	Late,    ///< Can only finish late.
+	NoCredit ///< Cannot finish within three times its objective, after which it earns nothing.
 };
 
-/// One job of the cell.
+/// One job of the cell. A unit is one step in one round, and indexes the vectors below.
 struct CellJob
 {
 	JobSpec spec;
 	JobRecord record;
-	std::vector<std::vector<VolatileTaskState>> volatile_state; ///< As record.steps.
-	std::vector<StepSeen> seen;                                 ///< Likewise.
+	std::vector<std::vector<VolatileTaskState>> volatile_state; ///< By unit and task.
+	std::vector<StepSeen> seen;                                 ///< By unit.
 	CrashCounts crashes;                                        ///< In the log whenever `record` is.
-	CrashCasesByTask crash_cases;                               ///< As restored, until the cell begins; then they are in `crashes`.
-	bool crashes_logged = false;                                ///< Whether the log has such a record, or the append under way will.
-	EJobPhase logged_phase = EJobPhase::Queued;                 ///< The phase that the log holds: what callers are told.
-	EJobPhase appending_phase = EJobPhase::Queued;              ///< The phase in the append under way.
+	CrashCasesByTask crash_cases;                               ///< As restored; merged into `crashes` when the cell begins.
+	bool crashes_logged = false;                                ///< Crash records are in the log or in the append in flight.
+	EJobPhase logged_phase = EJobPhase::Queued;                 ///< Phase in the log: what callers are told.
+	EJobPhase appending_phase = EJobPhase::Queued;              ///< Phase in the append in flight.
 	bool spec_logged = false;
 	bool spec_appending = false;
 	Millis arrived_at = 0;
-	Millis ranked_at = -1; ///< When hope and due_key were worked out; -1: the job has changed since.
+	Millis ranked_at = -1; ///< When `outlook` and `order_key` were computed; -1: the job has changed since.
 	EDeadlineOutlook outlook = EDeadlineOutlook::InTime;
-	int64 order_key = 0;                 ///< When it is due, later for larger jobs: small ones go first where room is short.
-	std::map<size_t, StepAdvice> advice; ///< By number of a step's record; queues with a policy only.
+	int64 order_key = 0;                 ///< Due time, plus a penalty for remaining work: small jobs go first when capacity is short.
+	std::map<size_t, StepAdvice> advice; ///< By unit; only for queues with a policy.
 
-	/// Number of a step's record.
+	/// Index of the unit of a step in a round.
 	size_t Unit(uint32 inRound, uint32 inStep) const { return static_cast<size_t>(inRound) * this->spec.steps.size() + inStep; }
 	const StepSpec &StepOf(size_t inUnit) const { return this->spec.steps[inUnit % this->spec.steps.size()]; }
 };
 
-/// A record for the cell's log: the newest of a key counts; an empty value removes the key.
+/// A log record: the newest value of a key counts; an empty value removes the key.
 struct KeyedRecord
 {
 	std::string key;
 	std::string value;
 };
 
-/// Ends that a worker has listed to an owner whose log does not hold them.
+/// Ends that a worker has reported to an owner whose log does not contain them.
 struct EndReport
 {
 	std::string worker;
-	uint64 epoch = 0; ///< Of the owner that asked.
+	uint64 epoch = 0; ///< Of the owner that polled the worker.
 	std::vector<EndedRow> ended;
 
 	template <class Archive>
@@ -323,19 +336,19 @@
 	}
 };
 
-/// What an entry host puts into a cell's inbox.
+/// Kinds of records that hosts write to a cell's inbox.
 enum class EInbox : uint8
 {
 	Submit,
 	Cancel,
-	Ends ///< From a host that has owned the cell.
+	Ends ///< From a former owner of the cell.
 };
 
 struct InboxRecord
 {
 	EInbox kind = EInbox::Submit;
-	JobSpec spec;     ///< Cancel: only id and queue. Ends: nothing.
-	EndReport ends{}; ///< Ends only: others are read by hosts of versions that do not know it.
+	JobSpec spec;     ///< Cancel: only id, queue and team are used. Ends: unused.
+	EndReport ends{}; ///< Serialized for Ends only: hosts of versions without this member read the other kinds.
 
 	template <class Archive>
 	void serialize(Archive &ioArchive)
