--- a/Loomreach/Schedule/Cell.cpp
+++ b/Loomreach/Schedule/Cell.cpp
@@ -1,4 +1,4 @@
-// Records of a cell: taking them in at take-over, writing them in batches, answering callers from what the log holds.
+// Log records of a cell: applying them at take-over, writing them in appends, and answering callers from what the log contains.
 
 #include <Loomreach/Loomreach.h>
 
@@ -11,20 +11,20 @@
 namespace Loomreach::Jobs
 {
 
-// Keys of a cell's log: one letter, then the job's id.
+// Keys of a cell's log. Per-job and per-worker keys are one letter followed by the id. Versions that do not know a key skip it.
 static constexpr char cSpecKey = 'j';
 static constexpr char cStateKey = 's';
-static constexpr char cCrashKey = 'x';       ///< Only where a worker has crashed under a task of the job.
-static constexpr char cCrashCaseKey = 'r';   ///< Likewise: what else may have caused the crashes. Earlier versions pass it over.
-static constexpr char cLocationKey = 'w';    ///< With a worker's id.
-static constexpr char cIncarnationKey = 'b'; ///< Likewise: which life of it the cell's runs were placed on. Earlier versions pass it over.
-static constexpr char cDrainGrantKey = 'p';  ///< Likewise: how long a promise lasts that it is empty. Earlier versions pass it over.
+static constexpr char cCrashKey = 'x';       ///< Job: its tasks' crash counts, once a worker has crashed under one.
+static constexpr char cCrashCaseKey = 'r';   ///< Job: possible causes of these crashes. Unknown to earlier versions.
+static constexpr char cLocationKey = 'w';    ///< Worker: its location.
+static constexpr char cIncarnationKey = 'b'; ///< Worker: the incarnation that runs were placed on. Unknown to earlier versions.
+static constexpr char cDrainGrantKey = 'p';  ///< Worker: length of its drain grant. Unknown to earlier versions.
 static constexpr std::string_view cCursorKey = "c";
 static constexpr std::string_view cTimesKey = "t";
 static constexpr std::string_view cLeaseKey = "l";
-/// Learned run times are written this often, with whatever is written anyway.
+/// Learned run times are logged at this interval, along with other records.
 static constexpr int64 cRunTimesWriteMs = 3000;
-/// Ended jobs are looked through this often.
+/// Interval for sweeping ended jobs.
 static constexpr int64 cEndedSweepMs = 5000;
 
 bool Cell::Restore(std::string_view inKey, std::string_view inValue)
@@ -103,7 +103,7 @@
 {
 	if (inValue.empty())
 	{
-		// It may have been promised empty since
+		// A drain grant may have been logged since
 		auto found = this->workers.find(inWorker);
 		if (found != this->workers.end() && found->second.logged_grant_ms == 0)
 			this->workers.erase(found);
@@ -123,7 +123,7 @@
 
 bool Cell::RestoreIncarnation(const std::string &inWorker, std::string_view inValue)
 {
-	// The place is removed with it
+	// The location is removed in the same append
 	if (inValue.empty())
 		return true;
 	const std::optional<int64> born = DecodeValue<int64>(inValue);
@@ -163,7 +163,7 @@
 	for (auto it = this->jobs.begin(); it != this->jobs.end();)
 	{
 		CellJob &job = it->second;
-		// Both keys are written in one append, so a job without its spec is one whose removal was read half-way
+		// Both keys are written in one append, so a job without its spec was read in the middle of its removal
 		if (!job.spec_logged || job.record.steps.size() != job.spec.steps.size() * job.spec.Rounds())
 		{
 			LogEvent(ELogLevel::Warning, "job_incomplete").Field("request", it->first);
@@ -182,14 +182,15 @@
 		}
 		++it;
 	}
-	// A predecessor may have given them right up to now
+	// A previous owner may have issued the grants just now
 	for (auto &[id, worker] : this->workers)
 		if (worker.logged_grant_ms > 0)
 		{
 			worker.drain_until = inNow + worker.logged_grant_ms;
 			worker.drain_grant_until = worker.drain_until;
 		}
-	// Leases that are about to be extended are otherwise known to nobody but this owner; later the record goes with others
+	// With runs to extend, the lease length is logged at once, since only this owner knows it otherwise; later changes go with other
+	// records
 	const bool has_runs =
 		std::any_of(this->workers.begin(), this->workers.end(), [](const auto &inWorker) { return !inWorker.second.runs.empty(); });
 	this->unwritten_changes = has_runs && !this->leases.IsLogged();
@@ -211,7 +212,7 @@
 				worker.entry.id = run.worker;
 				worker.listed = false;
 				worker.unlisted_at = inNow;
-				// A predecessor may have extended the lease right up to now
+				// A previous owner may have extended the lease just now
 				worker.lease_expires_at = inNow + LongestLease(this->leases.Longest(inNow));
 				const size_t steps = ioJob.spec.steps.size();
 				const RunId id{{ioJob.spec.id, static_cast<uint32>(unit / steps), static_cast<uint32>(unit % steps), index}, run.run};
@@ -231,11 +232,11 @@
 		present.insert(entry.id);
 		const auto [found, is_unknown] = this->workers.try_emplace(entry.id);
 		CellWorker &worker = found->second;
-		// It may have been known before, and have seen the token of a later life than the first
+		// The worker may have been known before and have seen the tokens of later incarnations
 		if (is_unknown)
 			worker.incarnation_number = this->incarnations_begun;
 		const bool is_new = worker.entry.pool.empty();
-		// Written late, it says nothing of the life that there is now
+		// An entry of a previous incarnation says nothing about the current one
 		if (!this->UpdateIncarnation(worker, entry, inNow))
 			continue;
 		const bool drains_now = entry.draining && !worker.entry.draining;
@@ -265,14 +266,14 @@
 				.Field("runs", worker.runs.size())
 				.Field("trusted_ms", std::max<Millis>(inAssumePresentUntil - inNow, 0));
 		}
-		// Nothing is remembered of a worker that left and has nothing, but what was said of its host: its entry may come back before that
-		// is over
-		const bool bound = inNow < std::max({worker.drain_until, worker.drain_grant_until, worker.removed_until});
-		// And until the log holds its ends, they are part of what a successor must know
-		const bool forget = !worker.IsPresent(inNow) && worker.IsIdleAndLogged() && !worker.poll_in_flight && !bound;
-		if (forget && (worker.location_logged || worker.appending_grant_ms > 0))
+		// A worker that left is removed once it has no runs. Drain and removal times are kept, since its entry may return before they have
+		// passed
+		const bool is_retained = inNow < std::max({worker.drain_until, worker.drain_grant_until, worker.removed_until});
+		// Until its ends are in the log, a successor needs them
+		const bool remove = !worker.IsPresent(inNow) && worker.IsIdleAndLogged() && !worker.poll_in_flight && !is_retained;
+		if (remove && (worker.location_logged || worker.appending_grant_ms > 0))
 			this->removed_workers.push_back(it->first);
-		it = forget ? this->workers.erase(it) : std::next(it);
+		it = remove ? this->workers.erase(it) : std::next(it);
 	}
 }
 
@@ -297,7 +298,7 @@
 
 void Cell::SetEvacuated(const std::set<std::string> &inZones, Millis inNow)
 {
-	// A zone that is taken back may have gone cold: others go first for a while
+	// Workers of a zone that returns to service may be cold, so others are preferred for a while
 	for (auto &[id, worker] : this->workers)
 		if (this->IsEvacuated(worker) && !inZones.contains(worker.entry.availability_zone))
 			worker.slow_until = std::max(worker.slow_until, inNow + this->tuning.slow_ms);
@@ -344,7 +345,7 @@
 	this->unwritten_changes = true;
 }
 
-/// The caller's guesses of the steps' run times, for the log.
+/// The caller's run time estimates of the steps, for the log line.
 static std::string EstimatesText(const JobSpec &inSpec)
 {
 	std::string text;
@@ -355,7 +356,7 @@
 
 void Cell::Ingest(const InboxRecord &inRecord, uint64 inOffset, Millis inNow, int64 inWallNow)
 {
-	// Reading goes on where the log says, so a record may come twice
+	// Reading resumes at the logged position, so a record may be read twice
 	if (inOffset < this->inbox_next)
 		return;
 	this->inbox_next = inOffset + 1;
@@ -366,19 +367,19 @@
 	CellJob *known = this->FindJob(id);
 	if (inRecord.kind == EInbox::Cancel)
 	{
-		const bool others = known != nullptr && IsOtherTeam(known->spec.team, inRecord.spec.team);
-		const bool ends_it = known != nullptr && !others && !IsFinal(known->record.phase);
+		const bool is_other_team = known != nullptr && IsOtherTeam(known->spec.team, inRecord.spec.team);
+		const bool cancels_job = known != nullptr && !is_other_team && !IsFinal(known->record.phase);
 		LogEvent(ELogLevel::Info, "cancel")
 			.Field("request", id)
-			.Field("outcome", ends_it ? "canceled" : (others ? "another team's job" : "nothing to cancel"));
-		if (!ends_it)
+			.Field("outcome", cancels_job ? "canceled" : (is_other_team ? "another team's job" : "nothing to cancel"));
+		if (!cancels_job)
 			return;
 		known->record.ended_wall_ms = inWallNow;
 		this->CloseJob(*known, EJobPhase::Canceled, "caller");
 		this->StopAll(*known, "canceled", inNow);
 		return;
 	}
-	// One id is one job, however often it is sent
+	// A job id is accepted once, however often it is submitted
 	if (known != nullptr)
 	{
 		LogEvent(ELogLevel::Info, "job_repeated").Field("request", id).Field("offset", inOffset);
@@ -491,10 +492,10 @@
 			continue;
 		if (!std::exchange(worker.location_logged, true))
 			outBatch.push_back({cLocationKey + id, EncodeValue(WorkerLocation{worker.entry.address, worker.entry.availability_zone})});
-		// While a former life's ends may still be handed in, whoever comes next must wait for them too
-		const bool awaits =
+		// While ends of a previous incarnation may still be submitted, a successor must wait for them too
+		const bool awaits_ends =
 			std::any_of(worker.runs.begin(), worker.runs.end(), [](const auto &inRun) { return inRun.second.predecessor_wait_until > 0; });
-		if (!awaits && std::exchange(worker.logged_started_ms, worker.born_ms) != worker.born_ms)
+		if (!awaits_ends && std::exchange(worker.logged_started_ms, worker.born_ms) != worker.born_ms)
 			outBatch.push_back({cIncarnationKey + id, EncodeValue(worker.born_ms)});
 	}
 }
@@ -517,9 +518,9 @@
 
 std::vector<KeyedRecord> Cell::TakeBatch(int64 inWallNow)
 {
-	LOOM_INVARIANT(!this->batch_under_way, "one append at a time, or records could pass one another");
+	LOOM_INVARIANT(!this->batch_under_way, "only one append may be in flight, or records could reach the log out of order");
 	std::vector<KeyedRecord> batch;
-	// What one append can't hold goes into several. Ends and the place in the inbox are in the log only with the last of them
+	// Changes that exceed one append are written as a series. Ends and the inbox position count as logged only with its last append
 	const bool begins = this->jobs_to_write.empty();
 	if (begins)
 		this->BeginAppendSeries();
@@ -542,7 +543,7 @@
 		batch.push_back({std::string(cLeaseKey), EncodeValue(*lease)});
 	}
 	this->inbox_writing = whole ? this->inbox_to_write : this->inbox_logged;
-	// While a series was written, more may have come
+	// Further changes may have been made during the series
 	this->unwritten_changes = !begins || !whole;
 	if (whole)
 		this->replicator.OnWriting();
@@ -647,11 +648,11 @@
 {
 	for (const auto &[id, worker] : this->workers)
 	{
-		// It may have left by the time it is asked again; and a successor knows nothing of what was promised
-		// What an unlisted worker has just told is heard here, or only after a successor's look
-		const bool telling = worker.poll_in_flight && !worker.listed;
-		const bool settled = worker.AreEndsLogged() && inNow >= worker.drain_grant_until && !telling;
-		if (!settled)
+		// A worker may leave before a successor polls it, and a successor does not know until when drain grants are in force. An unlisted
+		// worker that is answering a poll now must be heard by this owner first
+		const bool is_answering = worker.poll_in_flight && !worker.listed;
+		const bool is_ready = worker.AreEndsLogged() && inNow >= worker.drain_grant_until && !is_answering;
+		if (!is_ready)
 			return false;
 	}
 	return true;
--- a/Loomreach/Schedule/CellMisses.cpp
+++ b/Loomreach/Schedule/CellMisses.cpp
@@ -1,4 +1,5 @@
-// Which tasks that last may miss: stops of them while a worker drains, has left the list or is emptied.
+// Stops long-running tasks on workers that drain, have left the worker list or are drained for maintenance, within the number of tasks of a
+// step that may be unavailable at once.
 
 #include <Loomreach/Loomreach.h>
 
@@ -8,27 +9,27 @@
 namespace Loomreach::Jobs
 {
 
-/// A task is at work at this progress.
+/// Progress at which a long-running task is up.
 static constexpr int64 cAtWorkPercent = 100;
-/// A task counts as at work if its worker said so this lately: two of the looks that are made while a worker is emptied. The users' rule
-/// counts a task as away by itself after 4.5 s.
+/// A task counts as up if its worker reported so within this time, which spans two polls during a drain. The availability rule of the users
+/// counts a task as unavailable after 4.5 s.
 static constexpr Millis cAtWorkFreshMs = 1200;
 
-/// A worker takes at most this long to stop a run (users' figures 0.4 and 0.9 s), and half as long again.
+/// Longest time a worker takes to stop a run: 0.4 to 0.9 s as specified, and half as much again.
 static constexpr Millis cMaxStopMs = 1400;
-/// An order without an answer is not expected to be carried out later than this: the users say "seconds", the cell's small world 12 s.
+/// Longest expected delay of an order without an answer. The platform specifies "seconds"; the simulation delays orders by up to 12 s.
 static constexpr Millis cMaxStopDelayMs = 12000;
-/// An entry that has only lapsed is back within this (the users' figure).
+/// Time within which an entry that only expired returns to the worker list, as specified by the platform.
 static constexpr Millis cRelistMs = 2000;
 
 void Cell::StopRunsOnLeavingWorker(CellWorker &ioWorker, Millis inNow)
 {
-	// Some workers never say that they leave: their entry goes, and they serve on for a while
-	const bool silent =
+	// Some workers do not announce that they leave: their entry disappears, and they keep serving for a while
+	const bool left_unannounced =
 		!ioWorker.listed && ioWorker.reachable && inNow >= std::max(ioWorker.assumed_present_until, ioWorker.unlisted_at + cRelistMs);
-	if ((!ioWorker.entry.draining && !silent) || ioWorker.runs.empty())
+	if ((!ioWorker.entry.draining && !left_unannounced) || ioWorker.runs.empty())
 		return;
-	// What lasts dies with the worker: better restarted now than missed until a lease is over
+	// Long-running tasks end with the worker. Restarting them now avoids an outage until the lease expires
 	std::vector<RunId> leaving;
 	for (const auto &[id, run] : ioWorker.runs)
 		if (run.lasting && run.state == ERunState::Confirmed)
@@ -36,7 +37,7 @@
 	for (const RunId &id : leaving)
 	{
 		const CellJob *job = this->FindJob(id.task.job);
-		// It has not said so: one by one, as if it were emptied
+		// Without an announcement they are stopped one by one, as for a drain
 		if (!ioWorker.entry.draining &&
 			(job == nullptr || !this->MayBeUnavailable(*job, job->Unit(id.task.round, id.task.step), id.task.index, inNow)))
 			continue;
@@ -44,11 +45,12 @@
 	}
 }
 
-/// Whether a predecessor's order to stop may still be under way: it looks like work until its end. Once the worker has heard the higher
-/// token, no further such order reaches it.
+/// Whether a previous owner's stop order may still be in effect: the run appears to be up until it ends. Once the worker has seen the
+/// higher token, it refuses further orders of that owner.
 static bool MayBeStopping(const Run &inRun, Millis inNow) { return inRun.inherited && inNow - inRun.confirmed_at < cMaxStopMs; }
 
-/// Whether a run was ordered to stop without an answer, and is at work long after. The stops of two such runs must not wait for each other.
+/// Whether a run was ordered to stop without an answer, and is still up long after. The stops of two such runs must not wait for each
+/// other.
 static bool HasSurvivedStop(const Run &inRun, Millis inNow)
 {
 	const bool unanswered = inRun.state == ERunState::Stopping && !inRun.stop_sent && inRun.stop_acked_at < 0 && inRun.next_stop_at > 0;
@@ -59,7 +61,7 @@
 {
 	const StepSpec &step = inJob.StepOf(inUnit);
 	const std::vector<TaskRecord> &tasks = inJob.record.steps[inUnit].tasks;
-	uint32 away = 0;
+	uint32 unavailable = 0;
 	for (uint32 index = 0; index < tasks.size(); ++index)
 	{
 		if (index == inTask)
@@ -68,7 +70,7 @@
 		for (const RunRecord &record : tasks[index].runs)
 		{
 			auto worker = this->workers.find(record.worker);
-			// What a worker last said counts only while it goes on saying it
+			// A worker's last report counts only while the worker keeps answering
 			const bool heard =
 				worker != this->workers.end() && worker->second.reachable && inNow - worker->second.last_answer_at <= cAtWorkFreshMs;
 			if (!heard)
@@ -80,9 +82,9 @@
 				at_work = (run->second.state == ERunState::Confirmed || HasSurvivedStop(run->second, inNow)) &&
 						  run->second.percent >= cAtWorkPercent && !MayBeStopping(run->second, inNow);
 		}
-		away += at_work ? 0 : 1;
+		unavailable += at_work ? 0 : 1;
 	}
-	return step.limits_misses ? away < step.may_miss : away == 0;
+	return step.limits_misses ? unavailable < step.may_miss : unavailable == 0;
 }
 
 bool Cell::IsStopLimited(const CellWorker &inWorker, const RunId &inRun) const
@@ -96,14 +98,13 @@
 
 bool Cell::MayStopUnconfirmed(const CellWorker &inWorker, const RunId &inId, const Run &inRun, Millis inNow) const
 {
-	// A start that is carried out late may be at work when the stop comes. Once its own lease is over it does nothing, so that a stop ends
-	// nothing either
+	// A late start may bring the task up just before the stop arrives. Once the start's own lease has expired, neither has an effect
 	return !this->IsStopLimited(inWorker, inId) || inWorker.ClockAt(inNow) >= inRun.start_expires_at;
 }
 
 bool Cell::MaySendStop(const CellWorker &inWorker, const RunId &inId, const Run &inRun, Millis inNow) const
 {
-	// What was never seen there, and can no longer come, is not at work
+	// A run that was never seen there and can no longer start is not up
 	if (inRun.confirmed_at < 0 || !this->IsStopLimited(inWorker, inId))
 		return true;
 	const CellJob &job = this->jobs.at(inId.task.job);
@@ -146,7 +147,7 @@
 		return false;
 	ioWorker.drain_grant_ms = std::max(ioWorker.drain_grant_ms, inForMs);
 	this->unwritten_changes = this->unwritten_changes || ioWorker.appending_grant_ms < inForMs;
-	// Its host may be taken down when this owner has gone
+	// Its host may be taken down after this owner is gone
 	if (ioWorker.logged_grant_ms < inForMs || ioWorker.restart_suspected || !ioWorker.IsIdleAndLogged() || !ioWorker.AreEndsAcknowledged())
 		return false;
 	ioWorker.drain_grant_until = ioWorker.drain_until;
