--- a/Loomreach/Schedule/CellPlan.cpp
+++ b/Loomreach/Schedule/CellPlan.cpp
@@ -1,4 +1,4 @@
-// Decisions of a cell: what starts where, what is moved away, what is paced.
+// Planning decisions of a cell: where runs are placed, which runs are moved away from slow workers, and which are throttled.
 
 #include <Loomreach/Loomreach.h>
 
@@ -10,48 +10,50 @@
 namespace Loomreach::Jobs
 {
 
-/// Pacing holds the tail between these shares of its target: above the first, others slow down; below the second, they speed up.
+/// Throttling keeps tail latency between these shares of its target: above the first best-effort runs slow down, below the second they
+/// speed up.
 static constexpr int64 cTailHighPercent = 75;
 static constexpr int64 cTailLowPercent = 50;
 static constexpr int64 cThrottleCutPercent = 50; ///< Multiplicative decrease.
-static constexpr int64 cThrottleStep = 10;       ///< Additive increase, points.
+static constexpr int64 cThrottleStep = 10;       ///< Additive increase, in percentage points.
 static constexpr int64 cFullSpeedPercent = 100;
-/// Weights of the placement score: a rack with the data halves the run time, so it outweighs any balance of load.
+/// Weights of the placement score. A rack with the task's data halves the run time and outweighs any load balance.
 static constexpr double cDataRackWeight = 10.0;
-static constexpr double cNeighbourWeight = 2.0; ///< For each serving neighbour of a task that serves or fills.
-/// A job that ends later than this many times its objective earns nothing (the users' rule).
+static constexpr double cNeighbourWeight = 2.0; ///< Per latency-sensitive or best-effort neighbour of such a task.
+/// A job that ends later than this many times its objective earns nothing, by the users' rule.
 static constexpr int64 cCreditObjectives = 3;
-/// A step whose time should be over has this part of it left.
+/// A step that has exceeded its expected time is assumed to need this fraction (1/n) of it still.
 static constexpr Millis cOverdueDivisor = 5;
-/// Weight of a task's run time against what was expected of its step: tasks of a step differ by a quarter of their mean, steps by half.
+/// Weight of an observed run time against the prior estimate: run times within a step differ by a quarter of their mean, between steps by
+/// half.
 static constexpr Millis cObservedWeight = 3;
-/// Each second of a core that a job still needs puts it this much later in the order.
+/// Each core-second of remaining work moves a job back by this much in the planning order.
 static constexpr int64 cOrderMsPerCoreSecond = 30;
 static constexpr double cFreeShareWeight = 1.0;
 static constexpr double cLongRunningPackingWeight = 0.5;
 static constexpr double cSameRackWeight = 1.5;
 static constexpr double cSameZoneWeight = 0.5;
-/// A run is far slower than expected after this many times the expected run time, and if what is left at its pace is worth this many fresh
-/// runs: run times of one kind spread by half their mean, so twice the mean alone says little.
+/// A run is a straggler after this many times the expected run time, if its remaining time at the current speed exceeds this many fresh
+/// runs. Run times of one kind vary by half their mean, so twice the mean alone is weak evidence.
 static constexpr Millis cStragglerTimes = 2;
 static constexpr Millis cStragglerGain = 2;
 static constexpr Millis cStragglerLeastMs = 400;
 static constexpr uint32 cMaxSlowRuns = 1;
 static constexpr Millis cProgressFreshMs = 200;
-/// For each run on a worker that may be lost by a trial: fewest first, whatever else speaks for it.
+/// Penalty per run that a trial run may crash along with the worker. Outweighs everything else.
 static constexpr double cTrialWeight = 20.0;
-/// A worker that is avoided for its speed stands behind all others with room.
+/// Penalty of a slow worker. Ranks it behind all others with capacity.
 static constexpr double cSlowWeight = 5.0;
 
-/// A job's place in the order is worked out anew this often, and whenever the job changes.
+/// A job's rank is recomputed at this interval, and whenever the job changes.
 static constexpr Millis cRankIntervalMs = 100;
 
-/// A job's place in the order of planning.
+/// A job with its rank in the planning order.
 struct RankedJob
 {
 	EDeadlineOutlook outlook = EDeadlineOutlook::InTime;
 	uint32 priority = 0;
-	int64 key = 0; ///< When it is due, later for larger jobs.
+	int64 key = 0; ///< Due time, later for larger jobs.
 	CellJob *job = nullptr;
 
 	bool operator<(const RankedJob &inOther) const
@@ -106,7 +108,7 @@
 
 int64 Cell::DueWall(const CellJob &inJob) const
 {
-	// Lasting jobs earn from the first second
+	// Long-running jobs earn from their first second
 	const int64 from = inJob.spec.times > 0 ? std::max(inJob.spec.first_wall_ms, inJob.spec.accepted_wall_ms) : inJob.spec.accepted_wall_ms;
 	if (inJob.spec.steps[0].lasting)
 		return from;
@@ -142,7 +144,7 @@
 
 void Cell::UpdateRank(CellJob &ioJob, Millis inNow, int64 inWallNow) const
 {
-	// Over a whole queue this is most of a planning's work, and moves slowly
+	// Over a long queue this dominates the planning time, and the result changes slowly
 	if (ioJob.ranked_at >= 0 && inNow - ioJob.ranked_at < cRankIntervalMs)
 		return;
 	ioJob.ranked_at = inNow;
@@ -154,7 +156,7 @@
 {
 	for (size_t unit = 0; unit < inJob.record.steps.size(); ++unit)
 	{
-		// A time that has not come yet comes without any other change
+		// A scheduled start time arrives without any other change
 		if (!this->IsDue(inJob, unit, inWallNow))
 		{
 			if (inJob.spec.times > 0)
@@ -182,11 +184,11 @@
 		order.push_back({job.outlook, job.spec.priority, job.order_key, &job});
 	}
 	std::sort(order.begin(), order.end());
-	for (const RankedJob &place : order)
+	for (const RankedJob &entry : order)
 	{
-		this->PlanJob(*place.job, inNow, inWallNow);
-		if (!this->HasTasksToStart(*place.job, inWallNow))
-			this->jobs_to_plan.erase(place.job->spec.id);
+		this->PlanJob(*entry.job, inNow, inWallNow);
+		if (!this->HasTasksToStart(*entry.job, inWallNow))
+			this->jobs_to_plan.erase(entry.job->spec.id);
 	}
 }
 
@@ -257,10 +259,10 @@
 			this->AskAdvice(ioJob, inUnit, inNow);
 			continue;
 		}
-		// A straggler keeps away from one worker that is good enough for its like
+		// Only this task avoids that worker; the others of the step may use it
 		if (worker == nullptr && inNow < ioJob.volatile_state[inUnit][index].slow_until)
 			continue;
-		// What one task of the step does not find, its like will not find either
+		// Other tasks of the step will not find a worker either
 		if (worker == nullptr)
 			return this->AskAdvice(ioJob, inUnit, inNow);
 		++(*on_worker)[worker->entry.id];
@@ -274,7 +276,7 @@
 	uint32 last_run = 0;
 	for (uint32 index = 0; index < tasks.size(); ++index)
 	{
-		// All members or none: earlier runs must be over everywhere
+		// Gang members start together: all earlier runs must have ended everywhere
 		const bool free = !tasks[index].done && tasks[index].runs.empty() && ioJob.volatile_state[inUnit][index].not_before <= inNow;
 		if (!free)
 			return;
@@ -282,7 +284,7 @@
 	}
 	if (!this->FitsTeamLimit(ioJob, inUnit, static_cast<int64>(tasks.size()), inNow))
 		return;
-	// Room is taken member by member, and given back if one finds none
+	// Capacity is reserved member by member, and released if one finds none
 	std::map<std::string, uint32> on_worker;
 	std::vector<CellWorker *> places;
 	const StepSpec &step = ioJob.StepOf(inUnit);
@@ -312,13 +314,13 @@
 		return false;
 	if (inWorker.restart_suspected || inWorker.unsized_runs > 0 || this->IsEvacuated(inWorker))
 		return false;
-	// What the list says of its room, its kind and its rack is of its former life
+	// The listed capacity, kind and rack belong to a previous incarnation
 	if (IsBornAfter(inWorker.born_ms, inWorker.entry.born_ms))
 		return false;
 	if (inNow < inWorker.backoff_until || inNow < inWorker.drain_until || inNow < inWorker.quarantine_until ||
 		inNow < inWorker.removed_until)
 		return false;
-	// After quarantine one trial at a time
+	// After quarantine, one run at a time
 	return inWorker.consecutive_failures < cFailuresToQuarantine || inWorker.runs.empty();
 }
 
@@ -335,23 +337,23 @@
 {
 	const StepSpec &step = inJob.StepOf(inUnit);
 	const double cores = std::max<double>(1.0, static_cast<double>(inWorker.entry.capacity.cpu_milli));
-	// Work is packed, so that hosts come free for other pools and for maintenance
+	// Runs are packed to free whole hosts for other pools and for maintenance
 	double score = inWorker.slow_until > this->now ? -cSlowWeight : 0.0;
 	score -= cFreeShareWeight * static_cast<double>(inWorker.Free().cpu_milli) / cores;
 	if (!step.data_rack.empty() && inWorker.entry.rack == step.data_rack)
 		score += cDataRackWeight;
-	const bool shares = step.target_ms > 0 || step.fills;
-	if (!step.lasting && !shares)
+	const bool affects_latency = step.target_ms > 0 || step.fills;
+	if (!step.lasting && !affects_latency)
 		return score;
 	for (const auto &[id, run] : inWorker.runs)
 	{
-		// Tasks that serve suffer from neighbours that fill or serve; others that last are best kept on few hosts
-		if (shares && (run.latency_sensitive || run.fills))
+		// Latency-sensitive tasks suffer from latency-sensitive or best-effort neighbours; other long-running tasks are packed
+		if (affects_latency && (run.latency_sensitive || run.fills))
 			score -= cNeighbourWeight;
-		else if (run.lasting && !shares)
+		else if (run.lasting && !affects_latency)
 			score += cLongRunningPackingWeight;
 	}
-	// The loss of a rack or a zone should take few tasks of one step
+	// Spreads the tasks of a step, so that losing a rack or a zone takes few of them
 	for (const TaskRecord &task : inJob.record.steps[inUnit].tasks)
 		for (const RunRecord &run : task.runs)
 		{
@@ -371,7 +373,7 @@
 	const VolatileTaskState &state = inJob.volatile_state[inUnit][inTask];
 	const std::string &failed_on = state.last_failed_worker;
 	const Resources reserved = step.Room();
-	// Something as small has been tried for this pool already
+	// A task that requested no more has found no worker in this pass
 	for (const PlanReject &reject : this->capacity_rejects)
 		if (reject.pool == inJob.spec.pool && reject.reserved.FitsInto(reserved))
 			return nullptr;
@@ -384,7 +386,7 @@
 		if (worker.entry.pool != inJob.spec.pool || !this->CanAcceptRuns(worker, inNow) || !reserved.FitsInto(worker.Free()))
 			continue;
 		any_fits = true;
-		// Stopped there to be started elsewhere, it waits until another worker has room
+		// It was stopped there as a straggler, and waits for another worker
 		if (id == state.slow_worker && inNow < state.slow_until)
 			continue;
 		if (!this->AllowsStart(worker, trial, inNow))
@@ -396,10 +398,10 @@
 		if (step.max_per_worker > 0 && here >= step.max_per_worker)
 			continue;
 		double score = this->ScoreOf(worker, inJob, inUnit);
-		// Where little else runs, little is lost if it crashes this worker too
+		// A crash in a trial run should take few other runs with it
 		if (trial != ETrial::None)
 			score -= cTrialWeight * static_cast<double>(worker.runs.size());
-		// Where it failed before, others go first
+		// Other workers are preferred to the one where it failed
 		if (id == failed_on)
 			score -= cDataRackWeight * 2;
 		if (best != nullptr && score <= best_score)
@@ -418,11 +420,11 @@
 	const size_t steps = ioJob.spec.steps.size();
 	const RunId id{{ioJob.spec.id, static_cast<uint32>(inUnit / steps), static_cast<uint32>(inUnit % steps), inTask}, inRun};
 	Run run = NewRun(ioJob.spec, step, ERunState::Planned, inNow);
-	LOOM_INVARIANT(run.reserved.FitsInto(ioWorker.Free()), "a worker is never told to run more than it has room for");
-	LOOM_INVARIANT(this->teams.HasRoom(run.team, run.requested, inNow), "a team never has more running than its share here");
+	LOOM_INVARIANT(run.reserved.FitsInto(ioWorker.Free()), "the runs of a worker never exceed its capacity");
+	LOOM_INVARIANT(this->teams.HasRoom(run.team, run.requested, inNow), "the runs of a team never exceed its share in this cell");
 	TaskRecord &task = ioJob.record.steps[inUnit].tasks[inTask];
-	LOOM_INVARIANT(inRun > task.last_run, "run numbers always rise");
-	LOOM_INVARIANT(task.runs.empty() || step.may_copy, "a task has one run at a time");
+	LOOM_INVARIANT(inRun > task.last_run, "run numbers of a task increase");
+	LOOM_INVARIANT(task.runs.empty() || step.may_copy, "a task has one run at a time unless its step allows copies");
 	if (ioJob.spec.advised)
 		run.ticket = ioJob.advice[inUnit].tickets[ioWorker.entry.id].text;
 	run.trial = Cell::TrialOf(ioJob, inUnit, inTask, inNow);
@@ -469,12 +471,12 @@
 	for (const auto &[id, run] : ioWorker.runs)
 		if (IsDispatched(run.state))
 			lapsed.push_back(id);
-	// Closed since its last answer, its process has gone; a silent one may have been cut off, and runs on
+	// Connections closed after the last answer show that the process has ended; an unresponsive worker may be partitioned and still run
 	if ((ioWorker.connections_closed_at >= 0 || ioWorker.ended) && !lapsed.empty())
 		this->AttributeCrash(ioWorker, inNow);
-	// Nothing was extended since: wherever the worker is, its leases are over
+	// Nothing has extended the leases, so they have expired wherever the worker is
 	for (const RunId &id : lapsed)
-		this->EndRun(ioWorker, id, ERunEnd::Lapsed, "", "lease over without an answer", inNow);
+		this->EndRun(ioWorker, id, ERunEnd::Lapsed, "", "lease expired without an answer", inNow);
 }
 
 Millis Cell::ExpectedRunMs(const CellJob &inJob, size_t inUnit) const
@@ -483,7 +485,7 @@
 	const StepSeen &seen = inJob.seen[inUnit];
 	if (seen.Count() == 0)
 		return before;
-	// Tasks of one step are alike: each that has ended tells more than all that was known before
+	// Tasks of one step are alike, so observed run times outweigh the prior estimate
 	const Millis weight = cObservedWeight * static_cast<Millis>(seen.Count());
 	return (before + weight * seen.Mean()) / (1 + weight);
 }
@@ -517,13 +519,13 @@
 	const Millis planned_at = inJob.seen[inUnit].PlannedAt();
 	if (waits || planned_at < 0)
 		return span;
-	// All of it is under way; what takes longer than expected is not known to be nearly done
+	// All tasks are running. One that takes longer than expected is not known to be nearly done
 	return std::max(span - (this->now - planned_at), span / cOverdueDivisor);
 }
 
 void Cell::PlanStragglers(CellWorker &ioWorker, Millis inNow)
 {
-	// Only progress that was just reported counts, and each report once
+	// Only fresh progress counts, and each report once
 	if (ioWorker.stragglers_checked_at == ioWorker.last_answer_at || inNow - ioWorker.last_answer_at > cProgressFreshMs)
 		return;
 	ioWorker.stragglers_checked_at = ioWorker.last_answer_at;
@@ -539,7 +541,7 @@
 		const Millis elapsed = run.progress_at - run.confirmed_at;
 		if (elapsed < expected * cStragglerTimes || elapsed < cStragglerLeastMs)
 			continue;
-		// What is left at its pace, against a fresh start elsewhere
+		// Remaining time at the current speed, compared with a fresh start elsewhere
 		const Millis left = elapsed * (100 - run.percent) / std::max<int64>(run.percent, 1);
 		if (left > expected * cStragglerGain + cStragglerLeastMs)
 			slow.push_back(id);
@@ -550,9 +552,9 @@
 		const size_t unit = job.Unit(id.task.round, id.task.step);
 		const CellWorker *other = this->ChooseWorker(job, unit, id.task.index, inNow, this->CountByWorker(job, unit));
 		VolatileTaskState &state = *this->FindVolatileState(id.task);
-		// One that is slow on another worker too is long by itself: stopped again and again it would never end
-		const bool may_help = other != nullptr && other != &ioWorker && other->slow_until <= inNow && state.slow_runs < cMaxSlowRuns;
-		if (!may_help)
+		// A task that was slow on another worker too is long in itself. Stopping it again and again would keep it from ending
+		const bool try_elsewhere = other != nullptr && other != &ioWorker && other->slow_until <= inNow && state.slow_runs < cMaxSlowRuns;
+		if (!try_elsewhere)
 			continue;
 		++state.slow_runs;
 		state.slow_worker = ioWorker.entry.id;
@@ -563,7 +565,7 @@
 
 void Cell::PlanThrottles(CellWorker &ioWorker, Millis inNow)
 {
-	// One decision an answer of the worker
+	// One decision per answer of the worker
 	if (ioWorker.throttled_at >= ioWorker.last_answer_at || ioWorker.runs.empty())
 		return;
 	ioWorker.throttled_at = ioWorker.last_answer_at;
