--- a/Loomreach/Schedule/CellOrders.cpp
+++ b/Loomreach/Schedule/CellOrders.cpp
@@ -1,4 +1,4 @@
-// Orders to workers and what their answers say. What ends mean for the jobs is in CellEnds.cpp.
+// Orders to workers and the handling of their answers. What run ends mean for jobs is in CellEnds.cpp.
 
 #include <Loomreach/Loomreach.h>
 
@@ -10,7 +10,7 @@
 namespace Loomreach::Jobs
 {
 
-/// A stop that got no answer is sent again after this.
+/// An unanswered stop is sent again after this.
 static constexpr Millis cStopRetryMs = 500;
 Order Cell::NewOrder(EOrder inKind, CellWorker &ioWorker, Millis)
 {
@@ -31,14 +31,14 @@
 	const CellJob *job = this->FindJob(inRun.task.job);
 	const TaskRecord *task = this->FindTask(inRun.task);
 	if (job == nullptr || IsFinal(job->record.phase) || task == nullptr || task->done)
-		return "its task or job is over";
-	// It may say less of its room than when the run was planned
+		return "its task or job has ended";
+	// The worker may report less capacity than when the run was planned
 	if (!Resources{}.FitsInto(inWorker.Free()))
-		return "its room has shrunk";
+		return "the worker's capacity has shrunk";
 	if (this->IsEvacuated(inWorker))
 		return "its zone is evacuated";
-	const bool trial = inWorker.consecutive_failures >= cFailuresToQuarantine && inWorker.listed && !inWorker.entry.draining;
-	return this->CanAcceptRuns(inWorker, inNow) || trial ? "" : "worker cannot take it now";
+	const bool quarantine_run = inWorker.consecutive_failures >= cFailuresToQuarantine && inWorker.listed && !inWorker.entry.draining;
+	return this->CanAcceptRuns(inWorker, inNow) || quarantine_run ? "" : "the worker accepts no runs now";
 }
 
 std::map<TaskId, size_t> Cell::DispatchableMembers(const std::vector<RunId> &inRuns, Millis inNow)
@@ -50,10 +50,10 @@
 		if (job == nullptr || !job->spec.steps[id.task.step].gang)
 			continue;
 		auto worker = this->workers.find(this->start_workers[id]);
-		const bool there = worker != this->workers.end() && worker->second.runs.contains(id);
-		// Also with none: the gang is then known to be one
+		const bool is_placed = worker != this->workers.end() && worker->second.runs.contains(id);
+		// Adds the entry even if the member cannot be dispatched, since it marks the task as a gang
 		members[{id.task.job, id.task.round, id.task.step, 0}] +=
-			there && this->WhyNotDispatched(worker->second, id, inNow).empty() ? 1 : 0;
+			is_placed && this->WhyNotDispatched(worker->second, id, inNow).empty() ? 1 : 0;
 	}
 	return members;
 }
@@ -74,13 +74,13 @@
 		if (found == this->workers.end() || !found->second.runs.contains(id))
 			continue;
 		CellWorker &worker = found->second;
-		// Things may have changed while the log was written; the worker was not told, so the run simply never was
+		// Conditions may have changed during the append. The worker has not seen the run, so it can be dropped
 		const TaskRecord *task = this->FindTask(id.task);
 		std::string_view why = this->WhyNotDispatched(worker, id, inNow);
 		const TaskId gang{id.task.job, id.task.round, id.task.step, 0};
 		const auto counted = members.find(gang);
 		if (why.empty() && counted != members.end() && counted->second < job->spec.steps[id.task.step].count)
-			why = "another member cannot be told";
+			why = "another member of the gang cannot be dispatched";
 		if (!why.empty())
 		{
 			this->run_events.Dropped(id, why);
@@ -117,13 +117,13 @@
 
 void Cell::TakeStops(CellWorker &ioWorker, Millis inNow, std::vector<Order> &outOrders)
 {
-	// Found in the log, and not in the worker list yet: a stop would reach nobody
+	// Known from the log only and not listed yet, so without an address
 	if (ioWorker.entry.address.port == 0)
 		return;
 	for (auto &[id, run] : ioWorker.runs)
 	{
 		const bool due = run.state == ERunState::Stopping && !run.stop_sent && run.stop_acked_at < 0 && inNow >= run.next_stop_at;
-		// Others may have gone away since it was decided, or last sent
+		// Other tasks may have become unavailable since the stop was decided or last sent
 		if (!due || !this->MaySendStop(ioWorker, id, run, inNow))
 			continue;
 		Order order = this->NewOrder(EOrder::Stop, ioWorker, inNow);
@@ -136,7 +136,7 @@
 
 void Cell::TakePoll(CellWorker &ioWorker, Millis inNow, std::vector<Order> &outOrders)
 {
-	// A waiting look that has just ended may be followed at once only if it waited
+	// Minimum gap, also after a long poll that was answered early
 	const Millis gap = Cell::HasJustStartedTrial(ioWorker) ? this->tuning.min_trial_poll_gap_ms : this->tuning.min_poll_gap_ms;
 	if (inNow < ioWorker.last_poll_at + gap)
 		return;
@@ -163,19 +163,19 @@
 		has_long_running = has_long_running || run.lasting;
 		has_best_effort = has_best_effort || run.fills;
 	}
-	// While a worker is emptied, what lasts elsewhere must be known to be at work
+	// During a drain the state of long-running tasks elsewhere must be known
 	short_wait = (has_latency_sensitive && has_best_effort) || (has_long_running && this->draining_until > inNow);
 	const bool unlogged = ioWorker.recorded_seq > ioWorker.logged_seq;
 	const bool first = ioWorker.clock_ms < 0 || !ioWorker.reachable;
-	// Also with nothing left on it: ends are taken note of once the worker has been told so, and its host may be about to go
+	// Polls even without runs: ends count as acknowledged only once the worker has answered, and its host may be about to be removed
 	const bool unacknowledged = ioWorker.logged_seq > ioWorker.acked_seq && ioWorker.reachable;
-	const bool wanted =
+	const bool needs_poll =
 		has_dispatched || unlogged || unacknowledged || (first && ioWorker.listed) || ioWorker.poll_once || ioWorker.restart_suspected;
-	if (!wanted)
+	if (!needs_poll)
 		return;
 	Order order = this->NewOrder(EOrder::Hold, ioWorker, inNow);
-	// Another life's ends have the same numbers: only a worker that has just been heard is let forget, and by a look that does not wait
-	// there
+	// Another incarnation reuses the same numbers. So ends are acknowledged only to a worker that was just heard, by a poll that does not
+	// wait
 	const bool acknowledges = unacknowledged && !ioWorker.restart_suspected;
 	order.last_seen = acknowledges ? ioWorker.logged_seq : 0;
 	if (acknowledges && ioWorker.logged_seq > ioWorker.sent_ack_seq)
@@ -183,7 +183,7 @@
 		this->run_events.Covered(ioWorker.entry.id, ioWorker.sent_ack_seq + 1, ioWorker.logged_seq, inNow - ioWorker.ends_logged_at);
 		ioWorker.sent_ack_seq = ioWorker.logged_seq;
 	}
-	// A lease is extended only for a worker that answers: else it would never be over
+	// Leases are extended only for a worker that answers; otherwise they would never expire
 	if (has_dispatched && ioWorker.clock_ms >= 0 && ioWorker.reachable)
 	{
 		order.until_ms = ioWorker.ClockAt(inNow) + this->leases.ToGive();
@@ -193,7 +193,7 @@
 		first || unlogged || has_unverified || acknowledges || ioWorker.restart_suspected || ioWorker.ends_truncated || !has_dispatched;
 	if (!immediate)
 		order.wait_ms = short_wait ? this->tuning.short_poll_wait_ms : this->tuning.poll_wait_ms;
-	// Others wait until a run on trial has outlived its start; and a look that waits shows at once when its worker crashes
+	// Other starts wait until the trial run has survived its start, and a pending long poll shows a crash at once
 	if (has_trial)
 		order.wait_ms = std::min(order.wait_ms, this->tuning.trial_poll_wait_ms);
 	ioWorker.poll_in_flight = true;
@@ -206,7 +206,7 @@
 
 void Cell::RecordContact(CellWorker &ioWorker, const OrderAnswer &inAnswer, bool inAnswered, Millis inNow)
 {
-	// What answers for another life is not this one
+	// An answer on behalf of another incarnation does not show that this one is up
 	if (inAnswered && inAnswer.result != EOrderResult::OtherLife)
 	{
 		ioWorker.last_answer_at = inNow;
@@ -238,7 +238,7 @@
 	if (inOrder.kind == EOrder::Hold && inOrder.serial == worker.newest_poll)
 		worker.poll_in_flight = false;
 	const bool answered = inAnswer.result != EOrderResult::Unknown && inAnswer.result != EOrderResult::NotSent;
-	// An answer that may be another life's says nothing of when this one was last there
+	// If another incarnation may have answered, the answer does not show that this one is up
 	this->RecordContact(worker, inAnswer, answered && !worker.restart_suspected, inNow);
 	if (answered && inAnswer.clock_ms >= 0 && !worker.restart_suspected)
 	{
@@ -246,7 +246,7 @@
 		worker.clock_read_at = inNow;
 		worker.clock_order_sent_at = inSentAt;
 	}
-	// Only a hold proves a worker well again; any order can show that it is not
+	// Only a poll shows that a worker is healthy again; any order may show that it is not
 	const bool well = answered && inAnswer.result != EOrderResult::Unhealthy;
 	if (inOrder.kind == EOrder::Hold || !answered)
 	{
@@ -264,7 +264,7 @@
 	}
 	if (inAnswer.result == EOrderResult::OtherLife)
 	{
-		// The other life has not taken it up
+		// The other incarnation has not accepted it
 		if (inOrder.kind == EOrder::Start)
 			this->EndRun(worker, {inOrder.task, inOrder.run}, ERunEnd::Stopped, "", "its address is another life's", inNow);
 		this->OnIncarnationEnded(worker, "its address is another life's", inNow);
@@ -293,7 +293,7 @@
 		return;
 	Run &run = found->second;
 	const bool open = run.state == ERunState::Starting || run.state == ERunState::Unconfirmed;
-	// Whichever life has it, the look under way tells
+	// The poll in flight tells which incarnation has the run
 	if (inAnswer.result == EOrderResult::Done && ioWorker.restart_suspected)
 	{
 		if (open)
@@ -317,7 +317,7 @@
 			job->record.begun = true;
 			this->MarkChanged(*job);
 		}
-		// A look that was answered at once may have put off the next one: a crash on trial proves something only if it is seen at once
+		// An immediately answered poll may have delayed the next one, but a crash in a trial run is evidence only if it is seen at once
 		const bool on_trial = run.trial != ETrial::None;
 		if (on_trial || (ioWorker.next_poll_at < inNow && !ioWorker.poll_in_flight))
 			ioWorker.next_poll_at = inNow;
@@ -333,20 +333,20 @@
 		.Field("epoch", this->epoch);
 	if (inAnswer.result == EOrderResult::Unknown || inAnswer.result == EOrderResult::StaleRun)
 	{
-		// It may be carried out yet, or, where it is old, have been and be over, with an end that the worker lists: the run keeps its room
-		// until the worker says
+		// The order may still be carried out. A stale run may have started and ended, with an end that the worker lists. Either way the run
+		// keeps its resources reserved until the worker reports
 		if (open)
 		{
 			run.state = ERunState::Unconfirmed;
 			run.since = inNow;
-			// What is old comes no more: nothing is to be waited for but its end
+			// A stale run cannot start any more; only its end may follow
 			if (inAnswer.result == EOrderResult::StaleRun)
 				run.start_expires_at = 0;
 		}
 		ioWorker.next_poll_at = inNow;
 		return;
 	}
-	// Given for a former life, it would be turned away again and again
+	// A ticket that was issued for a previous incarnation would be refused repeatedly
 	if (CellJob *job = this->FindJob(inOrder.task.job); job != nullptr && inAnswer.result == EOrderResult::NoTicket)
 		job->advice[job->Unit(inOrder.task.round, inOrder.task.step)].tickets.erase(inOrder.worker);
 	if (inAnswer.result == EOrderResult::Unhealthy || inAnswer.result == EOrderResult::NoRoom)
@@ -363,7 +363,7 @@
 	Run &run = found->second;
 	run.stop_sent = false;
 	run.next_stop_at = inNow + cStopRetryMs;
-	// From here on the run can only be listed as ended, or be absent for good
+	// From now on the run is either listed as ended or absent for good
 	if (inAnswer.result == EOrderResult::Done || inAnswer.result == EOrderResult::StaleRun)
 		run.stop_acked_at = inNow;
 	if (!ioWorker.poll_in_flight)
@@ -374,7 +374,7 @@
 {
 	if (inAnswer.result != EOrderResult::Done)
 		return;
-	// A newer look may have been answered before this one
+	// A newer poll may have been answered first
 	if (inOrder.serial != ioWorker.newest_poll)
 		return this->ApplyPolledEnds(ioWorker, inAnswer.ended, inNow);
 	this->LogRelistedEnds(ioWorker, inAnswer);
@@ -404,8 +404,8 @@
 			continue;
 		}
 		Run &run = found->second;
-		const bool proves = run.state == ERunState::Unconfirmed || run.state == ERunState::Inherited || run.state == ERunState::Starting;
-		if (proves)
+		const bool confirms = run.state == ERunState::Unconfirmed || run.state == ERunState::Inherited || run.state == ERunState::Starting;
+		if (confirms)
 		{
 			run.crash_counted = false;
 			run.state = ERunState::Confirmed;
@@ -417,7 +417,7 @@
 		this->RecordProgress(ioWorker, id, run, inNow);
 		run.figure = row.figure;
 		TaskRecord *task = this->FindTask(row.task);
-		// Kept in memory at once; the log gets it with the record's next change
+		// Kept in memory only; logged with the next change of the record
 		if (task != nullptr && !row.checkpoint.empty())
 			task->checkpoint = row.checkpoint;
 		const CellJob *job = this->FindJob(row.task.job);
@@ -425,7 +425,7 @@
 			unwanted.push_back(id);
 	}
 	for (const RunId &id : unwanted)
-		this->StopRun(ioWorker, id, "not wanted", inNow);
+		this->StopRun(ioWorker, id, "its job has ended, or no record has the run", inNow);
 	ioWorker.ends_truncated = inAnswer.partial;
 	std::vector<RunId> absent;
 	for (auto &[id, run] : ioWorker.runs)
@@ -434,15 +434,15 @@
 			continue;
 		const bool was_there = run.state == ERunState::Confirmed && run.confirmed_at < inSentAt;
 		const bool stopped = run.state == ERunState::Stopping && run.stop_acked_at >= 0 && run.stop_acked_at < inSentAt;
-		// A predecessor's order is refused by its token, once the worker has heard ours
+		// Once the worker has seen this owner's token, it refuses a previous owner's order
 		const bool fenced = run.state == ERunState::Inherited && inNow >= run.predecessor_wait_until;
 		const bool over = was_there || stopped || fenced;
-		// While more ends may follow, one of them may be its own
+		// If the list of ends is partial, this run's end may be missing from it
 		if (over && !inAnswer.partial)
 			absent.push_back(id);
 		else if (!over && run.state == ERunState::Unconfirmed && run.since < inSentAt && this->MayStopUnconfirmed(ioWorker, id, run, inNow))
 		{
-			// It may still come: a stop makes sure that it never does
+			// The start may still arrive. A stop prevents it for good
 			LogEvent(ELogLevel::Info, "run_doubted")
 				.Field("request", id.task.job)
 				.Field("task", TaskText(id.task))
@@ -459,7 +459,7 @@
 			this->CountPreviousCrash(id);
 		this->EndRun(ioWorker, id, ERunEnd::Stopped, "", "worker does not have it", inNow);
 	}
-	// One that let the worker forget has not waited for ends: the next does, at once
+	// A poll that acknowledges ends does not wait for new ones, so the next poll follows at once
 	if (inOrder.last_seen > 0 && ioWorker.recorded_seq == ioWorker.logged_seq)
 	{
 		ioWorker.last_poll_at = inNow - this->tuning.min_poll_gap_ms;
