--- a/Loomreach/Schedule/CellEnds.cpp
+++ b/Loomreach/Schedule/CellEnds.cpp
@@ -1,4 +1,4 @@
-// What ends of runs mean for their tasks, jobs and workers; stopping and dropping runs; how fast workers are.
+// Effects of run ends on tasks, jobs and workers; stopping and dropping runs; estimation of worker speed.
 
 #include <Loomreach/Loomreach.h>
 
@@ -10,26 +10,26 @@
 namespace Loomreach::Jobs
 {
 
-/// A worker is slow when its runs take this many times what is expected, in a mean that an end moves by a fifth and a look at a run that
-/// is over its time by a tenth. Slow workers of the users' days work 4 to 6.5 times as long.
+/// A worker is slow if its average ratio of actual to expected run time exceeds this. An ended run has a weight of a fifth, a progress
+/// report of an overdue run a tenth. Slow workers take 4 to 6.5 times as long, by the users' records.
 static constexpr double cSlowRatio = 2.2;
-static constexpr double cMaxRatio = 8.0; ///< One odd run must not decide.
+static constexpr double cMaxRatio = 8.0; ///< Cap, so that a single outlier does not decide.
 static constexpr double cEndWeight = 0.2;
 static constexpr double cProgressWeight = 0.1;
 static constexpr Millis cMinElapsedMs = 300;
 
-static constexpr uint32 cTasksForSpread = 3; ///< Fewer tasks say little of how far those of a step differ.
+static constexpr uint32 cTasksForSpread = 3; ///< With fewer tasks, the spread within a step means little.
 
 void Cell::OnEnded(CellWorker &ioWorker, const EndedRow &inRow, Millis inNow)
 {
 	const RunId id{inRow.task, inRow.run};
 	if (ioWorker.runs.contains(id))
 		return this->EndRun(ioWorker, id, inRow.end, inRow.checkpoint, "worker said so", inNow, inRow.number);
-	// A run that was given up for lost has ended well all the same: no other run of its task is needed
+	// A run that was given up as lost has succeeded after all, so its task needs no other run
 	CellJob *job = this->FindJob(inRow.task.job);
 	const TaskRecord *task = this->FindTask(inRow.task);
-	const bool helps = inRow.end == ERunEnd::Done && task != nullptr && !task->done && !IsFinal(job->record.phase);
-	if (!helps || job->spec.steps[inRow.task.step].lasting)
+	const bool completes_task = inRow.end == ERunEnd::Done && task != nullptr && !task->done && !IsFinal(job->record.phase);
+	if (!completes_task || job->spec.steps[inRow.task.step].lasting)
 		return this->LogUnmatched(inRow);
 	LogEvent(ELogLevel::Info, "run_ended_late")
 		.Field("request", inRow.task.job)
@@ -65,12 +65,12 @@
 		.Field("from_epoch", inReport.epoch)
 		.Field("cell", this->run_events.Cell())
 		.Field("epoch", this->epoch);
-	// The worker may have left, and been forgotten: its ends count all the same
-	CellWorker stranger;
-	stranger.entry.id = inReport.worker;
+	// The worker may have left and been removed. Its ends count nevertheless
+	CellWorker removed_worker;
+	removed_worker.entry.id = inReport.worker;
 	auto known = this->workers.find(inReport.worker);
-	CellWorker &worker = known == this->workers.end() ? stranger : known->second;
-	// Up to which number the worker may forget is for a look of our own to tell: these may not be all its ends, or a former life's
+	CellWorker &worker = known == this->workers.end() ? removed_worker : known->second;
+	// Only this owner's own polls determine what the worker may drop: these ends may be incomplete, or of a previous incarnation
 	this->ApplyEnds(worker, inReport.ended, inNow);
 }
 
@@ -135,7 +135,7 @@
 		.Field("epoch", this->epoch);
 	if (inNumber != 0)
 		return;
-	// Concluded, not heard: from what, and how old that is
+	// The end is inferred, so log the evidence and its age
 	line.Field("listed", inWorker.listed ? 1 : 0)
 		.Field("answer_ms_ago", inWorker.last_answer_at < 0 ? -1 : this->now - inWorker.last_answer_at)
 		.Field("closed_ms_ago", inWorker.connections_closed_at < 0 ? -1 : this->now - inWorker.connections_closed_at)
@@ -186,7 +186,7 @@
 		this->FinishTask(*job, inRun.task);
 	if (inEnd == ERunEnd::Failed && !run.lasting)
 		this->CountFailure(*job, inRun.task, inRun.run);
-	// A gang's members are of no use alone
+	// The remaining members of a gang are useless
 	const StepSpec &step = job->spec.steps[inRun.task.step];
 	if (step.gang && inEnd != ERunEnd::Done && !IsFinal(job->record.phase))
 	{
@@ -198,8 +198,8 @@
 			{
 				auto other = this->workers.find(member.worker);
 				if (other != this->workers.end())
-					this->StopRun(other->second, {{inRun.task.job, inRun.task.round, inRun.task.step, index}, member.run}, "gang broke",
-								  inNow);
+					this->StopRun(other->second, {{inRun.task.job, inRun.task.round, inRun.task.step, index}, member.run},
+								  "another member of the gang ended", inNow);
 			}
 		}
 	}
@@ -223,7 +223,7 @@
 	if (ioWorker.slowness < cSlowRatio || ioWorker.slow_until > inNow)
 		return;
 	ioWorker.slow_until = inNow + this->tuning.slow_ms;
-	// Afterwards it is judged anew
+	// Judged afresh once it is used again
 	LogEvent(ELogLevel::Warning, "worker_slow").Field("worker", ioWorker.entry.id).Field("slowness", ioWorker.slowness);
 	ioWorker.slowness = 1.0;
 }
@@ -236,7 +236,7 @@
 		return;
 	const Millis expected = this->SlownessBaselineMs(*job, job->Unit(inRun.task.round, inRun.task.step));
 	const Millis elapsed = inNow - inProgress.confirmed_at;
-	// Early on, progress says nothing
+	// Early progress is not meaningful
 	if (elapsed < std::max(expected, cMinElapsedMs))
 		return;
 	const double projected = static_cast<double>(elapsed) * 100.0 / static_cast<double>(std::max<int64>(inProgress.percent, 1));
@@ -247,13 +247,13 @@
 {
 	const size_t unit = ioJob.Unit(inTask.round, inTask.step);
 	std::vector<TaskRecord> &tasks = ioJob.record.steps[unit].tasks;
-	// One member's good end is the whole gang's
+	// The success of one member completes the gang
 	if (ioJob.StepOf(unit).gang)
 		for (TaskRecord &member : tasks)
 			member.done = true;
 	tasks[inTask.index].done = true;
 	this->MarkChanged(ioJob);
-	// Copies that still run are no longer needed; one that is being written is not told
+	// Copies that still run are not needed; one whose append is in flight will not be dispatched
 	const std::vector<RunRecord> copies = tasks[inTask.index].runs;
 	for (const RunRecord &copy : copies)
 	{
@@ -276,7 +276,7 @@
 void Cell::CountFailure(CellJob &ioJob, const TaskId &inTask, uint32 inRun)
 {
 	const size_t unit = ioJob.Unit(inTask.round, inTask.step);
-	// A gang counts as one: a run of it fails once, whichever member did
+	// A run of a gang fails once, whichever member failed
 	TaskRecord &counted = ioJob.record.steps[unit].tasks[ioJob.StepOf(unit).gang ? 0 : inTask.index];
 	if (ioJob.StepOf(unit).gang && counted.failed_run >= inRun)
 		return;
@@ -304,29 +304,29 @@
 void Cell::StopUnrecordedRun(CellWorker &ioWorker, const RunId &inRun, Millis inNow)
 {
 	const CellJob *job = this->FindJob(inRun.task.job);
-	Run stray;
-	// What is being stopped takes its room until it has ended; where nobody knows how much, nothing starts beside it
+	Run unrecorded;
+	// A run being stopped keeps its resources reserved until it has ended; if they are unknown, nothing else starts on the worker
 	if (this->FindTask(inRun.task) != nullptr)
-		stray = NewRun(job->spec, job->spec.steps[inRun.task.step], ERunState::Stopping, inNow);
+		unrecorded = NewRun(job->spec, job->spec.steps[inRun.task.step], ERunState::Stopping, inNow);
 	else
-		stray.size_unknown = true;
-	stray.state = ERunState::Stopping;
-	stray.since = inNow;
-	ioWorker.unsized_runs += stray.size_unknown ? 1 : 0;
-	this->AddUsage(ioWorker, stray);
-	ioWorker.runs.emplace(inRun, std::move(stray));
-	// It has a lease, whoever gave it: until that must be over, the run is not given up
+		unrecorded.size_unknown = true;
+	unrecorded.state = ERunState::Stopping;
+	unrecorded.since = inNow;
+	ioWorker.unsized_runs += unrecorded.size_unknown ? 1 : 0;
+	this->AddUsage(ioWorker, unrecorded);
+	ioWorker.runs.emplace(inRun, std::move(unrecorded));
+	// Whoever granted its lease, the run may not be given up before it must have expired
 	ioWorker.lease_expires_at = std::max(ioWorker.lease_expires_at, inNow + LongestLease(this->leases.Longest(inNow)));
 }
 
 void Cell::StopRun(CellWorker &ioWorker, const RunId &inRun, std::string_view inWhy, Millis inNow)
 {
 	auto found = ioWorker.runs.find(inRun);
-	// A run that the records do not have still goes, but takes part in nothing
+	// A run without a record is stopped too, but affects no task
 	if (found == ioWorker.runs.end())
 		return this->StopUnrecordedRun(ioWorker, inRun, inNow);
 	Run &run = found->second;
-	// What its worker was never told needs no stop
+	// A run that was not dispatched needs no stop order
 	if (run.state == ERunState::Planned || run.state == ERunState::Logged)
 	{
 		this->run_events.Dropped(inRun, inWhy);
@@ -379,9 +379,9 @@
 	this->MarkChanged(*this->FindJob(inRun.task.job));
 }
 
-/// Whether the ends of a worker's runs may be known to a predecessor that stands still, and come from it (Cell::IngestEnds): the worker
-/// left before this owner could ask. One that leaves by plan goes from the list at once; one that crashes is shown there for a while.
-/// Bounded by the lease that the predecessor may have given.
+/// Whether a paused previous owner may still submit ends of the worker's runs (Cell::IngestEnds), because the worker left the list before
+/// this owner could poll it. A worker that leaves as planned disappears from the list at once; a crashed one stays listed for a while. The
+/// wait is bounded by the longest lease that the previous owner may have granted.
 static bool MayBeReportedByPredecessor(const CellWorker &inWorker, Millis inNow)
 {
 	const bool inherited =
@@ -404,14 +404,15 @@
 			.Field("cell", this->run_events.Cell())
 			.Field("epoch", this->epoch);
 	ioWorker.ended = true;
-	// PlanLapsed ends what waits. The crash is counted only then: each owner that finds the runs in the log would count it anew
-	const bool waits = MayBeReportedByPredecessor(ioWorker, inNow);
-	if (!waits)
+	// EndLapsedRuns ends the remaining runs later. The crash is counted only then: otherwise each owner that finds these runs in the log
+	// would count it again
+	const bool await_ends = MayBeReportedByPredecessor(ioWorker, inNow);
+	if (!await_ends)
 		this->AttributeCrash(ioWorker, inNow);
 	std::vector<RunId> runs;
 	for (const auto &[id, run] : ioWorker.runs)
-		// What lasts has no good end that could come
-		if (IsDispatched(run.state) && (!waits || run.lasting))
+		// A long-running task cannot have succeeded, so no submitted end is awaited for it
+		if (IsDispatched(run.state) && (!await_ends || run.lasting))
 			runs.push_back(id);
 	for (const RunId &id : runs)
 		this->EndRun(ioWorker, id, ERunEnd::Lapsed, "", inWhy, inNow);
--- a/Loomreach/Schedule/CellLives.cpp
+++ b/Loomreach/Schedule/CellLives.cpp
@@ -1,8 +1,9 @@
-// Lives of workers: a worker's process may end and start again under the same id. What it then holds and counts is new, and orders that
-// were meant for the former life are carried out by the next one.
+// Worker incarnations. A worker process may end and start again under the same id. The new incarnation starts with empty lists and
+// counters, and it may carry out orders that were meant for the previous one.
 //
-// Only a look tells for certain which life there is: its answer names when that life began. A list entry, or an answer whose clock is not
-// this life's, is a hint, and has a look sent at once. Until that is answered nothing is started, and the worker is let forget nothing.
+// Only a poll determines the current incarnation: its answer contains the incarnation's start time. A list entry, or an answer with an
+// implausible clock, merely suggests a restart and triggers an immediate poll. Until that is answered, nothing is started on the worker and
+// no ends are acknowledged to it.
 
 #include <Loomreach/Loomreach.h>
 
@@ -13,17 +14,17 @@
 namespace Loomreach::Jobs
 {
 
-/// Clocks are told in whole milliseconds, and read some time before they are sent.
+/// Tolerance for clock values, which are in whole milliseconds and are read some time before they are sent.
 static constexpr Millis cClockToleranceMs = 250;
-/// An order without an answer is not expected to be carried out later than this: the users say "seconds", the cell's small world 12 s.
+/// Longest expected delay of an order without an answer. The platform specifies "seconds"; the simulation delays orders by up to 12 s.
 static constexpr Millis cMaxOrderDelayMs = 12000;
 
 bool WorkerIncarnation::FitsClock(Millis inClock, Millis inSentAt, Millis inNow) const
 {
-	// When the order left, the clock had reached this: it never runs faster than ours
+	// Lower bound of the worker's clock when the order was sent; it never runs faster than the owner's
 	const Millis since = inSentAt - this->clock_read_at;
-	const Millis least = this->clock_ms + (since > 0 ? since * (1000 - cClockSlackPerMille) / 1000 : since);
-	if (inClock < least - cClockToleranceMs)
+	const Millis min_clock = this->clock_ms + (since > 0 ? since * (1000 - cClockSlackPerMille) / 1000 : since);
+	if (inClock < min_clock - cClockToleranceMs)
 		return false;
 	return this->clock_order_sent_at < 0 || inClock <= this->clock_ms + (inNow - this->clock_order_sent_at) + cClockToleranceMs;
 }
@@ -32,7 +33,7 @@
 {
 	if (std::exchange(ioWorker.restart_suspected, true))
 		return;
-	// Also while another look waits there
+	// Even if another poll is pending
 	ioWorker.poll_in_flight = false;
 	ioWorker.last_poll_at = inNow - this->tuning.min_poll_gap_ms;
 	ioWorker.next_poll_at = inNow;
@@ -52,7 +53,7 @@
 	const bool is_later = IsBornAfter(inEntry.born_ms, ioWorker.born_ms);
 	if (is_later && !ioWorker.ended)
 	{
-		this->SuspectRestart(ioWorker, "the list shows a later life", inNow);
+		this->SuspectRestart(ioWorker, "the worker list shows a later incarnation", inNow);
 		return true;
 	}
 	if (is_later)
@@ -60,7 +61,7 @@
 	if (ioWorker.born_ms == cBirthUnknown)
 		ioWorker.born_ms = inEntry.born_ms;
 	ioWorker.leave_announced = ioWorker.leave_announced || inEntry.draining;
-	// What the list says is some time old, so the worker's clock is past it
+	// The list entry is some time old, so the worker's clock is at least at this value
 	if (inEntry.clock_ms >= 0 && (ioWorker.clock_ms < 0 || inEntry.clock_ms > ioWorker.ClockAt(inNow)))
 	{
 		ioWorker.clock_ms = inEntry.clock_ms;
@@ -72,8 +73,8 @@
 
 bool Cell::DetectNewIncarnation(CellWorker &ioWorker, const Order &inOrder, const OrderAnswer &inAnswer, Millis inSentAt, Millis inNow)
 {
-	const bool by_worker = inAnswer.result != EOrderResult::Unknown && inAnswer.result != EOrderResult::NotSent;
-	if (!by_worker || inAnswer.result == EOrderResult::OtherLife)
+	const bool answered = inAnswer.result != EOrderResult::Unknown && inAnswer.result != EOrderResult::NotSent;
+	if (!answered || inAnswer.result == EOrderResult::OtherLife)
 		return false;
 	if (IsBornAfter(inAnswer.born_ms, ioWorker.born_ms))
 	{
@@ -92,7 +93,7 @@
 			 !ioWorker.FitsClock(inAnswer.clock_ms, inSentAt, inNow))
 	{
 		this->AssumeMaxLease(ioWorker, inNow);
-		this->SuspectRestart(ioWorker, "an answer has another clock", inNow);
+		this->SuspectRestart(ioWorker, "the clock in an answer does not fit the incarnation", inNow);
 	}
 	return false;
 }
@@ -113,14 +114,14 @@
 	this->EndPreviousRuns(ioWorker, inAnswer, inSentAt, inNow);
 	this->VerifyRuns(ioWorker, inNow);
 	this->DropAdvice(ioWorker.entry.id);
-	// What the former life told of and the log does not hold yet, only this owner knows
+	// Only this owner knows the previous incarnation's ends that are not in the log yet
 	std::vector<EndedRow> &previous = ioWorker.previous_ends.rows;
 	previous.insert(previous.end(), ioWorker.unlogged_ends.begin(), ioWorker.unlogged_ends.end());
 	WorkerIncarnation &incarnation = ioWorker;
 	incarnation = WorkerIncarnation{};
 	incarnation.born_ms = inStartedMs;
 	incarnation.incarnation_number = ++this->incarnations_begun;
-	// Once it has heard its own token, it refuses orders for the former life
+	// Once the incarnation has seen its own token, it refuses orders for the previous one
 	incarnation.poll_once = true;
 	incarnation.next_poll_at = inNow;
 	incarnation.reachable = inAnswer.result == EOrderResult::Done;
@@ -128,17 +129,17 @@
 	incarnation.clock_ms = inAnswer.clock_ms;
 	incarnation.clock_read_at = inNow;
 	incarnation.clock_order_sent_at = inSentAt;
-	// Its host is back
+	// The host has returned
 	ioWorker.removed_until = 0;
 }
 
-/// Whether a predecessor placed a run, and may have been told of its end: this owner has heard nothing of it.
+/// Whether a previous owner placed the run and may have received its end, of which this owner has heard nothing.
 static bool MayBeReportedByPredecessor(const Run &inRun)
 {
 	return inRun.state == ERunState::Inherited && inRun.inherited && !inRun.lasting;
 }
 
-/// Marks the runs that the next life lists, as running or as ended.
+/// Marks the runs that the new incarnation lists as running or ended.
 template <class Row>
 static void MarkListed(CellWorker &ioWorker, const std::vector<Row> &inRows)
 {
@@ -151,7 +152,7 @@
 {
 	MarkListed(ioWorker, inAnswer.running);
 	MarkListed(ioWorker, inAnswer.ended);
-	// What a predecessor placed, and may know the end of, is counted when that is waited for no longer
+	// For runs whose end a previous owner may still submit, the crash is counted after the wait for it
 	for (auto &[id, run] : ioWorker.runs)
 		run.crash_counted = run.crash_counted || MayBeReportedByPredecessor(run);
 	if (!std::exchange(ioWorker.ended, true))
@@ -159,7 +160,7 @@
 	std::vector<RunId> died;
 	for (auto &[id, run] : ioWorker.runs)
 	{
-		// What was confirmed before the look left, and is not in its answer, the former life had
+		// Confirmed before the poll was sent but missing from its answer: the run was on the previous incarnation
 		const bool was_there = run.confirmed_at >= 0 && run.confirmed_at < inSentAt && !inAnswer.partial;
 		run.crash_counted = IsDispatched(run.state) && !run.in_new_incarnation;
 		if (!std::exchange(run.in_new_incarnation, false) && was_there && IsDispatched(run.state))
@@ -184,7 +185,7 @@
 			run.next_stop_at = inNow;
 			continue;
 		}
-		// What the predecessor hands in comes within the wait for its lease
+		// A previous owner submits its ends within the wait for its lease
 		if (MayBeReportedByPredecessor(run) && run.predecessor_wait_until == 0)
 			run.predecessor_wait_until = ioWorker.lease_expires_at;
 		run.state = ERunState::Inherited;
@@ -193,7 +194,7 @@
 		run.percent = 0;
 		run.throttle_in_flight = false;
 	}
-	// The end of the lease in an order for the former life is on another clock, and such an order may still come
+	// An order for the previous incarnation may still arrive, with a lease end computed for that incarnation's clock
 	if (any || inNow - ioWorker.last_unanswered_at < cMaxOrderDelayMs)
 		this->AssumeMaxLease(ioWorker, inNow);
 }
@@ -213,11 +214,11 @@
 		return;
 	const RunId id{inOrder.task, inOrder.run};
 	auto run = ioWorker.runs.find(id);
-	const bool asked_for = run != ioWorker.runs.end() && run->second.state == ERunState::Inherited;
+	const bool is_unverified = run != ioWorker.runs.end() && run->second.state == ERunState::Inherited;
 	const bool may_run =
 		inAnswer.result == EOrderResult::Done || inAnswer.result == EOrderResult::StaleRun || inAnswer.result == EOrderResult::Unknown;
-	// Neither life has taken it up
-	if (asked_for && !may_run)
+	// Neither incarnation has accepted the run
+	if (is_unverified && !may_run)
 		this->EndRun(ioWorker, id, ERunEnd::Stopped, "", NameOf(cOrderResultNames, inAnswer.result), inNow);
 }
 
@@ -229,7 +230,7 @@
 	TaskCrashes &crashes = job->crashes[Cell::CrashKey(*job, inRun.task)];
 	++crashes.beside;
 	this->MarkChanged(*job);
-	// Blamed before, it was on trial there
+	// Blamed before, so it was on a trial run there
 	if (crashes.blamed > 0 && IsMoreThanBorne(crashes))
 		this->FailCrashingJob(*job, crashes, this->now);
 }
