--- a/Loomreach/Schedule/CellCrashes.cpp
+++ b/Loomreach/Schedule/CellCrashes.cpp
@@ -1,22 +1,22 @@
-// Which task may have crashed a worker, trials of such tasks, and when one is given up.
+// Finds tasks that crash their workers, by means of trial runs, and fails their jobs.
 //
-// A task may crash each worker that starts it, with everything else that runs there; started again without end it takes a pool down, since
-// the next worker goes before the last is back. But a worker's end says by itself little of whose fault it was: racks are lost, processes
-// crash by chance, and of sixteen runs on a crashed worker at most one did it. So:
+// A task may crash every worker that starts it, along with all other runs there. Restarted without limit it takes down a whole pool, since
+// the next worker crashes before the last one is back. But the loss of a worker alone is weak evidence: racks fail, processes crash at
+// random, and of sixteen runs on a crashed worker at most one was the cause. Hence:
 //
-//  * a crash is blamed on what had just started there; where nothing had, on what is tried; else on all that ran there. The others are
-//    noted as having been there: who was there at two crashes is tried as well;
-//  * a task that was blamed starts on trial: nothing else has just started on its worker, and nothing else starts until it has outlived its
-//    start. A worker that crashes then tells which task it was. One that was at three crashes, or blamed for two without a proof, runs
-//    alone on its worker;
-//  * where workers of its rack go with it, a trial tells nothing: the task was only there. So there is one trial at a time in a rack. The
-//  same
-//    where an owner takes over a run of a worker that it never hears, and where a worker falls silent first;
-//  * with the second crash right after its start, if it was the only task that can have done both, its job is given up; with the third
-//    if something speaks for chance, or the cause of the first is not known (CrashEvidence.h); with the fourth in all if two of them can
-//    have no other cause; with the fifth in any case. Crashes that another task is proved to have caused are not counted.
+//  * A crash is blamed on the runs that had just started there; without any, on those whose tasks need a trial run; otherwise on all runs
+//    there. The other runs are counted as present. A task that was present at two crashes gets a trial run as well.
+//  * A blamed task is restarted as a trial run: no other run has just started on its worker, and none starts until it has survived its
+//    start. A crash then identifies the task. After three crashes, or two that were blamed on it, a task runs alone on its worker.
+//  * A trial run proves nothing if other workers of the rack are lost too; the task was merely present. So there is one trial run per rack
+//    at a time. The same holds for a run taken over by a new owner that never hears from its worker, and for a worker that is unresponsive
+//    before its connections close.
+//  * A job fails on the second crash right after a task's start if the task is the only possible cause of both; on the third if there are
+//    signs of random crashes, or if the cause of the first is unknown (CrashEvidence.h); on the fourth of any kind if two of them have no
+//    other possible cause; and on the fifth in any case. Crashes that another task is proved to have caused do not count, except towards
+//    the fifth.
 //
-// A process that has crashed is told from a dark host and from a cut by its host, which closes connections and turns new ones away.
+// A crashed process differs from an unresponsive or partitioned host in that its host closes the connections and refuses new ones.
 
 #include <Loomreach/Loomreach.h>
 
@@ -27,40 +27,40 @@
 namespace Loomreach::Jobs
 {
 
-/// A run that its worker has outlived this long has outlived its start: tasks that crash their worker do so within 10 ms (the users'
-/// record). Room for a slow machine; as long as that, a trial keeps others off its worker.
+/// A run has survived its start once its worker has answered this long after confirming it. Tasks that crash their worker do so within
+/// 10 ms, by the users' records; the rest is margin for slow machines. A trial run keeps other starts off its worker for as long.
 static constexpr Millis cStartWindowMs = 300;
-/// A crash is right after a start if it was seen this soon after it: the 10 ms, and the time until a look shows it.
+/// A crash seen within this time after a start counts as right after it: the 10 ms, plus the time until a poll shows it.
 static constexpr Millis cImmediateCrashMs = 150;
-/// Crashes that a task was beside after which it is tried though none was blamed on it.
+/// A task gets a trial run once it was present at this many crashes, even if none was blamed on it.
 static constexpr uint32 cUnblamedCrashesForTrial = 2;
-/// A task runs alone on its worker from so many crashes that were blamed on it,
+/// Crashes blamed on a task after which it runs alone on its worker.
 static constexpr uint32 cBlamedCrashesToIsolate = 2;
-/// or from so many in all.
+/// The same for crashes of any kind.
 static constexpr uint32 cCrashesToIsolate = 3;
-/// Crashes after which a task is given up in any case: the users bear three, and two starts more; one is left for a crash that was not
-/// seen.
+/// Crashes after which a task's job fails if cMinClearCrashes of them have no other possible cause. The users tolerate three crashes and
+/// two more starts; one of these five is left for a crash that went unseen.
 static constexpr uint32 cMaxCrashes = 4;
-/// Of these so many must have been blamed on it, with nothing else that can have been the cause.
+/// See cMaxCrashes.
 static constexpr uint32 cMinClearCrashes = 2;
-/// A lasting task whose worker has lived with it for longer than this does not crash its workers: over months some go under it by chance.
+/// A long-running task that its worker has survived for longer does not crash workers. Over months, some workers crash under it at random.
 static constexpr Millis cBlameExemptAfterMs = 10000;
-/// Workers lost within this of each other may be lost by one cause: the looks that show it are up to this far apart.
+/// Workers lost within this time of each other may have a common cause: the polls that show the losses are up to this far apart.
 static constexpr Millis cCommonCauseMs = 250;
-/// The same where a call had to run out: a waiting look and its time limit.
+/// The same if a call had to time out: the wait of a long poll plus its timeout.
 static constexpr Millis cUnresponsiveCommonCauseMs = 2500;
-/// Lost workers are remembered for this long: an end is concluded once a lease is over or the next life answers.
+/// Losses are kept for this long: an end is inferred only once a lease has expired or the next incarnation answers.
 static constexpr Millis cLossRetentionMs = 10000;
-/// A worker is kept for a trial for this long: two plannings beyond the time after which nothing has just started there.
+/// Duration of a worker's reservation for a trial run: the start window of its runs, plus two planning passes.
 static constexpr Millis cTrialReservationMs = 500;
-/// Of so many workers of a pool one is kept for trials at once, and one more.
+/// One worker per this many in a pool may be reserved for trial runs at a time, plus one.
 static constexpr size_t cWorkersPerTrial = 8;
-/// A task whose rivals at a crash are still to be tried waits this long for what becomes of them.
+/// Longest wait of a task for the outcome of the other suspects of its crash.
 static constexpr Millis cSuspectWaitMs = 4000;
-/// For a worker of its own a task waits this long; then it is tried as after the first crash.
+/// Longest wait of a task for an empty worker. After it a trial run as for the first crash is enough.
 static constexpr Millis cIsolationWaitMs = 1000;
 
-/// How long a run's worker is known to have lived with it; -1: not at all.
+/// For how long a run's worker is known to have survived it; -1: not at all.
 static Millis SurvivedMs(const CellWorker &inWorker, const Run &inRun)
 {
 	return inRun.confirmed_at < 0 ? -1 : inWorker.last_answer_at - inRun.confirmed_at;
@@ -75,10 +75,10 @@
 					   [&inWorker](const auto &inRun) { return HasJustStarted(inWorker, inRun.second); });
 }
 
-/// Whether it is known when a worker's process went: it had answered, and no call after that went without an answer unclosed.
+/// Whether the time of a worker's loss is known: it had answered, and no later call went unanswered on an open connection.
 static bool IsLossTimeKnown(const CellWorker &inWorker) { return inWorker.unanswered_since < 0 && inWorker.last_answer_at >= 0; }
 
-/// When a worker went, as far as can be told.
+/// Estimated time of a worker's loss.
 static Millis LossTime(const CellWorker &inWorker, Millis inNow)
 {
 	if (inWorker.connections_closed_at >= 0)
@@ -86,25 +86,25 @@
 	return inWorker.unanswered_since >= 0 ? inWorker.unanswered_since : inNow;
 }
 
-/// Whether a worker is about to go, or has gone, by plan.
+/// Whether a worker leaves, or has left, as planned.
 static bool LeavesAsPlanned(const CellWorker &inWorker, Millis inNow)
 {
 	const bool left_list = !inWorker.listed && inWorker.last_answer_at >= inWorker.unlisted_at;
 	return inWorker.leave_announced || LossTime(inWorker, inNow) < inWorker.removed_until || left_list;
 }
 
-/// Whether a run may have been on a worker when it went.
+/// Whether a run may have been on a worker when it was lost.
 static bool MayHaveBeenThere(const CellWorker &inWorker, const Run &inRun)
 {
 	if (!IsDispatched(inRun.state) || inRun.in_new_incarnation || inRun.crash_counted)
 		return false;
-	// An order that has no answer yet may have gone to the next life
+	// An order without an answer yet may have gone to the next incarnation
 	const bool before_close =
 		inWorker.connections_closed_at >= 0 && inWorker.unanswered_since < 0 && inRun.since <= inWorker.connections_closed_at;
 	return inRun.state != ERunState::Starting || before_close;
 }
 
-/// Whether what is counted of a task is enough to try it.
+/// Whether a task's crash counts call for a trial run.
 static bool WarrantsTrial(const TaskCrashes &inCrashes) { return inCrashes.blamed > 0 || inCrashes.beside >= cUnblamedCrashesForTrial; }
 
 CrashCounts::key_type Cell::CrashKey(const CellJob &inJob, const TaskId &inTask)
@@ -133,9 +133,9 @@
 	if (found == inJob.crashes.end() || !WarrantsTrial(found->second))
 		return ETrial::None;
 	const Millis since = inJob.volatile_state[inUnit][inTask].trial_wanted_since;
-	const bool waited = since >= 0 && inNow - since > cIsolationWaitMs;
+	const bool has_waited = since >= 0 && inNow - since > cIsolationWaitMs;
 	const bool isolate = found->second.blamed >= cBlamedCrashesToIsolate || found->second.Total() >= cCrashesToIsolate;
-	return isolate && !waited ? ETrial::Isolated : ETrial::Start;
+	return isolate && !has_waited ? ETrial::Isolated : ETrial::Start;
 }
 
 void Cell::UpdateTrials(CellWorker &ioWorker)
@@ -166,7 +166,7 @@
 
 void Cell::ClearCrashes(CellWorker &ioWorker, const RunId &inRun)
 {
-	// Counted for ever, crashes by chance would end a job that lasts for months
+	// Without this, random crashes would add up and fail a job that runs for months
 	CellJob *job = this->OpenJobOf(inRun.task);
 	if (job == nullptr || job->crashes.erase(Cell::CrashKey(*job, inRun.task)) == 0)
 		return;
@@ -197,16 +197,16 @@
 
 std::pair<std::vector<CellWorker *>, size_t> Cell::WorkersForTrials(const std::string &inPool, Millis inNow)
 {
-	std::vector<CellWorker *> able;
-	size_t kept = 0;
+	std::vector<CellWorker *> available;
+	size_t reserved_count = 0;
 	for (auto &[id, worker] : this->workers)
 	{
 		if (worker.entry.pool != inPool || !this->CanAcceptRuns(worker, inNow) || worker.open_trials > 0)
 			continue;
-		able.push_back(&worker);
-		kept += inNow < worker.trial_reserved_until ? 1 : 0;
+		available.push_back(&worker);
+		reserved_count += inNow < worker.trial_reserved_until ? 1 : 0;
 	}
-	return {able, kept};
+	return {available, reserved_count};
 }
 
 void Cell::ReserveForTrial(CellJob &ioJob, size_t inUnit, uint32 inTask, Millis inNow)
@@ -214,40 +214,40 @@
 	Millis &since = ioJob.volatile_state[inUnit][inTask].trial_wanted_since;
 	since = since < 0 ? inNow : since;
 	const Resources reserved = ioJob.StepOf(inUnit).Room();
-	const auto [able, kept] = this->WorkersForTrials(ioJob.spec.pool, inNow);
+	const auto [available, reserved_count] = this->WorkersForTrials(ioJob.spec.pool, inNow);
 	CellWorker *emptiest = nullptr;
-	for (CellWorker *worker : able)
+	for (CellWorker *worker : available)
 		if (reserved.FitsInto(worker->Free()) && Cell::MayRun(*worker, ioJob, inUnit, inNow) &&
 			(emptiest == nullptr || worker->runs.size() < emptiest->runs.size()))
 			emptiest = worker;
 	if (emptiest == nullptr)
 		return;
-	// One that is kept already stays so until it is calm, or empty
-	if (inNow < emptiest->trial_reserved_until || kept < 1 + able.size() / cWorkersPerTrial)
+	// A reserved worker stays reserved until its runs have survived their starts, or until it is empty
+	if (inNow < emptiest->trial_reserved_until || reserved_count < 1 + available.size() / cWorkersPerTrial)
 		emptiest->trial_reserved_until = inNow + cTrialReservationMs;
 }
 
 std::vector<RunId> Cell::CrashSuspects(const CellWorker &inWorker, bool inChance, std::vector<RunId> &outLessLikely)
 {
 	std::vector<RunId> just_started;
-	std::vector<RunId> tried;
+	std::vector<RunId> trial_candidates;
 	std::vector<RunId> others;
-	// A worker that leaves by plan has started nothing for seconds when it goes: what had just started has crashed it before
-	const bool by_plan = LeavesAsPlanned(inWorker, this->now);
+	// A worker that leaves as planned is sent no starts in its last seconds, so a run that had just started there crashed it earlier
+	const bool leaves_as_planned = LeavesAsPlanned(inWorker, this->now);
 	for (const auto &[id, run] : inWorker.runs)
 	{
-		if (!MayHaveBeenThere(inWorker, run) || run.blame_exempt || (by_plan && !HasJustStarted(inWorker, run)))
+		if (!MayHaveBeenThere(inWorker, run) || run.blame_exempt || (leaves_as_planned && !HasJustStarted(inWorker, run)))
 			continue;
 		if (HasJustStarted(inWorker, run))
 			just_started.push_back(id);
 		else
-			(this->NeedsTrial(id.task) ? tried : others).push_back(id);
+			(this->NeedsTrial(id.task) ? trial_candidates : others).push_back(id);
 	}
-	// Of a silent worker it is not known when it went, nor that its process did
+	// For an unresponsive worker, neither the time of its loss nor the end of its process is known
 	if (!IsLossTimeKnown(inWorker) || inChance)
 		return just_started;
 	std::vector<RunId> suspects = std::move(just_started);
-	for (std::vector<RunId> *next : {&tried, &others})
+	for (std::vector<RunId> *next : {&trial_candidates, &others})
 		if (suspects.empty())
 			suspects.swap(*next);
 		else
@@ -259,18 +259,19 @@
 {
 	const Millis at = LossTime(inWorker, this->now);
 	const bool exact = inWorker.connections_closed_at >= 0;
-	const auto is_cause = [&inWorker, at, exact](const WorkerLoss &inOther)
+	const auto explains_loss = [&inWorker, at, exact](const WorkerLoss &inOther)
 	{
-		const Millis together = exact && inOther.exact ? cCommonCauseMs : cUnresponsiveCommonCauseMs;
+		const Millis max_distance = exact && inOther.exact ? cCommonCauseMs : cUnresponsiveCommonCauseMs;
 		const bool same_rack = !inOther.rack.empty() && inOther.rack == inWorker.entry.rack;
-		return std::abs(at - inOther.at) <= together && ((exact && !inOther.just_started) || same_rack);
+		return std::abs(at - inOther.at) <= max_distance && ((exact && !inOther.just_started) || same_rack);
 	};
-	if (std::any_of(this->recent_losses.begin(), this->recent_losses.end(), is_cause))
+	if (std::any_of(this->recent_losses.begin(), this->recent_losses.end(), explains_loss))
 		return true;
 	for (const auto &[id, other] : this->workers)
 	{
 		const bool is_lost = &other != &inWorker && !other.ended && (other.connections_closed_at >= 0 || other.unanswered_since >= 0);
-		if (is_lost && is_cause({LossTime(other, this->now), other.connections_closed_at >= 0, other.entry.rack, HasJustStartedRun(other)}))
+		if (is_lost &&
+			explains_loss({LossTime(other, this->now), other.connections_closed_at >= 0, other.entry.rack, HasJustStartedRun(other)}))
 			return true;
 	}
 	return false;
@@ -282,8 +283,8 @@
 		return;
 	for (auto &[id, other] : this->workers)
 	{
-		const bool asked = other.listed && !other.ended && !other.poll_in_flight && other.entry.rack == inWorker.entry.rack;
-		if (!asked || &other == &inWorker)
+		const bool may_poll = other.listed && !other.ended && !other.poll_in_flight && other.entry.rack == inWorker.entry.rack;
+		if (!may_poll || &other == &inWorker)
 			continue;
 		other.poll_once = true;
 		other.next_poll_at = inNow;
@@ -293,7 +294,7 @@
 bool Cell::CrashedRightAfterStart(const CellWorker &inWorker, const Run &inRun)
 {
 	const bool at_once = inRun.confirmed_at >= 0 && inWorker.connections_closed_at - inRun.confirmed_at <= cImmediateCrashMs;
-	// A lease that is over proves no crash: the worker may have been cut off by resets, and run on
+	// An expired lease is no proof of a crash: the worker may have been partitioned by connection resets and still run
 	return inWorker.ended && IsLossTimeKnown(inWorker) && inWorker.connections_closed_at >= 0 && HasJustStarted(inWorker, inRun) && at_once;
 }
 
@@ -356,8 +357,8 @@
 	CellJob &job = *this->FindJob(inRun.task.job);
 	const Run &run = ioWorker.runs.at(inRun);
 	TaskCrashes &crashes = job.crashes[Cell::CrashKey(job, inRun.task)];
-	// Others of its rack went with a trial, where no other is; or it is not known whether the run was there when the worker went: no answer
-	// told so to this owner
+	// Either other workers of the rack were lost together with the trial run, or no answer told this owner that the run was on the worker
+	// when it was lost
 	const bool by_others = inChance && run.trial != ETrial::None;
 	const bool tells_nothing = by_others || run.confirmed_at < 0 || !IsLossTimeKnown(ioWorker);
 	++(tells_nothing ? crashes.beside : crashes.blamed);
@@ -367,20 +368,20 @@
 	this->MarkChanged(job);
 	const CrashWeight weight = this->WeightOf(crashes);
 	const bool only_suspect = inSuspects.size() == 1;
-	// Where workers have crashed of late with nothing just started on them, the next one may be chance as well
+	// Recent crashes without a recent start suggest that this one is random as well
 	CrashDoubts doubts;
 	doubts.workers_crash =
 		std::any_of(this->recent_losses.begin(), this->recent_losses.end(), [](const WorkerLoss &inLost) { return !inLost.just_started; });
 	doubts.unit_is_sound = this->HasSurvivedStart(job, job.Unit(inRun.task.round, inRun.task.step));
 	const bool proved = only_suspect && at_once && IsCrasherProved(weight, doubts);
-	// Whether it is proved may depend on rivals that are still to be tried
+	// The proof may depend on other suspects whose trial runs are outstanding
 	CrashWeight cleared = weight;
 	cleared.sole = cleared.at_once;
 	if (only_suspect && at_once && !proved && IsCrasherProved(cleared, doubts))
 		this->AwaitOtherSuspects(job, inRun.task, inNow);
-	const bool too_many = weight.clear >= cMinClearCrashes && weight.Total() >= cMaxCrashes;
-	// What the users bear is bound by all crashes, explained or not
-	const bool given_up = proved || too_many || IsMoreThanBorne(crashes);
+	const bool exceeds_limit = weight.clear >= cMinClearCrashes && weight.Total() >= cMaxCrashes;
+	// The limit that the users set applies to all crashes, explained or not
+	const bool given_up = proved || exceeds_limit || IsMoreThanBorne(crashes);
 	LogEvent(ELogLevel::Warning, "task_blamed")
 		.Field("request", inRun.task.job)
 		.Field("task", TaskText(inRun.task))
