--- a/Loomreach/Schedule/CellAdvice.cpp
+++ b/Loomreach/Schedule/CellAdvice.cpp
@@ -1,4 +1,4 @@
-// Which workers may run the steps of queues with a policy: questions to the adviser, and tickets.
+// Adviser decisions on which workers may run the steps of queues with a policy: questions and tickets.
 
 #include <Loomreach/Loomreach.h>
 
@@ -8,10 +8,10 @@
 namespace Loomreach::Jobs
 {
 
-/// A ticket must be good for the append and the order: two store answers at their slow pace.
+/// Remaining validity that a ticket needs to cover the append and the order: two slow answers of the store.
 static constexpr Millis cTicketSlackMs = 500;
-static constexpr size_t cMaxWorkersPerQuestion = 10; ///< Workers named in one question: each costs time.
-static constexpr Millis cAdviceRetryMs = 250;        ///< After a question that got no answer.
+static constexpr size_t cMaxWorkersPerQuestion = 10; ///< Each worker in a question takes the adviser time.
+static constexpr Millis cAdviceRetryMs = 250;        ///< Delay after an unanswered question.
 
 bool Cell::HasTicket(const CellJob &inJob, size_t inUnit, const std::string &inWorker, Millis inNow)
 {
--- a/Loomreach/Schedule/CellDemand.cpp
+++ b/Loomreach/Schedule/CellDemand.cpp
@@ -1,4 +1,4 @@
-// What a cell needs and can spare.
+// Demand of a cell's pools, and the workers that they can spare.
 
 #include <Loomreach/Loomreach.h>
 
@@ -8,12 +8,13 @@
 namespace Loomreach::Jobs
 {
 
-/// From a need to a host at work in the pool: asked within 0.2 s, moved within 1.5 s (users' figure), its worker found within 0.4 s.
+/// Time from demand to a working host in the pool: requested within 0.2 s, moved within 1.5 s as specified, its worker discovered within
+/// 0.4 s.
 static constexpr Millis cMoveLeadMs = 2000;
-/// A worker that has gone stays in the worker list for three of its heartbeats (users' figure, 1.5 s each), and a moment.
+/// A lost worker stays in the worker list for three of its heartbeats, specified as 1.5 s each, plus a margin.
 static constexpr Millis cListLagMs = 5000;
 static constexpr size_t cSurgeJobs = 5;
-/// Tasks that wait for a trial need hosts apart from one another, whatever room they ask for: so many at most.
+/// Tasks that wait for a trial run need separate hosts, whatever resources they request; at most this many.
 static constexpr uint32 cMaxTrialHosts = 8;
 
 void Cell::CurrentDemand(std::string_view inPool, int64 inWallNow, Resources &outInTime, Resources &outLate) const
@@ -38,7 +39,7 @@
 	}
 	for (auto &[team, sums] : by_team)
 	{
-		// Hosts beyond what a team may have running would stand idle
+		// Capacity beyond the team's limit would stay idle
 		const Resources *limit = this->teams.Limits().Find(team);
 		Resources left = limit == nullptr ? Resources{} : *limit;
 		for (Resources &sum : sums)
@@ -88,7 +89,7 @@
 	this->teams.OnAnswer(inAnswer, inNow);
 }
 
-/// The greater of each.
+/// Raises each resource to at least the other value.
 static void RaiseTo(Resources &ioHighest, const Resources &inOther)
 {
 	ioHighest.cpu_milli = std::max(ioHighest.cpu_milli, inOther.cpu_milli);
@@ -105,7 +106,7 @@
 			continue;
 		if (inNow >= found->second.removed_until)
 			LogEvent(ELogLevel::Info, "worker_left").Field("worker", id).Field("runs", found->second.runs.size());
-		// No more than that: what may run there is judged by its leases alone
+		// Only new starts are prevented. What may run there is judged by its leases
 		found->second.removed_until = inNow + cListLagMs;
 	}
 }
@@ -138,7 +139,7 @@
 	seen.emplace_back(inNow, in_time);
 	while (inNow - seen.front().first > this->tuning.demand_hold_ms)
 		seen.pop_front();
-	// What comes in each second must also be worked off each second, later steps included
+	// Work must be completed at the rate at which it arrives, including later steps
 	demand.need.cpu_milli = this->arrivals[inPool].Forecast(cMoveLeadMs, inNow);
 	for (const auto &[at, amount] : seen)
 		RaiseTo(demand.need, amount);
@@ -150,20 +151,20 @@
 				demand.least_hosts = std::max(demand.least_hosts, (step.count + step.max_per_worker - 1) / step.max_per_worker);
 	}
 	demand.least_hosts = std::max(demand.least_hosts, std::min(this->WaitingTrials(inPool), cMaxTrialHosts));
-	// The emptiest hosts that hold nothing lasting take no new work, and go once they are empty
+	// Of the hosts without long-running tasks, the least used are drained first
 	std::vector<std::pair<int64, CellWorker *>> least_used;
 	for (auto &[id, worker] : this->workers)
 	{
-		bool can_go = worker.entry.pool == inPool && worker.listed && !worker.entry.draining && !worker.ended;
-		// One that has gone already would take the place of one that can go
-		can_go = can_go && !this->IsEvacuated(worker) && worker.reachable && inNow >= worker.removed_until;
+		bool can_leave = worker.entry.pool == inPool && worker.listed && !worker.entry.draining && !worker.ended;
+		// One that is already lost would take the place of one that can leave
+		can_leave = can_leave && !this->IsEvacuated(worker) && worker.reachable && inNow >= worker.removed_until;
 		for (const auto &[run_id, run] : worker.runs)
-			can_go = can_go && !run.lasting;
-		if (can_go)
+			can_leave = can_leave && !run.lasting;
+		if (can_leave)
 		{
-			// One that the log tells of already can be promised at once
-			const int64 empty = worker.logged_grant_ms > 0 ? -2 : -1;
-			least_used.emplace_back(worker.runs.empty() ? empty : worker.used.cpu_milli, &worker);
+			// With its grant in the log, it can be reported as spared at once
+			const int64 empty_rank = worker.logged_grant_ms > 0 ? -2 : -1;
+			least_used.emplace_back(worker.runs.empty() ? empty_rank : worker.used.cpu_milli, &worker);
 		}
 	}
 	std::sort(least_used.begin(), least_used.end(), [](const auto &inA, const auto &inB) { return inA.first < inB.first; });
