--- a/Loomreach/Schedule/Cell.cpp
+++ b/Loomreach/Schedule/Cell.cpp
@@ -518,7 +518,7 @@
 
 std::vector<KeyedRecord> Cell::TakeBatch(int64 inWallNow)
 {
-	LOOM_INVARIANT(!this->batch_under_way, "only one append may be in flight, or records could reach the log out of order");
+	LOOM_INVARIANT(!this->batch_under_way, "one append at a time, or records could pass one another");
 	std::vector<KeyedRecord> batch;
 	// Changes that exceed one append are written as a series. Ends and the inbox position count as logged only with its last append
 	const bool begins = this->jobs_to_write.empty();
--- a/Loomreach/Schedule/CellLives.cpp
+++ b/Loomreach/Schedule/CellLives.cpp
@@ -53,7 +53,7 @@
 	const bool is_later = IsBornAfter(inEntry.born_ms, ioWorker.born_ms);
 	if (is_later && !ioWorker.ended)
 	{
-		this->SuspectRestart(ioWorker, "the worker list shows a later incarnation", inNow);
+		this->SuspectRestart(ioWorker, "the worker list shows a later life", inNow);
 		return true;
 	}
 	if (is_later)
@@ -157,16 +157,16 @@
 		run.crash_counted = run.crash_counted || MayBeReportedByPredecessor(run);
 	if (!std::exchange(ioWorker.ended, true))
 		this->AttributeCrash(ioWorker, inNow);
-	std::vector<RunId> died;
+	std::vector<RunId> ended_runs;
 	for (auto &[id, run] : ioWorker.runs)
 	{
 		// Confirmed before the poll was sent but missing from its answer: the run was on the previous incarnation
 		const bool was_there = run.confirmed_at >= 0 && run.confirmed_at < inSentAt && !inAnswer.partial;
 		run.crash_counted = IsDispatched(run.state) && !run.in_new_incarnation;
 		if (!std::exchange(run.in_new_incarnation, false) && was_there && IsDispatched(run.state))
-			died.push_back(id);
+			ended_runs.push_back(id);
 	}
-	for (const RunId &id : died)
+	for (const RunId &id : ended_runs)
 		this->EndRun(ioWorker, id, ERunEnd::Lapsed, "", "worker started again", inNow);
 }
 
--- a/Loomreach/Schedule/CellMisses.cpp
+++ b/Loomreach/Schedule/CellMisses.cpp
@@ -1,5 +1,5 @@
-// Stops long-running tasks on workers that drain, have left the worker list or are drained for maintenance, within the number of tasks of a
-// step that may be unavailable at once.
+// Stops long-running tasks on workers that announce that they leave, have left the worker list or are drained for maintenance, within the
+// number of tasks of a step that may be unavailable at the same time.
 
 #include <Loomreach/Loomreach.h>
 
@@ -10,10 +10,10 @@
 {
 
 /// Progress at which a long-running task is up.
-static constexpr int64 cAtWorkPercent = 100;
+static constexpr int64 cUpPercent = 100;
 /// A task counts as up if its worker reported so within this time, which spans two polls during a drain. The availability rule of the users
 /// counts a task as unavailable after 4.5 s.
-static constexpr Millis cAtWorkFreshMs = 1200;
+static constexpr Millis cUpReportMaxAgeMs = 1200;
 
 /// Longest time a worker takes to stop a run: 0.4 to 0.9 s as specified, and half as much again.
 static constexpr Millis cMaxStopMs = 1400;
@@ -30,11 +30,11 @@
 	if ((!ioWorker.entry.draining && !left_unannounced) || ioWorker.runs.empty())
 		return;
 	// Long-running tasks end with the worker. Restarting them now avoids an outage until the lease expires
-	std::vector<RunId> leaving;
+	std::vector<RunId> to_stop;
 	for (const auto &[id, run] : ioWorker.runs)
 		if (run.lasting && run.state == ERunState::Confirmed)
-			leaving.push_back(id);
-	for (const RunId &id : leaving)
+			to_stop.push_back(id);
+	for (const RunId &id : to_stop)
 	{
 		const CellJob *job = this->FindJob(id.task.job);
 		// Without an announcement they are stopped one by one, as for a drain
@@ -54,7 +54,7 @@
 static bool HasSurvivedStop(const Run &inRun, Millis inNow)
 {
 	const bool unanswered = inRun.state == ERunState::Stopping && !inRun.stop_sent && inRun.stop_acked_at < 0 && inRun.next_stop_at > 0;
-	return unanswered && inNow - inRun.next_stop_at >= cMaxStopDelayMs && inNow - inRun.progress_at <= cAtWorkFreshMs;
+	return unanswered && inNow - inRun.next_stop_at >= cMaxStopDelayMs && inNow - inRun.progress_at <= cUpReportMaxAgeMs;
 }
 
 bool Cell::MayBeUnavailable(const CellJob &inJob, size_t inUnit, uint32 inTask, Millis inNow) const
@@ -66,23 +66,23 @@
 	{
 		if (index == inTask)
 			continue;
-		bool at_work = false;
+		bool is_up = false;
 		for (const RunRecord &record : tasks[index].runs)
 		{
 			auto worker = this->workers.find(record.worker);
 			// A worker's last report counts only while the worker keeps answering
 			const bool heard =
-				worker != this->workers.end() && worker->second.reachable && inNow - worker->second.last_answer_at <= cAtWorkFreshMs;
+				worker != this->workers.end() && worker->second.reachable && inNow - worker->second.last_answer_at <= cUpReportMaxAgeMs;
 			if (!heard)
 				continue;
 			const size_t steps = inJob.spec.steps.size();
 			const RunId id{{inJob.spec.id, static_cast<uint32>(inUnit / steps), static_cast<uint32>(inUnit % steps), index}, record.run};
 			auto run = worker->second.runs.find(id);
 			if (run != worker->second.runs.end())
-				at_work = (run->second.state == ERunState::Confirmed || HasSurvivedStop(run->second, inNow)) &&
-						  run->second.percent >= cAtWorkPercent && !MayBeStopping(run->second, inNow);
+				is_up = (run->second.state == ERunState::Confirmed || HasSurvivedStop(run->second, inNow)) &&
+						run->second.percent >= cUpPercent && !MayBeStopping(run->second, inNow);
 		}
-		unavailable += at_work ? 0 : 1;
+		unavailable += is_up ? 0 : 1;
 	}
 	return step.limits_misses ? unavailable < step.may_miss : unavailable == 0;
 }
--- a/Loomreach/Schedule/CellOrders.cpp
+++ b/Loomreach/Schedule/CellOrders.cpp
@@ -34,7 +34,7 @@
 		return "its task or job has ended";
 	// The worker may report less capacity than when the run was planned
 	if (!Resources{}.FitsInto(inWorker.Free()))
-		return "the worker's capacity has shrunk";
+		return "the worker has less room than when the run was planned";
 	if (this->IsEvacuated(inWorker))
 		return "its zone is evacuated";
 	const bool quarantine_run = inWorker.consecutive_failures >= cFailuresToQuarantine && inWorker.listed && !inWorker.entry.draining;
@@ -425,7 +425,7 @@
 			unwanted.push_back(id);
 	}
 	for (const RunId &id : unwanted)
-		this->StopRun(ioWorker, id, "its job has ended, or no record has the run", inNow);
+		this->StopRun(ioWorker, id, "not wanted: its job has ended, or no record has the run", inNow);
 	ioWorker.ends_truncated = inAnswer.partial;
 	std::vector<RunId> absent;
 	for (auto &[id, run] : ioWorker.runs)
--- a/Loomreach/Schedule/CellPlan.cpp
+++ b/Loomreach/Schedule/CellPlan.cpp
@@ -37,7 +37,7 @@
 /// runs. Run times of one kind vary by half their mean, so twice the mean alone is weak evidence.
 static constexpr Millis cStragglerTimes = 2;
 static constexpr Millis cStragglerGain = 2;
-static constexpr Millis cStragglerLeastMs = 400;
+static constexpr Millis cStragglerMinMs = 400;
 static constexpr uint32 cMaxSlowRuns = 1;
 static constexpr Millis cProgressFreshMs = 200;
 /// Penalty per run that a trial run may crash along with the worker. Outweighs everything else.
@@ -420,8 +420,8 @@
 	const size_t steps = ioJob.spec.steps.size();
 	const RunId id{{ioJob.spec.id, static_cast<uint32>(inUnit / steps), static_cast<uint32>(inUnit % steps), inTask}, inRun};
 	Run run = NewRun(ioJob.spec, step, ERunState::Planned, inNow);
-	LOOM_INVARIANT(run.reserved.FitsInto(ioWorker.Free()), "the runs of a worker never exceed its capacity");
-	LOOM_INVARIANT(this->teams.HasRoom(run.team, run.requested, inNow), "the runs of a team never exceed its share in this cell");
+	LOOM_INVARIANT(run.reserved.FitsInto(ioWorker.Free()), "a worker is never told to run more than it has room for");
+	LOOM_INVARIANT(this->teams.HasRoom(run.team, run.requested, inNow), "a team never has more running than its share here");
 	TaskRecord &task = ioJob.record.steps[inUnit].tasks[inTask];
 	LOOM_INVARIANT(inRun > task.last_run, "run numbers of a task increase");
 	LOOM_INVARIANT(task.runs.empty() || step.may_copy, "a task has one run at a time unless its step allows copies");
@@ -539,11 +539,11 @@
 			continue;
 		const Millis expected = this->SlownessBaselineMs(*job, job->Unit(id.task.round, id.task.step));
 		const Millis elapsed = run.progress_at - run.confirmed_at;
-		if (elapsed < expected * cStragglerTimes || elapsed < cStragglerLeastMs)
+		if (elapsed < expected * cStragglerTimes || elapsed < cStragglerMinMs)
 			continue;
 		// Remaining time at the current speed, compared with a fresh start elsewhere
 		const Millis left = elapsed * (100 - run.percent) / std::max<int64>(run.percent, 1);
-		if (left > expected * cStragglerGain + cStragglerLeastMs)
+		if (left > expected * cStragglerGain + cStragglerMinMs)
 			slow.push_back(id);
 	}
 	for (const RunId &id : slow)
