--- a/Loomreach/Schedule/CellDemand.cpp
+++ b/Loomreach/Schedule/CellDemand.cpp
@@ -1,4 +1,4 @@
-// What a cell needs and can spare.
+// Demand of a cell's pools, and the workers that they can spare.
 
 #include <Loomreach/Loomreach.h>
 
@@ -8,15 +8,16 @@
 namespace Loomreach::Jobs
 {
 
-/// From a need to a host at work in the pool: asked within 0.2 s, moved within 1.5 s (users' figure), its worker found within 0.4 s.
+/// Time from demand to a working host in the pool: requested within 0.2 s, moved within 1.5 s as specified, its worker discovered within
+/// 0.4 s.
 static constexpr Millis cMoveLeadMs = 2000;
-/// A worker that has gone stays in the worker list for three of its heartbeats (users' figure, 1.5 s each), and a moment.
+/// A lost worker stays in the worker list for three of its heartbeats, specified as 1.5 s each, plus a margin.
 static constexpr Millis cListLagMs = 5000;
 static constexpr size_t cSurgeJobs = 5;
-/// Tasks that wait for a trial need hosts apart from one another, whatever room they ask for: so many at most.
-static constexpr uint32 cTrialHosts = 8;
+/// Tasks that wait for a trial run need separate hosts, whatever resources they request; at most this many.
+static constexpr uint32 cMaxTrialHosts = 8;
 
-void Cell::NeedNow(std::string_view inPool, int64 inWallNow, Resources &outInTime, Resources &outLate) const
+void Cell::CurrentDemand(std::string_view inPool, int64 inWallNow, Resources &outInTime, Resources &outLate) const
 {
 	std::map<std::string_view, std::array<Resources, 2>> by_team; ///< In time, and late.
 	for (const std::string &id : this->active)
@@ -24,21 +25,21 @@
 		const CellJob &job = this->jobs.at(id);
 		if (job.spec.pool != inPool)
 			continue;
-		const EHope hope = this->HopeOf(job, inWallNow);
+		const EDeadlineOutlook outlook = this->OutlookOf(job, inWallNow);
 		for (size_t unit = 0; unit < job.record.steps.size(); ++unit)
 		{
 			if (!this->IsDue(job, unit, inWallNow))
 				continue;
-			const Resources room = job.StepOf(unit).Room();
-			Resources &sum = by_team[job.spec.team][hope == EHope::InTime ? 0 : 1];
+			const Resources reserved = job.StepOf(unit).Room();
+			Resources &sum = by_team[job.spec.team][outlook == EDeadlineOutlook::InTime ? 0 : 1];
 			for (const TaskRecord &task : job.record.steps[unit].tasks)
 				if (!task.done)
-					sum.Add(room);
+					sum.Add(reserved);
 		}
 	}
 	for (auto &[team, sums] : by_team)
 	{
-		// Hosts beyond what a team may have running would stand idle
+		// Capacity beyond the team's limit would stay idle
 		const Resources *limit = this->teams.Limits().Find(team);
 		Resources left = limit == nullptr ? Resources{} : *limit;
 		for (Resources &sum : sums)
@@ -56,7 +57,7 @@
 std::map<std::string, Resources> Cell::WantedByTeam(int64 inWallNow) const
 {
 	std::map<std::string, Resources> wanted;
-	for (const std::string &id : this->unsettled)
+	for (const std::string &id : this->jobs_to_plan)
 	{
 		const CellJob &job = this->jobs.at(id);
 		if (this->teams.Limits().Find(job.spec.team) == nullptr)
@@ -78,7 +79,7 @@
 	if (this->teams.Limits().IsEmpty())
 		return std::nullopt;
 	ShareQuestion question = this->teams.Ask(this->epoch, this->WantedByTeam(inWallNow), inNow);
-	question.cell = this->trail.Cell();
+	question.cell = this->run_events.Cell();
 	return question;
 }
 
@@ -88,7 +89,7 @@
 	this->teams.OnAnswer(inAnswer, inNow);
 }
 
-/// The greater of each.
+/// Raises each resource to at least the other value.
 static void RaiseTo(Resources &ioHighest, const Resources &inOther)
 {
 	ioHighest.cpu_milli = std::max(ioHighest.cpu_milli, inOther.cpu_milli);
@@ -103,26 +104,26 @@
 		auto found = this->workers.find(id);
 		if (found == this->workers.end())
 			continue;
-		if (inNow >= found->second.left_until)
+		if (inNow >= found->second.removed_until)
 			LogEvent(ELogLevel::Info, "worker_left").Field("worker", id).Field("runs", found->second.runs.size());
-		// No more than that: what may run there is judged by its leases alone
-		found->second.left_until = inNow + cListLagMs;
+		// Only new starts are prevented. What may run there is judged by its leases
+		found->second.removed_until = inNow + cListLagMs;
 	}
 }
 
 uint32 Cell::WaitingTrials(const std::string &inPool) const
 {
 	uint32 waiting = 0;
-	for (const std::string &id : this->unsettled)
+	for (const std::string &id : this->jobs_to_plan)
 	{
 		const CellJob &job = this->jobs.at(id);
 		if (job.spec.pool != inPool)
 			continue;
-		for (size_t unit = 0; unit < job.memory.size(); ++unit)
-			for (size_t index = 0; index < job.memory[unit].size(); ++index)
+		for (size_t unit = 0; unit < job.volatile_state.size(); ++unit)
+			for (size_t index = 0; index < job.volatile_state[unit].size(); ++index)
 			{
 				const TaskRecord &task = job.record.steps[unit].tasks[index];
-				waiting += job.memory[unit][index].trial_since >= 0 && !task.done && task.runs.empty() ? 1 : 0;
+				waiting += job.volatile_state[unit][index].trial_wanted_since >= 0 && !task.done && task.runs.empty() ? 1 : 0;
 			}
 	}
 	return waiting;
@@ -132,16 +133,16 @@
 {
 	this->now = inNow;
 	PoolDemand demand;
-	std::deque<std::pair<Millis, Resources>> &seen = this->needs[inPool];
+	std::deque<std::pair<Millis, Resources>> &seen = this->recent_demand[inPool];
 	Resources in_time;
-	this->NeedNow(inPool, inWallNow, in_time, demand.late);
+	this->CurrentDemand(inPool, inWallNow, in_time, demand.late);
 	seen.emplace_back(inNow, in_time);
 	while (inNow - seen.front().first > this->tuning.demand_hold_ms)
 		seen.pop_front();
-	// What comes in each second must also be worked off each second, later steps included
+	// Work must be completed at the rate at which it arrives, including later steps
 	demand.need.cpu_milli = this->arrivals[inPool].Forecast(cMoveLeadMs, inNow);
-	for (const auto &[at, need] : seen)
-		RaiseTo(demand.need, need);
+	for (const auto &[at, amount] : seen)
+		RaiseTo(demand.need, amount);
 	for (const std::string &id : this->active)
 	{
 		const CellJob &job = this->jobs.at(id);
@@ -149,29 +150,29 @@
 			if (job.spec.pool == inPool && step.lasting && step.max_per_worker > 0)
 				demand.least_hosts = std::max(demand.least_hosts, (step.count + step.max_per_worker - 1) / step.max_per_worker);
 	}
-	demand.least_hosts = std::max(demand.least_hosts, std::min(this->WaitingTrials(inPool), cTrialHosts));
-	// The emptiest hosts that hold nothing lasting take no new work, and go once they are empty
+	demand.least_hosts = std::max(demand.least_hosts, std::min(this->WaitingTrials(inPool), cMaxTrialHosts));
+	// Of the hosts without long-running tasks, the least used are drained first
 	std::vector<std::pair<int64, CellWorker *>> least_used;
 	for (auto &[id, worker] : this->workers)
 	{
-		bool can_go = worker.entry.pool == inPool && worker.listed && !worker.entry.draining && !worker.gone;
-		// One that has gone already would take the place of one that can go
-		can_go = can_go && !this->IsEvacuated(worker) && worker.reachable && inNow >= worker.left_until;
+		bool can_leave = worker.entry.pool == inPool && worker.listed && !worker.entry.draining && !worker.ended;
+		// One that is already lost would take the place of one that can leave
+		can_leave = can_leave && !this->IsEvacuated(worker) && worker.reachable && inNow >= worker.removed_until;
 		for (const auto &[run_id, run] : worker.runs)
-			can_go = can_go && !run.lasting;
-		if (can_go)
+			can_leave = can_leave && !run.lasting;
+		if (can_leave)
 		{
-			// One that the log tells of already can be promised at once
-			const int64 empty = worker.promise_logged_ms > 0 ? -2 : -1;
-			least_used.emplace_back(worker.runs.empty() ? empty : worker.used.cpu_milli, &worker);
+			// With its grant in the log, it can be reported as spared at once
+			const int64 empty_rank = worker.logged_grant_ms > 0 ? -2 : -1;
+			least_used.emplace_back(worker.runs.empty() ? empty_rank : worker.used.cpu_milli, &worker);
 		}
 	}
 	std::sort(least_used.begin(), least_used.end(), [](const auto &inA, const auto &inB) { return inA.first < inB.first; });
 	for (size_t i = 0; i < least_used.size() && i < inSpare; ++i)
 	{
 		CellWorker &worker = *least_used[i].second;
-		worker.vacate_until = std::max(worker.vacate_until, inNow + inForMs);
-		if (this->Promise(worker, inForMs))
+		worker.drain_until = std::max(worker.drain_until, inNow + inForMs);
+		if (this->GrantDrain(worker, inForMs))
 			demand.spared.push_back(worker.entry.id);
 	}
 	if (!demand.spared.empty())
