--- a/Loomreach/Schedule/Worker.h
+++ b/Loomreach/Schedule/Worker.h
@@ -1,4 +1,5 @@
-// What is known of workers and what they are told, in the project's words. The platform's adapter fills and sends these.
+// Workers, the runs they report, and the orders sent to them, independent of the wire format. The platform adapter translates these types
+// to and from the workers' HTTP interface.
 
 #pragma once
 
@@ -9,40 +10,43 @@
 namespace Loomreach::Jobs
 {
 
-/// When a life of a worker began is not known.
+/// Start time of an incarnation that is not known.
 inline constexpr int64 cBirthUnknown = -1;
 
-/// Whether a life began after another of the same worker, as far as both are known.
-constexpr bool IsBornAfter(int64 inBorn, int64 inOther) { return inBorn != cBirthUnknown && inOther != cBirthUnknown && inBorn > inOther; }
+/// Whether one incarnation of a worker started after another; false if either start time is unknown.
+constexpr bool IsBornAfter(int64 inStarted, int64 inOther)
+{
+	return inStarted != cBirthUnknown && inOther != cBirthUnknown && inStarted > inOther;
+}
 
-/// One worker as the host list shows it: one life of a process on a host.
+/// One worker as the worker list shows it: one incarnation, which is one process on a host.
 struct WorkerEntry
 {
-	std::string id;                ///< Names the worker; one that starts again may keep it.
-	int64 born_ms = cBirthUnknown; ///< When this life began, ms since 1970 by its host's clock: with the id it names the life.
-	std::string host;              ///< The machine it runs on; empty when not told.
+	std::string id;                ///< Identifies the worker; a new incarnation may reuse it.
+	int64 born_ms = cBirthUnknown; ///< Start time, ms since 1970 by the host's clock; identifies the incarnation together with `id`.
+	std::string host;              ///< Host it runs on; empty if not reported.
 	std::string pool;
 	std::string availability_zone;
 	Address address;
-	std::string kind; ///< Label of its kind.
+	std::string kind; ///< Label of its worker kind.
 	std::string rack;
 	std::vector<std::string> labels; ///< All labels.
 	Resources capacity;
 	bool draining = false;
-	Millis clock_ms = -1; ///< The worker's own steady clock when it reported; -1: not told.
+	Millis clock_ms = -1; ///< The worker's steady clock when it reported; -1: not reported.
 
 	bool operator==(const WorkerEntry &) const = default;
 };
 
-/// How a run ended.
+/// Why a run ended.
 enum class ERunEnd : uint8
 {
 	Done,
 	Failed,
 	Stopped,
-	Lapsed, ///< Its lease ran out.
+	Lapsed, ///< Its lease expired.
 	Broken, ///< Another member of its gang ended.
-	Alone   ///< It waited too long for the others of its gang.
+	Alone   ///< The other members of its gang did not start in time.
 };
 
 inline constexpr std::array cRunEndNames = {
@@ -51,14 +55,14 @@
 	EnumName<ERunEnd>{ERunEnd::Broken, "broken"},   EnumName<ERunEnd>{ERunEnd::Alone, "alone"},
 };
 
-/// A run that a worker has now.
+/// A run that a worker currently has.
 struct RunningRow
 {
 	TaskId task;
 	uint32 run = 0;
 	std::string checkpoint;
-	int64 percent = 0; ///< Progress; a lasting task is at work at 100.
-	int64 figure = 0;  ///< Serving tasks: tail of their answers, ms. Others: processor in use, thousandths of a core.
+	int64 percent = 0; ///< Progress; a long-running task that is up reports 100.
+	int64 figure = 0;  ///< Latency-sensitive tasks: tail latency, ms. Others: processor time in use, thousandths of a core.
 
 	template <class Archive>
 	void serialize(Archive &ioArchive)
@@ -67,10 +71,10 @@
 	}
 };
 
-/// A run that has ended on a worker and is not yet taken note of.
+/// A run that has ended on a worker and whose end is not acknowledged yet.
 struct EndedRow
 {
-	uint64 number = 0; ///< Rises from 1 within a worker's life.
+	uint64 number = 0; ///< Sequence number; counts up from 1 within an incarnation.
 	TaskId task;
 	uint32 run = 0;
 	ERunEnd end = ERunEnd::Failed;
@@ -83,20 +87,20 @@
 	}
 };
 
-/// How an order to a worker came out.
+/// Outcome of an order to a worker.
 enum class EOrderResult : uint8
 {
-	Done,       ///< Carried out (or had been before).
+	Done,       ///< Carried out, now or by an earlier copy of the order.
 	StaleToken, ///< The worker has seen a higher fencing token.
-	StaleRun,   ///< A run at least as high was stopped or has ended there.
-	TooLate,    ///< The lease named in the order is over already.
-	NoRoom,     ///< Does not fit.
-	NoTicket,   ///< The adviser's ticket is missing or over.
-	OtherLife,  ///< That life of the worker is gone.
-	Unhealthy,  ///< The worker refused; it has done nothing.
+	StaleRun,   ///< A run of the task with this or a higher number was stopped or has ended on the worker.
+	TooLate,    ///< The lease named in the order has already expired.
+	NoRoom,     ///< The run does not fit into the worker's free capacity.
+	NoTicket,   ///< The adviser's ticket is missing or has expired.
+	OtherLife,  ///< The order was for another incarnation of the worker.
+	Unhealthy,  ///< The worker refused because it is unhealthy; nothing was done.
 	Rejected,   ///< The worker found the order malformed.
-	NotSent,    ///< It certainly never left.
-	Unknown     ///< No answer: done, or not, or to be done later.
+	NotSent,    ///< The order certainly never left the sender.
+	Unknown     ///< No answer: the order may be carried out, now or later, or not at all.
 };
 
 inline constexpr std::array cOrderResultNames = {
@@ -113,20 +117,20 @@
 	EnumName<EOrderResult>{EOrderResult::Unknown, "unknown"},
 };
 
-/// What a worker is told.
+/// Kind of an order to a worker.
 enum class EOrder : uint8
 {
 	Start,
 	Stop,
-	Hold, ///< Extend the lease of all runs, take note of ends, and look.
-	Pace
+	Hold, ///< Renews the leases of all runs, acknowledges run ends and lists what runs.
+	Pace  ///< Throttles a best-effort run.
 };
 
 /// One order to one worker.
 struct Order
 {
 	EOrder kind = EOrder::Hold;
-	uint64 serial = 0; ///< Names the order between the cell and its driver.
+	uint64 serial = 0; ///< Identifies the order between the cell and its driver.
 	std::string worker;
 	std::string availability_zone; ///< Of the worker.
 	Address address;
@@ -136,11 +140,11 @@
 	std::string payload;
 	std::string checkpoint;
 	std::string ticket;
-	Millis until_ms = -1; ///< End of the lease on the worker's clock; -1: not told.
-	uint64 last_seen = 0; ///< Hold: ends up to this number are taken note of.
-	Millis wait_ms = 0;   ///< Hold: the answer waits this long for an end.
-	int64 percent = 100;  ///< Pace: the share at which the task is to work.
-	Millis not_after = 0; ///< End of the sender's ownership on its clock: later the order must not leave.
+	Millis until_ms = -1; ///< End of the lease on the worker's clock; -1: none given.
+	uint64 last_seen = 0; ///< Poll: run ends up to this sequence number are acknowledged.
+	Millis wait_ms = 0;   ///< Poll: how long the worker may delay its answer until a run ends (long poll).
+	int64 percent = 100;  ///< Throttle: share of full speed at which the run may work.
+	Millis not_after = 0; ///< End of the sender's ownership on its clock; the order must not be sent later.
 
 	template <class Archive>
 	void serialize(Archive &ioArchive)
@@ -155,12 +159,12 @@
 struct OrderAnswer
 {
 	EOrderResult result = EOrderResult::Unknown;
-	Millis clock_ms = -1;            ///< The worker's steady clock; -1: not told.
-	std::vector<RunningRow> running; ///< Hold only.
-	std::vector<EndedRow> ended;     ///< Hold only.
-	bool partial = false;            ///< Hold only: more ends may follow, so what neither list has may have ended.
-	bool closed = false;             ///< No answer: the worker's side closed the connection or turned it away.
-	int64 born_ms = cBirthUnknown;   ///< Hold only: which life of the worker has answered.
+	Millis clock_ms = -1;            ///< The worker's steady clock; -1: not reported.
+	std::vector<RunningRow> running; ///< Poll only.
+	std::vector<EndedRow> ended;     ///< Poll only.
+	bool partial = false;            ///< Poll only: more ends may follow, so a run in neither list may have ended.
+	bool closed = false;             ///< No answer: the worker's host closed or refused the connection.
+	int64 born_ms = cBirthUnknown;   ///< Poll only: start time of the incarnation that answered.
 
 	template <class Archive>
 	void serialize(Archive &ioArchive)
