--- a/Loomreach/Schedule/CrashEvidence.cpp
+++ b/Loomreach/Schedule/CrashEvidence.cpp
@@ -1,4 +1,4 @@
-// Judges a task by the crashes that it was at.
+// Decides from a task's recorded crashes whether it is proved to crash its workers.
 
 #include <Loomreach/Loomreach.h>
 
@@ -7,15 +7,15 @@
 namespace Loomreach::Jobs
 {
 
-/// Crashes right after a task's start that prove it if nothing else can have been the cause of two of them: with one, chance would decide.
-static constexpr uint32 cAtOnceProved = 2;
-/// The same if something speaks for chance, or if the cause of the others is not known.
-static constexpr uint32 cAtOnceInDoubt = 3;
+/// Crashes right after the start that prove a task to be the cause if it is the only suspect at two of them. One crash may be coincidence.
+static constexpr uint32 cProvingCrashes = 2;
+/// The same if coincidence is likely, or if other suspects remain at some of the crashes.
+static constexpr uint32 cProvingCrashesInDoubt = 3;
 
-/// The users bear three crashes by a task, and two starts more.
-static constexpr uint32 cCrashesBorne = 5;
+/// After a task has crashed three workers it may be started at most twice more.
+static constexpr uint32 cMaxCrashes = 5;
 
-bool IsMoreThanBorne(const TaskCrashes &inCrashes) { return inCrashes.Total() >= cCrashesBorne; }
+bool IsMoreThanBorne(const TaskCrashes &inCrashes) { return inCrashes.Total() >= cMaxCrashes; }
 
 CrashWeight WeighCrashes(const TaskCrashes &inCrashes, const RivalJudge &inJudge)
 {
@@ -48,8 +48,8 @@
 
 bool IsCrasherProved(const CrashWeight &inWeight, const CrashDoubts &inDoubts)
 {
-	const bool in_doubt = inDoubts.workers_crash || inDoubts.unit_is_sound || inWeight.sole < cAtOnceProved;
-	return inWeight.at_once >= (in_doubt ? cAtOnceInDoubt : cAtOnceProved);
+	const bool in_doubt = inDoubts.workers_crash || inDoubts.unit_is_sound || inWeight.sole < cProvingCrashes;
+	return inWeight.at_once >= (in_doubt ? cProvingCrashesInDoubt : cProvingCrashes);
 }
 
 } // namespace Loomreach::Jobs
--- a/Loomreach/Schedule/CrashEvidence.h
+++ b/Loomreach/Schedule/CrashEvidence.h
@@ -1,8 +1,9 @@
-// What the crashes that a task was at say against it, once it is known what became of the other tasks that may have been their cause.
+// Evaluates the crashes at which a task was running, given what is known by now about the other suspects. Pure functions.
 //
-// A worker that crashes takes many runs with it, and of those that had just started at most one did it. So a crash is no proof against any
-// of them by itself. Two things decide it later: a rival that has outlived its start elsewhere was not the cause, and one that is proved to
-// crash its workers was, which clears all others of that crash. Pure.
+// A crashing worker ends many runs, and at most one of those that had just started caused the crash. So a single crash proves nothing
+// against any one of them. Later information decides:
+//  * a suspect that has run past its start on another worker was not the cause;
+//  * a suspect that is proved to crash its workers was the cause, so all others are cleared of that crash.
 
 #pragma once
 
@@ -11,43 +12,44 @@
 namespace Loomreach::Jobs
 {
 
-/// What is known of a rival now.
+/// What is known by now about another suspect of a crash.
 enum class ERival : uint8
 {
-	Open,    ///< Nothing that decides it.
-	Cleared, ///< It has outlived its start, or has done its work.
-	Proved   ///< Its job was given up because it crashes its workers.
+	Open,    ///< Undecided.
+	Cleared, ///< A task of it has run past its start or has finished its work.
+	Proved   ///< Its job was failed because a task of it crashes its workers.
 };
 
+/// Looks up the state of another suspect.
 using RivalJudge = std::function<ERival(const CrashRival &)>;
 
-/// What the crashes of a task weigh: those that a proved rival explains are left out.
+/// Counts of a task's crashes, without those that another suspect is proved to have caused.
 struct CrashWeight
 {
-	uint32 blamed = 0;
-	uint32 at_once = 0;
-	uint32 beside = 0;
-	uint32 clear = 0;     ///< Of `blamed`: nothing else can have been the cause, as far as is known.
-	uint32 sole = 0;      ///< Of `clear`: right after its start.
-	uint32 explained = 0; ///< Left out.
+	uint32 blamed = 0;    ///< The task may have caused the crash.
+	uint32 at_once = 0;   ///< Of `blamed`: right after the start of the task's run.
+	uint32 beside = 0;    ///< Something else is the more likely cause.
+	uint32 clear = 0;     ///< Of `blamed`: no other suspect is left, and coincidence is unlikely.
+	uint32 sole = 0;      ///< Of `at_once`: no other suspect is left.
+	uint32 explained = 0; ///< Crashes left out because another suspect is proved to have caused them.
 
 	uint32 Total() const { return this->blamed + this->beside; }
 };
 
-/// Weighs the crashes of a task.
+/// Counts a task's crashes by what is known of the other suspects.
 CrashWeight WeighCrashes(const TaskCrashes &inCrashes, const RivalJudge &inJudge);
 
-/// What speaks for chance when a task that was alone has crashed its worker right after its start.
+/// Reasons to take a crash for coincidence although the only suspect had just started.
 struct CrashDoubts
 {
-	bool workers_crash = false; ///< Workers have crashed of late with nothing just started there.
-	bool unit_is_sound = false; ///< Another task of the same step has outlived its start: they run the same program.
+	bool workers_crash = false; ///< Workers on which nothing had just started have crashed recently.
+	bool unit_is_sound = false; ///< Another task of the same step, which runs the same program, has run past its start.
 };
 
-/// Whether crashes of this weight, the last of them as told above, prove that a task crashes its workers.
+/// Whether these crashes prove that a task crashes its workers. `inDoubts`: as of the last of them.
 bool IsCrasherProved(const CrashWeight &inWeight, const CrashDoubts &inDoubts);
 
-/// Whether a task has been at so many crashes that it may not be started again, whatever caused them.
+/// Whether a task was running at so many crashes that it may not be started again, whatever caused them.
 bool IsMoreThanBorne(const TaskCrashes &inCrashes);
 
 } // namespace Loomreach::Jobs
--- a/Loomreach/Schedule/TaskCrashes.cpp
+++ b/Loomreach/Schedule/TaskCrashes.cpp
@@ -1,4 +1,4 @@
-// Takes crashes apart for the log, and joins them again.
+// Splits crash records into counts and cases for the log, and merges them on restore.
 
 #include <Loomreach/Loomreach.h>
 
@@ -27,7 +27,7 @@
 			std::count_if(cases.cases.begin(), cases.cases.end(), [](const CrashCase &inCase) { return inCase.blamed; }));
 		const auto at_once = static_cast<uint32>(
 			std::count_if(cases.cases.begin(), cases.cases.end(), [](const CrashCase &inCase) { return inCase.at_once; }));
-		// Counts that were begun anew know nothing of these cases
+		// Counts that were reset after these cases were written do not include them
 		const bool fits = blamed <= crashes.blamed && at_once <= crashes.at_once && cases.cases.size() - blamed <= crashes.beside;
 		if (!fits)
 			continue;
--- a/Loomreach/Schedule/TaskCrashes.h
+++ b/Loomreach/Schedule/TaskCrashes.h
@@ -1,4 +1,4 @@
-// Workers that crashed while a task ran there, as a cell's log keeps them.
+// Worker crashes during runs of a task, as stored in a cell's log.
 
 #pragma once
 
@@ -7,11 +7,11 @@
 namespace Loomreach::Jobs
 {
 
-/// Tasks of a step, which run the same program, that may have caused a crash instead.
+/// Another suspect of a crash: a step, whose tasks all run the same program.
 struct CrashRival
 {
 	std::string job;
-	uint64 unit = 0; ///< Number of the step's record.
+	uint64 unit = 0; ///< Index of the step's record.
 
 	bool operator==(const CrashRival &) const = default;
 	template <class Archive>
@@ -21,13 +21,13 @@
 	}
 };
 
-/// One crash that a task was at.
+/// One worker crash during a run of a task.
 struct CrashCase
 {
-	bool blamed = false;  ///< As counted in TaskCrashes,
-	bool at_once = false; ///< likewise.
-	bool chance = false;  ///< Other workers went at that moment of whose loss no task can be the cause.
-	std::vector<CrashRival> rivals;
+	bool blamed = false;            ///< Whether the crash is counted in `blamed` of the task, else in `beside`.
+	bool at_once = false;           ///< Whether it is counted in `at_once` as well.
+	bool chance = false;            ///< Other workers were lost at the same time, and no task can have caused their loss.
+	std::vector<CrashRival> rivals; ///< Other suspects.
 
 	template <class Archive>
 	void serialize(Archive &ioArchive)
@@ -36,18 +36,18 @@
 	}
 };
 
-/// Workers that crashed while a task ran there. Invariant: each case is one of those counted; of others it is not known what else was
-/// there.
+/// Worker crashes during runs of one task. Invariant: each case is included in the counts. For a counted crash without a case the other
+/// suspects are not known.
 struct TaskCrashes
 {
-	uint32 blamed = 0;  ///< The task may have done it.
-	uint32 at_once = 0; ///< Of these, the ones right after its start, with nothing that speaks for chance.
-	uint32 beside = 0;  ///< Something that had started later is likelier to have done it.
+	uint32 blamed = 0;  ///< The task may have caused the crash.
+	uint32 at_once = 0; ///< Of `blamed`: right after the start of the task's run, with no sign of coincidence.
+	uint32 beside = 0;  ///< A run that had started later is the more likely cause, or the crash says nothing about the task.
 	std::vector<CrashCase> cases;
-	bool proved = false; ///< Its job was given up for it.
+	bool proved = false; ///< Its job was failed because the task crashes its workers.
 
 	uint32 Total() const { return this->blamed + this->beside; }
-	/// The counts alone: `cases` and `proved` have a record of their own, which earlier versions pass over.
+	/// Only the counts: `cases` and `proved` are in a record of their own, which earlier versions skip.
 	template <class Archive>
 	void serialize(Archive &ioArchive)
 	{
@@ -55,10 +55,10 @@
 	}
 };
 
-/// The same for the tasks of a job, by number of the step's record and of the task, where there were any.
+/// Crashes of a job's tasks, by index of the step's record and of the task; only tasks with crashes.
 using CrashCounts = std::map<std::pair<uint64, uint32>, TaskCrashes>;
 
-/// What the log keeps of a task's crashes beside their counts.
+/// The part of a task's crashes that is stored apart from the counts.
 struct CrashCases
 {
 	std::vector<CrashCase> cases;
@@ -71,11 +71,13 @@
 	}
 };
 
+/// Cases of a job's tasks, keyed as the counts are.
 using CrashCasesByTask = std::map<std::pair<uint64, uint32>, CrashCases>;
 
-/// What the log keeps beside the counts.
+/// The part that is stored apart from the counts.
 CrashCasesByTask CasesOf(const CrashCounts &inCounts);
-/// Joins to the counts what the log kept beside them. An owner of an earlier version may have counted on, or removed counts, without it.
+/// Merges stored cases into the counts. Cases that the counts do not include are ignored: an owner of an earlier version, which does not
+/// know the cases, may have changed or removed the counts since.
 void TakeCases(CrashCounts &ioCounts, const CrashCasesByTask &inCases);
 
 } // namespace Loomreach::Jobs
