--- a/Loomreach/Schedule/CellTrail.cpp
+++ b/Loomreach/Schedule/CellTrail.cpp
@@ -1,4 +1,4 @@
-// Writes the way of runs and ends as lines of the log.
+// Formats run and run-end events as log lines, one line for each batch.
 
 #include <Loomreach/Loomreach.h>
 
@@ -9,8 +9,8 @@
 namespace Loomreach::Jobs
 {
 
-/// A line of more items is written as several: glog cuts a message at 30,000 bytes.
-static constexpr size_t cMostItemBytes = 8000;
+/// Longer lists are split over several lines, because glog truncates a message at 30,000 bytes.
+static constexpr size_t cMaxItemBytes = 8000;
 
 void CellTrail::Begin(uint32 inCell, uint64 inEpoch)
 {
@@ -18,12 +18,12 @@
 	this->epoch = inEpoch;
 }
 
-bool CellTrail::IsFull(const Items &inItems) { return inItems.text.size() >= cMostItemBytes; }
+bool CellTrail::IsFull(const Items &inItems) { return inItems.text.size() >= cMaxItemBytes; }
 
 void CellTrail::AddRun(Items &ioItems, const RunId &inRun)
 {
 	std::string unit = inRun.task.job + '.' + std::to_string(inRun.task.round) + '.' + std::to_string(inRun.task.step);
-	// Runs of one step mostly come together: its name is written once
+	// Runs of one step mostly arrive together, so the step is written once for all of them
 	if (unit == ioItems.unit)
 		ioItems.text += ',';
 	else
@@ -54,9 +54,9 @@
 
 void CellTrail::Told(const RunId &inRun)
 {
-	AddRun(this->told, inRun);
-	if (IsFull(this->told))
-		this->FlushTold();
+	AddRun(this->dispatched, inRun);
+	if (IsFull(this->dispatched))
+		this->FlushDispatched();
 }
 
 void CellTrail::Dropped(const RunId &inRun, std::string_view inWhy)
@@ -67,24 +67,24 @@
 	AddRun(this->dropped, inRun);
 }
 
-void CellTrail::Covered(const std::string &inWorker, uint64 inFrom, uint64 inTo, Millis inAge)
+void CellTrail::Covered(const std::string &inWorker, uint64 inFrom, uint64 inTo, Millis inPersistedAge)
 {
-	this->covered_age = std::max(this->covered_age, inAge);
-	AddRange(this->covered, inWorker, inFrom, inTo);
-	if (IsFull(this->covered))
-		this->FlushCovered();
+	this->acknowledged_age = std::max(this->acknowledged_age, inPersistedAge);
+	AddRange(this->acknowledged, inWorker, inFrom, inTo);
+	if (IsFull(this->acknowledged))
+		this->FlushAcknowledged();
 }
 
 void CellTrail::Logged(const std::string &inWorker, uint64 inFrom, uint64 inTo)
 {
-	AddRange(this->logged, inWorker, inFrom, inTo);
-	this->logged_ends += inTo - inFrom + 1;
+	AddRange(this->persisted, inWorker, inFrom, inTo);
+	this->persisted_ends += inTo - inFrom + 1;
 }
 
 void CellTrail::Unmatched(const EndedRow &inRow, std::string_view inPhase, bool inTaskDone)
 {
 	std::string &text = this->unmatched.text;
-	// What is beyond one line's room is counted only
+	// Ends that no longer fit into the line are only counted
 	++this->unmatched.count;
 	if (IsFull(this->unmatched))
 		return;
@@ -97,11 +97,11 @@
 	text += inTaskDone ? "/task-done" : "/task-open";
 }
 
-void CellTrail::FlushTold()
+void CellTrail::FlushDispatched()
 {
-	if (this->told.count == 0)
+	if (this->dispatched.count == 0)
 		return;
-	const Items items = std::exchange(this->told, {});
+	const Items items = std::exchange(this->dispatched, {});
 	LogEvent(ELogLevel::Info, "runs_told")
 		.Field("cell", this->cell)
 		.Field("epoch", this->epoch)
@@ -122,41 +122,41 @@
 		.Field("why", this->dropped_why);
 }
 
-void CellTrail::FlushCovered()
+void CellTrail::FlushAcknowledged()
 {
-	if (this->covered.count == 0)
+	if (this->acknowledged.count == 0)
 		return;
-	const Items items = std::exchange(this->covered, {});
+	const Items items = std::exchange(this->acknowledged, {});
 	LogEvent(ELogLevel::Info, "ends_covered")
 		.Field("cell", this->cell)
 		.Field("epoch", this->epoch)
 		.Field("ends", items.text)
-		.Field("logged_ms_ago", std::exchange(this->covered_age, 0));
+		.Field("logged_ms_ago", std::exchange(this->acknowledged_age, 0));
 }
 
 void CellTrail::FlushOrders()
 {
 	this->FlushDropped();
-	this->FlushTold();
-	this->FlushCovered();
+	this->FlushDispatched();
+	this->FlushAcknowledged();
 }
 
 void CellTrail::FlushAppend(Millis inTook, size_t inRecords)
 {
-	// Most appends hold no end
-	if (this->logged.count == 0)
+	// Most appends contain no run end
+	if (this->persisted.count == 0)
 		return;
-	const Items items = std::exchange(this->logged, {});
+	const Items items = std::exchange(this->persisted, {});
 	LogEvent(ELogLevel::Info, "ends_logged")
 		.Field("cell", this->cell)
 		.Field("epoch", this->epoch)
-		.Field("count", std::exchange(this->logged_ends, 0))
+		.Field("count", std::exchange(this->persisted_ends, 0))
 		.Field("ends", items.text)
 		.Field("records", inRecords)
 		.Field("took_ms", inTook);
 }
 
-void CellTrail::FlushUnmatched(const std::string &inWorker, Millis inLookAge)
+void CellTrail::FlushUnmatched(const std::string &inWorker, Millis inPollAge)
 {
 	if (this->unmatched.count == 0)
 		return;
@@ -167,7 +167,7 @@
 		.Field("worker", inWorker)
 		.Field("count", items.count)
 		.Field("ends", items.text)
-		.Field("look_ms", inLookAge);
+		.Field("look_ms", inPollAge);
 }
 
 } // namespace Loomreach::Jobs
--- a/Loomreach/Schedule/CellTrail.h
+++ b/Loomreach/Schedule/CellTrail.h
@@ -1,5 +1,6 @@
-// The way of runs and ends through a cell, for its log: what was told, dropped untold, logged and covered. One line a batch, never one a
-// task: an owner starts thousands of tasks a second on a small share of a processor.
+// Log lines on the progress of runs and run ends through a cell: runs dispatched or dropped before dispatch, run ends persisted in the
+// cell's log and acknowledged to workers. There is one line for each batch rather than for each task, because an owner starts thousands of
+// tasks a second on a small share of a processor.
 
 #pragma once
 
@@ -8,7 +9,7 @@
 namespace Loomreach::Jobs
 {
 
-/// Collects what a batch did and writes it as few lines. See docs/OPERATIONS.md for how to read them.
+/// Collects the events of a batch and writes them as few log lines. docs/OPERATIONS.md explains how to read them.
 class CellTrail
 {
 public:
@@ -16,49 +17,50 @@
 	uint32 Cell() const { return this->cell; }
 	uint64 Epoch() const { return this->epoch; }
 
-	/// An order to start goes to the run's worker.
+	/// A start order is sent to the run's worker.
 	void Told(const RunId &inRun);
-	/// A run goes that its worker was never told of.
+	/// A run is dropped that was never dispatched to its worker.
 	void Dropped(const RunId &inRun, std::string_view inWhy);
-	/// A look goes out that lets a worker forget ends; the log has held them for `inAge`.
-	void Covered(const std::string &inWorker, uint64 inFrom, uint64 inTo, Millis inAge);
-	/// An append that holds ends of a worker came back.
+	/// A poll is sent that acknowledges run ends; the cell's log has contained them for `inPersistedAge`.
+	void Covered(const std::string &inWorker, uint64 inFrom, uint64 inTo, Millis inPersistedAge);
+	/// An append with run ends of a worker was confirmed.
 	void Logged(const std::string &inWorker, uint64 inFrom, uint64 inTo);
-	/// A worker lists an end of a run that the records do not have.
+	/// A worker lists the end of a run that the job records do not contain.
 	void Unmatched(const EndedRow &inRow, std::string_view inPhase, bool inTaskDone);
 
-	/// Writes what was told, dropped and covered.
+	/// Writes the runs dispatched and dropped and the run ends acknowledged.
 	void FlushOrders();
-	/// Writes what an append made durable. `inTook`: from taking the batch; `inRecords`: how many records it had.
+	/// Writes the run ends that an append has persisted. `inTook`: time since the batch was taken; `inRecords`: number of records in it.
 	void FlushAppend(Millis inTook, size_t inRecords);
-	/// Writes the ends that had no run.
-	void FlushUnmatched(const std::string &inWorker, Millis inLookAge);
+	/// Writes the run ends that match no run. `inPollAge`: time since the poll that listed them was sent; 0: a previous
+	/// owner submitted them.
+	void FlushUnmatched(const std::string &inWorker, Millis inPollAge);
 
 private:
-	/// Text of several items, and how many they are.
+	/// Text of several items and their number.
 	struct Items
 	{
 		std::string text;
-		std::string unit; ///< Of the last run: job, round and step, which the next run may share.
+		std::string unit; ///< Job, round and step of the last run; the next run may share them.
 		size_t count = 0;
 	};
 
 	static void AddRun(Items &ioItems, const RunId &inRun);
 	static void AddRange(Items &ioItems, const std::string &inWorker, uint64 inFrom, uint64 inTo);
 	static bool IsFull(const Items &inItems);
-	void FlushTold();
+	void FlushDispatched();
 	void FlushDropped();
-	void FlushCovered();
+	void FlushAcknowledged();
 
 	uint32 cell = 0;
 	uint64 epoch = 0;
-	Items told;
+	Items dispatched;
 	Items dropped;
 	std::string dropped_why;
-	Items covered;
-	Millis covered_age = 0;
-	Items logged;
-	uint64 logged_ends = 0;
+	Items acknowledged;
+	Millis acknowledged_age = 0;
+	Items persisted;
+	uint64 persisted_ends = 0;
 	Items unmatched;
 };
 
--- a/Loomreach/Schedule/EndReplicas.cpp
+++ b/Loomreach/Schedule/EndReplicas.cpp
@@ -1,4 +1,4 @@
-// Keeps replicas for a bounded time, and a bounded number of them.
+// Stores replicas, limited in age and in number.
 
 #include <Loomreach/Loomreach.h>
 
@@ -8,43 +8,44 @@
 namespace Loomreach::Jobs
 {
 
-/// A replica is dropped after this: an append that takes longer outlasts its owner's lease, and the owner hands in by itself.
-static constexpr Millis cKeepMs = 20000;
-/// Updates kept at most; the oldest goes first.
-static constexpr size_t cMostKept = 2000;
+/// Age after which a replica is dropped. An append that takes longer outlasts its owner's lease, and that owner then submits the run ends
+/// to the inbox itself.
+static constexpr Millis cRetentionMs = 20000;
+/// Limit of stored updates; beyond it the oldest is dropped.
+static constexpr size_t cMaxUpdates = 2000;
 
 void EndReplicas::OnUpdate(EndsUpdate inUpdate, Millis inNow)
 {
-	// Its owner has logged these since
-	std::erase_if(this->kept,
-				  [&inUpdate](const Kept &inKept)
+	// The owner has logged these since
+	std::erase_if(this->updates,
+				  [&inUpdate](const StoredUpdate &inStored)
 				  {
-					  const EndsUpdate &older = inKept.update;
+					  const EndsUpdate &older = inStored.update;
 					  return older.cell == inUpdate.cell && older.epoch == inUpdate.epoch && older.serial <= inUpdate.logged;
 				  });
 	if (inUpdate.serial == 0 || inUpdate.reports.empty())
 		return;
-	if (this->kept.size() >= cMostKept)
+	if (this->updates.size() >= cMaxUpdates)
 	{
 		LogEvent(ELogLevel::Warning, "ends_replica_dropped")
-			.Field("cell", this->kept.front().update.cell)
-			.Field("epoch", this->kept.front().update.epoch)
-			.Field("kept", this->kept.size());
-		this->kept.pop_front();
+			.Field("cell", this->updates.front().update.cell)
+			.Field("epoch", this->updates.front().update.epoch)
+			.Field("kept", this->updates.size());
+		this->updates.pop_front();
 	}
-	this->kept.push_back({std::move(inUpdate), inNow});
+	this->updates.push_back({std::move(inUpdate), inNow});
 }
 
 std::vector<OrphanedEnds> EndReplicas::TakeOrphans(const IsGone &inIsGone, Millis inNow)
 {
-	while (!this->kept.empty() && inNow - this->kept.front().at > cKeepMs)
-		this->kept.pop_front();
+	while (!this->updates.empty() && inNow - this->updates.front().received_at > cRetentionMs)
+		this->updates.pop_front();
 	std::vector<OrphanedEnds> orphans;
-	std::map<std::pair<uint32, uint64>, bool> gone;
-	for (Kept &replica : this->kept)
+	std::map<std::pair<uint32, uint64>, bool> stopped;
+	for (StoredUpdate &replica : this->updates)
 	{
 		const EndsUpdate &update = replica.update;
-		const auto [known, is_new] = gone.try_emplace({update.cell, update.epoch}, false);
+		const auto [known, is_new] = stopped.try_emplace({update.cell, update.epoch}, false);
 		if (is_new)
 			known->second = inIsGone(update.cell, update.epoch);
 		if (!known->second)
@@ -52,7 +53,10 @@
 		for (EndReport &report : replica.update.reports)
 			orphans.push_back({update.cell, std::move(report)});
 	}
-	std::erase_if(this->kept, [&gone](const Kept &inKept) { return gone.at({inKept.update.cell, inKept.update.epoch}); });
+	std::erase_if(this->updates,
+				  [&stopped](const StoredUpdate &inStored) {
+					  return stopped.at({inStored.update.cell, inStored.update.epoch});
+				  });
 	return orphans;
 }
 
--- a/Loomreach/Schedule/EndReplicas.h
+++ b/Loomreach/Schedule/EndReplicas.h
@@ -1,5 +1,5 @@
-// Replicas of ends that other hosts' cells have read and not logged yet. Should such an owner go, whoever keeps a replica hands the ends in
-// to the cell's inbox, where its next owner reads them.
+// Replicas of run ends that owners of cells on other hosts have read and not logged yet. If such an owner is lost, the hosts with a replica
+// submit the ends to the cell's inbox, where the next owner reads them.
 
 #pragma once
 
@@ -8,36 +8,36 @@
 namespace Loomreach::Jobs
 {
 
-/// A report that its owner can hand in no more.
+/// Run ends whose owner can no longer log or submit them.
 struct OrphanedEnds
 {
 	uint32 cell = 0;
 	EndReport report;
 };
 
-/// The side that keeps replicas. See EndReplicator for the owner's.
+/// The receiving side. EndReplicator is the sending side, at the owner.
 class EndReplicas
 {
 public:
-	/// Whether an owner of a cell, named by its epoch, must have stopped acting.
+	/// Whether the owner of a cell with this epoch has certainly stopped acting.
 	using IsGone = std::function<bool(uint32 inCell, uint64 inEpoch)>;
 
-	/// An owner told of ends, or of what the log holds now.
+	/// Stores an update, and drops those whose run ends the owner has logged.
 	void OnUpdate(EndsUpdate inUpdate, Millis inNow);
-	/// Takes out what owners that are gone have told.
+	/// Removes and returns the run ends of owners that have stopped.
 	std::vector<OrphanedEnds> TakeOrphans(const IsGone &inIsGone, Millis inNow);
-	/// How many updates are kept.
-	size_t Size() const { return this->kept.size(); }
+	/// Number of stored updates.
+	size_t Size() const { return this->updates.size(); }
 
 private:
-	/// An update and when it came.
-	struct Kept
+	/// An update and its time of arrival.
+	struct StoredUpdate
 	{
 		EndsUpdate update;
-		Millis at = 0;
+		Millis received_at = 0;
 	};
 
-	std::deque<Kept> kept; ///< Invariant: in the order in which they came.
+	std::deque<StoredUpdate> updates; ///< Invariant: in order of arrival.
 };
 
 } // namespace Loomreach::Jobs
--- a/Loomreach/Schedule/EndReplicator.cpp
+++ b/Loomreach/Schedule/EndReplicator.cpp
@@ -1,4 +1,4 @@
-// Packs ends into updates that fit a datagram.
+// Packs run ends into updates that fit into a datagram.
 
 #include <Loomreach/Loomreach.h>
 
@@ -7,10 +7,10 @@
 namespace Loomreach::Jobs
 {
 
-/// Ends in one update: at some 100 bytes each, half of what a datagram between hosts may hold.
-static constexpr size_t cMostRows = 150;
-/// What the log holds is told with the next ends, or by itself after this.
-static constexpr Millis cReleaseMs = 1000;
+/// Run ends in one update: at about 100 bytes each, half of the largest datagram between hosts.
+static constexpr size_t cMaxEnds = 150;
+/// The position that the log has reached is sent with the next run ends, or alone after this time.
+static constexpr Millis cLoggedUpdateMs = 1000;
 
 void EndReplicator::Begin(uint32 inCell, uint64 inEpoch)
 {
@@ -20,38 +20,38 @@
 
 void EndReplicator::Note(const std::string &inWorker, const EndedRow &inRow)
 {
-	// The others change nothing that must not be lost: the task is started again in any case
+	// Ends of other kinds may be lost: the task is started again in any case
 	if (inRow.end != ERunEnd::Done && inRow.end != ERunEnd::Failed)
 		return;
-	const bool fits = !this->noted.empty() && this->noted.back().worker == inWorker && this->noted.back().ended.size() < cMostRows;
+	const bool fits = !this->pending.empty() && this->pending.back().worker == inWorker && this->pending.back().ended.size() < cMaxEnds;
 	if (!fits)
-		this->noted.push_back({inWorker, this->epoch, {}});
-	this->noted.back().ended.push_back(inRow);
+		this->pending.push_back({inWorker, this->epoch, {}});
+	this->pending.back().ended.push_back(inRow);
 }
 
 std::optional<EndsUpdate> EndReplicator::Take(Millis inNow)
 {
-	const bool releases = this->logged > this->logged_told && inNow - this->told_at >= cReleaseMs;
-	if (this->noted.empty() && !releases)
+	const bool sends_logged = this->logged > this->logged_sent && inNow - this->sent_at >= cLoggedUpdateMs;
+	if (this->pending.empty() && !sends_logged)
 		return std::nullopt;
 	EndsUpdate update{this->cell, this->epoch, 0, this->logged, {}};
-	size_t rows = 0;
-	size_t taken = 0;
-	while (taken < this->noted.size() && (taken == 0 || rows + this->noted[taken].ended.size() <= cMostRows))
-		rows += this->noted[taken++].ended.size();
-	update.reports.assign(std::make_move_iterator(this->noted.begin()),
-						  std::make_move_iterator(this->noted.begin() + static_cast<std::ptrdiff_t>(taken)));
-	this->noted.erase(this->noted.begin(), this->noted.begin() + static_cast<std::ptrdiff_t>(taken));
-	if (taken > 0)
+	size_t end_count = 0;
+	size_t report_count = 0;
+	while (report_count < this->pending.size() && (report_count == 0 || end_count + this->pending[report_count].ended.size() <= cMaxEnds))
+		end_count += this->pending[report_count++].ended.size();
+	update.reports.assign(std::make_move_iterator(this->pending.begin()),
+						  std::make_move_iterator(this->pending.begin() + static_cast<std::ptrdiff_t>(report_count)));
+	this->pending.erase(this->pending.begin(), this->pending.begin() + static_cast<std::ptrdiff_t>(report_count));
+	if (report_count > 0)
 		update.serial = ++this->serial;
-	this->logged_told = this->logged;
-	this->told_at = inNow;
+	this->logged_sent = this->logged;
+	this->sent_at = inNow;
 	return update;
 }
 
 void EndReplicator::BeginWriting()
 {
-	// What was noted and not told yet gets the next serials: only what is told already is known to be covered
+	// Pending ends get later serials when they are sent, so only the ends sent so far may be reported as logged
 	this->to_write = this->serial;
 }
 
--- a/Loomreach/Schedule/EndReplicator.h
+++ b/Loomreach/Schedule/EndReplicator.h
@@ -1,5 +1,6 @@
-// Tells other hosts of the ends that a cell's owner has read, before the cell's log holds them. A worker that leaves takes its own list of
-// ends with it; without a replica, an owner that is killed in between would be the only one that knew, and the tasks would be done again.
+// Replicates the run ends that a cell's owner has read from workers to other hosts, until the cell's log contains them. A worker that
+// leaves takes its own list of run ends with it. If the owner is then killed before its append, only a replica preserves the ends; without
+// one the tasks would run again.
 
 #pragma once
 
@@ -8,13 +9,13 @@
 namespace Loomreach::Jobs
 {
 
-/// What an owner tells the hosts that keep replicas. May be lost, doubled or late.
+/// Message from an owner to the hosts that keep replicas. May be lost, duplicated or delayed.
 struct EndsUpdate
 {
 	uint32 cell = 0;
 	uint64 epoch = 0;  ///< Of the owner.
-	uint64 serial = 0; ///< Of this update: rises from 1 within an epoch. 0: it brings no ends.
-	uint64 logged = 0; ///< The log holds the ends of all updates up to this one.
+	uint64 serial = 0; ///< Number of the update, counting up from 1 within an epoch; 0: it contains no run ends.
+	uint64 logged = 0; ///< The log contains the run ends of all updates up to this serial.
 	std::vector<EndReport> reports;
 
 	template <class Archive>
@@ -24,33 +25,33 @@
 	}
 };
 
-/// The owner's side. See EndReplicas for the other one.
+/// The sending side, at the owner. EndReplicas is the receiving side.
 class EndReplicator
 {
 public:
 	void Begin(uint32 inCell, uint64 inEpoch);
-	/// A worker has listed an end that the log does not hold.
+	/// Adds a run end that a worker has listed and the log does not contain.
 	void Note(const std::string &inWorker, const EndedRow &inRow);
-	/// What is to be told now; nothing: there is nothing. Call until there is nothing.
+	/// The next update to send, or nothing. Call repeatedly until it returns nothing.
 	std::optional<EndsUpdate> Take(Millis inNow);
 
-	/// A series of appends begins that writes all that has been noted until now.
+	/// A series of appends begins that writes all run ends added so far.
 	void BeginWriting();
-	/// The append under way is the last of the series.
+	/// The last append of the series is in progress.
 	void OnWriting() { this->writing = this->to_write; }
-	/// The append under way is in the log.
+	/// The append in progress has succeeded.
 	void OnLogged() { this->logged = this->writing; }
 
 private:
 	uint32 cell = 0;
 	uint64 epoch = 0;
-	std::vector<EndReport> noted; ///< Not told yet.
-	uint64 serial = 0;            ///< Of the last update with ends.
-	uint64 to_write = 0;          ///< Last update whose ends the series of appends under way will hold,
-	uint64 writing = 0;           ///< the same for the append under way,
-	uint64 logged = 0;            ///< and for the log as it is.
-	uint64 logged_told = 0;       ///< As much of it as the others were told,
-	Millis told_at = 0;           ///< and when they last were told anything.
+	std::vector<EndReport> pending; ///< Not sent yet.
+	uint64 serial = 0;              ///< Of the last update with run ends.
+	uint64 to_write = 0;            ///< Last update whose ends the current series of appends writes.
+	uint64 writing = 0;             ///< Last update whose ends are logged once the append in progress succeeds.
+	uint64 logged = 0;              ///< Last update whose ends the log contains.
+	uint64 logged_sent = 0;         ///< Value of `logged` in the last update sent.
+	Millis sent_at = 0;             ///< When the last update was sent.
 };
 
 } // namespace Loomreach::Jobs
