--- a/Loomreach/Schedule/TeamClaims.h
+++ b/Loomreach/Schedule/TeamClaims.h
@@ -1,13 +1,14 @@
-// How the owners of cells and the fleet's owner share out what teams may have running over all pools.
+// Messages by which the fleet's owner divides teams' limits among the cells.
 //
-// A team's limit holds over all cells, and each cell has an owner of its own. So the fleet's owner shares it out: a cell's owner tells what
-// its teams have running and want, and is told how much they may have there. What keeps the limit, whatever is lost or late:
-//  1. a cell starts nothing beyond what it holds, and holds no more than the newest answer to its newest question gave;
-//  2. the fleet's owner counts a cell for the most that it may hold: what it said that it holds, and what it was answered since;
-//  3. a new owner of a cell holds nothing, and counts every run that its log has;
-//  4. a new owner of the fleet gives nothing more until it has heard of all cells, or all that was given before must be over;
-//  5. heard of is a cell only by a question asked after an answer of that owner: an older one may have been on its way for seconds, and a
-//     predecessor's answer may come in still.
+// A team's limit applies to all cells together, but each cell has its own owner. A cell's owner reports what its teams use and want, and
+// the fleet's owner answers with the share of each limit that the cell may use. The following rules keep the limit even if messages are
+// lost or delayed:
+//  1. A cell starts nothing beyond the share it holds. That share is at most what the newest answer to its newest request granted.
+//  2. The fleet's owner counts a cell with the most that it may hold: what it reported to hold, or more if more was granted since.
+//  3. A new owner of a cell holds no share, and counts every run in the cell's log as used.
+//  4. A new owner of the fleet grants nothing more until it has heard from all cells, or until everything granted before has expired.
+//  5. A cell counts as heard from only by a request that it sent after an answer of that owner. An older request may have been in
+//     transit for seconds, and the cell may yet accept an answer of the previous owner.
 
 #pragma once
 
@@ -16,17 +17,17 @@
 namespace Loomreach::Jobs
 {
 
-/// What a cell holds of a team's limit counts this long after the question was sent whose answer gave it. Longer than the fleet is without
-/// an owner when that host is lost (1.5 s of lease and a claim).
+/// A granted share is valid for this long after the request for it was sent. This exceeds the time that the fleet is without
+/// an owner after the owner's host is lost (1.5 s of lease and a claim).
 inline constexpr Millis cShareGoodMs = 3000;
 
-/// What one team has and wants in a cell.
+/// What one team uses, holds and wants in a cell.
 struct TeamClaim
 {
 	std::string team;
 	Resources used;   ///< Of all runs that may exist.
-	Resources held;   ///< What the cell keeps itself to.
-	Resources wanted; ///< Of what could start beside them.
+	Resources held;   ///< Share of the team's limit that the cell holds.
+	Resources wanted; ///< Of the tasks that could start in addition.
 
 	template <class Archive>
 	void serialize(Archive &ioArchive)
@@ -35,13 +36,13 @@
 	}
 };
 
-/// What a cell's owner tells. Teams that are not named have and hold nothing there.
+/// Request of a cell's owner. Teams that are not listed use and hold nothing in the cell.
 struct ShareQuestion
 {
 	uint32 cell = 0;
 	uint64 epoch = 0;       ///< Of the cell's owner.
-	uint64 number = 0;      ///< Rises within the epoch.
-	uint64 fleet_epoch = 0; ///< Highest epoch of a fleet's owner whose answer this one has taken; 0: none yet.
+	uint64 number = 0;      ///< Increases within the epoch.
+	uint64 fleet_epoch = 0; ///< Highest epoch of a fleet's owner whose answer the cell's owner has accepted; 0: none yet.
 	std::vector<TeamClaim> claims;
 
 	template <class Archive>
@@ -51,7 +52,7 @@
 	}
 };
 
-/// What a team may have running in the cell that asked.
+/// Share of a team's limit for the cell that asked.
 struct TeamShare
 {
 	std::string team;
@@ -64,11 +65,11 @@
 	}
 };
 
-/// What the fleet's owner answers.
+/// Answer of the fleet's owner.
 struct ShareAnswer
 {
-	uint64 number = 0;      ///< Of the question; 0: it was not taken.
-	uint64 fleet_epoch = 0; ///< Of the owner that answers.
+	uint64 number = 0;      ///< Of the request; 0: the request was not accepted.
+	uint64 fleet_epoch = 0; ///< Of the fleet's owner that answers.
 	std::vector<TeamShare> shares;
 
 	template <class Archive>
--- a/Loomreach/Schedule/TeamLimits.cpp
+++ b/Loomreach/Schedule/TeamLimits.cpp
@@ -1,4 +1,4 @@
-// Keeps teams' limits.
+// Takes teams' limits from the configuration.
 
 #include <Loomreach/Loomreach.h>
 
--- a/Loomreach/Schedule/TeamLimits.h
+++ b/Loomreach/Schedule/TeamLimits.h
@@ -1,4 +1,4 @@
-// What teams may have running over all pools, as the configurations said.
+// Limits on the resources that teams may use over all pools, and arithmetic on resources.
 
 #pragma once
 
@@ -7,21 +7,21 @@
 namespace Loomreach::Jobs
 {
 
-/// See the head of the file.
+/// Limits of all teams that have had one in any configuration.
 class TeamLimits
 {
 public:
-	/// A newer configuration. A team that it does not name any more keeps its last limit: its accepted jobs go on.
+	/// Applies a newer configuration. A team that it no longer lists keeps its last limit, because its accepted jobs continue.
 	void Take(const Catalogue &inCatalogue);
-	/// A team's limit, or null if it has none.
+	/// A team's limit, or null if it has none. Resources with limit 0 are unlimited.
 	const Resources *Find(std::string_view inTeam) const;
 	bool IsEmpty() const { return this->limits.empty(); }
 
 private:
-	std::map<std::string, Resources, std::less<>> limits; ///< Of teams with a limit in any resource; 0: none in that one.
+	std::map<std::string, Resources, std::less<>> limits; ///< Teams with a limit on at least one resource; 0: no limit on that resource.
 };
 
-/// Whether `inSum` is within a limit of which 0 means none.
+/// Whether `inSum` is within `inAllowed` for each resource that `inLimit` limits (0: no limit).
 inline bool IsWithin(const Resources &inSum, const Resources &inAllowed, const Resources &inLimit)
 {
 	return (inLimit.cpu_milli == 0 || inSum.cpu_milli <= inAllowed.cpu_milli) &&
@@ -29,7 +29,7 @@
 		   (inLimit.accelerators == 0 || inSum.accelerators <= inAllowed.accelerators);
 }
 
-/// Applies an operation to each resource by itself.
+/// Applies an operation to each resource.
 template <class Operation>
 Resources EachOf(const Resources &inA, const Resources &inB, Operation inOperation)
 {
@@ -37,11 +37,12 @@
 			inOperation(inA.accelerators, inB.accelerators)};
 }
 
-/// The lesser and the greater of each.
+/// Minimum of each resource.
 inline Resources LeastOf(const Resources &inA, const Resources &inB)
 {
 	return EachOf(inA, inB, [](int64 inX, int64 inY) { return std::min(inX, inY); });
 }
+/// Maximum of each resource.
 inline Resources GreatestOf(const Resources &inA, const Resources &inB)
 {
 	return EachOf(inA, inB, [](int64 inX, int64 inY) { return std::max(inX, inY); });
--- a/Loomreach/Schedule/TeamUse.cpp
+++ b/Loomreach/Schedule/TeamUse.cpp
@@ -1,4 +1,4 @@
-// Counts what teams have running, and holds their shares.
+// Accounts for the resources of teams' runs and for the granted shares of their limits.
 
 #include <Loomreach/Loomreach.h>
 
@@ -9,46 +9,46 @@
 namespace Loomreach::Jobs
 {
 
-/// Shares are asked for this often: what is no longer needed is given back, what is held stays good (cShareGoodMs).
-static constexpr Millis cAskEveryMs = 200;
-/// A team that has had and wanted nothing for so long holds no share: two turns of demand on the users' days.
-static constexpr Millis cIdleMs = 8000;
-/// And this often while something waits for its team's share: a round trip between zones takes 3 ms, a planning 20 ms apart.
-static constexpr Millis cAskShortMs = 40;
+/// Interval between requests for shares. Each request returns what is no longer needed and renews what is held before it becomes invalid.
+static constexpr Millis cRequestIntervalMs = 200;
+/// Idle time after which a team's share is returned: the length of two swings in demand.
+static constexpr Millis cIdleTeamMs = 8000;
+/// Interval while tasks wait for their team's share. A round trip between zones takes 3 ms, and planning rounds are 20 ms apart.
+static constexpr Millis cShortRequestIntervalMs = 40;
 
-void TeamUse::Add(const std::string &inTeam, const Resources &inNeed)
+void TeamUse::Add(const std::string &inTeam, const Resources &inRequested)
 {
 	if (!inTeam.empty())
-		this->shares[inTeam].used.Add(inNeed);
+		this->shares[inTeam].used.Add(inRequested);
 }
 
-void TeamUse::Subtract(const std::string &inTeam, const Resources &inNeed)
+void TeamUse::Subtract(const std::string &inTeam, const Resources &inRequested)
 {
 	if (inTeam.empty())
 		return;
 	Share &share = this->shares[inTeam];
-	share.used.Subtract(inNeed);
-	LOOM_INVARIANT(share.used.cpu_milli >= 0 && share.used.memory_mb >= 0, "what a team uses is the sum of its runs");
+	share.used.Subtract(inRequested);
+	LOOM_INVARIANT(share.used.cpu_milli >= 0 && share.used.memory_mb >= 0, "the resources used by a team equal the sum of its runs");
 }
 
-bool TeamUse::HasRoom(const std::string &inTeam, const Resources &inNeed, Millis inNow) const
+bool TeamUse::HasRoom(const std::string &inTeam, const Resources &inRequested, Millis inNow) const
 {
 	const Resources *limit = this->limits.Find(inTeam);
 	if (inTeam.empty() || limit == nullptr)
 		return true;
 	auto found = this->shares.find(inTeam);
-	if (found == this->shares.end() || inNow >= this->good_until)
+	if (found == this->shares.end() || inNow >= this->valid_until)
 		return false;
 	Resources sum = found->second.used;
-	sum.Add(inNeed);
+	sum.Add(inRequested);
 	return IsWithin(sum, found->second.held, *limit);
 }
 
-Millis TeamUse::NextAskAt(bool inShort) const
+Millis TeamUse::NextAskAt(bool inShortOfShare) const
 {
-	if (this->asked_at < 0)
+	if (this->requested_at < 0)
 		return 0;
-	return this->asked_at + (inShort || this->unknown_to_fleet ? cAskShortMs : cAskEveryMs);
+	return this->requested_at + (inShortOfShare || this->fleet_owner_changed ? cShortRequestIntervalMs : cRequestIntervalMs);
 }
 
 ShareQuestion TeamUse::Ask(uint64 inEpoch, const std::map<std::string, Resources> &inWanted, Millis inNow)
@@ -62,11 +62,11 @@
 		auto &[team, share] = *it;
 		auto wanted = inWanted.find(team);
 		const Resources want = wanted == inWanted.end() ? Resources{} : wanted->second;
-		const bool idle = share.used == Resources{} && want == Resources{};
-		if (!idle)
-			share.busy_at = inNow;
-		// Not named, it holds nothing here any more
-		if (idle && inNow - share.busy_at > cIdleMs)
+		const bool is_idle = share.used == Resources{} && want == Resources{};
+		if (!is_idle)
+			share.last_active_at = inNow;
+		// A team that the request does not list holds no share in this cell
+		if (is_idle && inNow - share.last_active_at > cIdleTeamMs)
 		{
 			it = this->shares.erase(it);
 			continue;
@@ -75,7 +75,7 @@
 			question.claims.push_back({team, share.used, share.held, want});
 		++it;
 	}
-	this->asked_at = inNow;
+	this->requested_at = inNow;
 	question.number = ++this->number;
 	question.fleet_epoch = this->fleet_epoch;
 	return question;
@@ -83,10 +83,10 @@
 
 void TeamUse::OnAnswer(const ShareAnswer &inAnswer, Millis inNow)
 {
-	// An older question's answer may have been counted as taken back since
+	// The fleet's owner may have counted the share of an older answer as returned since
 	if (inAnswer.number != this->number || this->number == 0 || inAnswer.fleet_epoch < this->fleet_epoch)
 		return;
-	this->unknown_to_fleet = inAnswer.fleet_epoch > this->fleet_epoch;
+	this->fleet_owner_changed = inAnswer.fleet_epoch > this->fleet_epoch;
 	this->fleet_epoch = inAnswer.fleet_epoch;
 	for (const TeamShare &row : inAnswer.shares)
 	{
@@ -97,10 +97,10 @@
 				.Field("cpu_milli", row.limit.cpu_milli)
 				.Field("memory_mb", row.limit.memory_mb)
 				.Field("used_cpu_milli", share.used.cpu_milli)
-				.Field("asked_ms_ago", inNow - this->asked_at);
+				.Field("asked_ms_ago", inNow - this->requested_at);
 		share.held = row.limit;
 	}
-	this->good_until = this->asked_at + cShareGoodMs;
+	this->valid_until = this->requested_at + cShareGoodMs;
 }
 
 } // namespace Loomreach::Jobs
