--- a/Loomreach/Schedule/ArrivalRate.cpp
+++ b/Loomreach/Schedule/ArrivalRate.cpp
@@ -1,4 +1,4 @@
-// Forecasts the work that comes in.
+// Forecasts the rate of arriving work.
 
 #include <Loomreach/Loomreach.h>
 
@@ -13,8 +13,8 @@
 {
 	this->arrived.push_back(inNow);
 	++this->jobs;
-	const double share = std::max(cSizeShare, 1.0 / this->jobs);
-	this->mean_work += share * (static_cast<double>(inWork) - this->mean_work);
+	const double gain = std::max(cSizeGain, 1.0 / this->jobs);
+	this->mean_work += gain * (static_cast<double>(inWork) - this->mean_work);
 }
 
 size_t ArrivalRate::CountBetween(Millis inFrom, Millis inTo) const
@@ -28,20 +28,20 @@
 {
 	while (!this->arrived.empty() && inNow - this->arrived.front() > 2 * cWindowMs)
 		this->arrived.pop_front();
-	const auto lately = static_cast<double>(this->CountBetween(inNow - cWindowMs, inNow));
-	const auto before = static_cast<double>(this->CountBetween(inNow - 2 * cWindowMs, inNow - cWindowMs));
-	const size_t just_now = this->CountBetween(inNow - cSurgeMs, inNow);
-	double rate = lately * 1000.0 / cWindowMs;
-	// The middle of the window is half a window ago
+	const auto recent = static_cast<double>(this->CountBetween(inNow - cWindowMs, inNow));
+	const auto earlier = static_cast<double>(this->CountBetween(inNow - 2 * cWindowMs, inNow - cWindowMs));
+	const size_t burst = this->CountBetween(inNow - cSurgeMs, inNow);
+	double rate = recent * 1000.0 / cWindowMs;
+	// The rate is a mean over the window, so it is that of half a window ago
 	const Millis ahead = inLead + cWindowMs / 2;
-	const double change = lately - before;
-	if (std::abs(change) > cCertain * std::sqrt(lately + before + 1.0))
-		rate += change * static_cast<double>(ahead) / cWindowMs;
-	const double expected = lately * cSurgeMs / cWindowMs;
-	const bool surge = just_now >= cSurgeJobs && static_cast<double>(just_now) > expected + cCertain * std::sqrt(expected + 1.0);
-	if (surge)
-		rate = std::max(rate, static_cast<double>(just_now) * 1000.0 / cSurgeMs);
-	rate = std::clamp(rate, 0.0, std::max(lately, static_cast<double>(just_now) * 1000.0 / cSurgeMs) * cMostGrowth);
+	const double trend = recent - earlier;
+	if (std::abs(trend) > cSignificantDeviations * std::sqrt(recent + earlier + 1.0))
+		rate += trend * static_cast<double>(ahead) / cWindowMs;
+	const double expected = recent * cSurgeMs / cWindowMs;
+	const bool is_surge = burst >= cSurgeJobs && static_cast<double>(burst) > expected + cSignificantDeviations * std::sqrt(expected + 1.0);
+	if (is_surge)
+		rate = std::max(rate, static_cast<double>(burst) * 1000.0 / cSurgeMs);
+	rate = std::clamp(rate, 0.0, std::max(recent, static_cast<double>(burst) * 1000.0 / cSurgeMs) * cMaxGrowth);
 	return static_cast<int64>(rate * this->mean_work);
 }
 
--- a/Loomreach/Schedule/RunTimes.cpp
+++ b/Loomreach/Schedule/RunTimes.cpp
@@ -1,4 +1,4 @@
-// Fits run times.
+// Regression of run times on the callers' estimates.
 
 #include <Loomreach/Loomreach.h>
 
@@ -9,7 +9,7 @@
 namespace Loomreach::Jobs
 {
 
-/// The logarithm of a time, of 1 ms at least.
+/// Logarithm of a time, which is taken as at least 1 ms.
 static double LogOf(Millis inTime) { return std::log(static_cast<double>(std::max<Millis>(inTime, 1))); }
 
 void RunTimeFit::Learn(Millis inEstimate, Millis inTook)
@@ -17,25 +17,25 @@
 	const double x = LogOf(inEstimate);
 	const double y = LogOf(inTook);
 	++this->samples;
-	this->weight = this->weight * cForget + 1.0;
-	// Deviations from the old mean times those from the new one: the usual way to keep such sums up to date
-	const double off_x = x - this->mean_x;
-	const double off_y = y - this->mean_y;
-	this->mean_x += off_x / this->weight;
-	this->mean_y += off_y / this->weight;
-	this->xx = this->xx * cForget + off_x * (x - this->mean_x);
-	this->xy = this->xy * cForget + off_x * (y - this->mean_y);
-	this->yy = this->yy * cForget + off_y * (y - this->mean_y);
+	this->weight = this->weight * cDecay + 1.0;
+	// Welford's method: each sum grows by the deviation from the old mean times the deviation from the new one
+	const double delta_x = x - this->mean_x;
+	const double delta_y = y - this->mean_y;
+	this->mean_x += delta_x / this->weight;
+	this->mean_y += delta_y / this->weight;
+	this->xx = this->xx * cDecay + delta_x * (x - this->mean_x);
+	this->xy = this->xy * cDecay + delta_x * (y - this->mean_y);
+	this->yy = this->yy * cDecay + delta_y * (y - this->mean_y);
 }
 
 Millis RunTimeFit::Expect(Millis inEstimate) const
 {
-	const double slope = std::clamp(this->xy / (this->xx + cDoubt), 0.0, cMostSlope);
-	// Without an estimate the mean of all is the best guess
-	const double off_x = inEstimate > 0 ? LogOf(inEstimate) - this->mean_x : 0.0;
-	const double unexplained = std::max(0.0, this->yy - slope * this->xy) / std::max(this->weight, 1.0);
-	// The mean of what a logarithm spreads around lies above its middle
-	const double mean = this->mean_y + slope * off_x + std::min(unexplained, cMostSpread) / 2.0;
+	const double slope = std::clamp(this->xy / (this->xx + cPriorWeight), 0.0, cMaxSlope);
+	// Without an estimate, the mean of all samples is used
+	const double delta_x = inEstimate > 0 ? LogOf(inEstimate) - this->mean_x : 0.0;
+	const double variance = std::max(0.0, this->yy - slope * this->xy) / std::max(this->weight, 1.0);
+	// The mean of a log-normal distribution lies above its median by a factor of exp(variance / 2)
+	const double mean = this->mean_y + slope * delta_x + std::min(variance, cMaxVariance) / 2.0;
 	return std::max<Millis>(1, static_cast<Millis>(std::exp(mean)));
 }
 
@@ -48,17 +48,17 @@
 
 void RunTimes::LearnSpread(const JobSpec &inJob, double inSpread)
 {
-	double &spread = this->spreads.try_emplace(inJob.queue, cFirstSpread).first->second;
-	spread += cSpreadShare * (std::min(inSpread, 1.0) - spread);
+	double &spread = this->spreads.try_emplace(inJob.queue, cInitialSpread).first->second;
+	spread += cSpreadGain * (std::min(inSpread, 1.0) - spread);
 }
 
 Millis RunTimes::Expect(const JobSpec &inJob, const StepSpec &inStep) const
 {
 	auto image = this->by_image.find(inStep.image);
-	if (image != this->by_image.end() && image->second.IsKnown())
+	if (image != this->by_image.end() && image->second.IsReliable())
 		return image->second.Expect(inStep.estimate_ms);
 	auto queue = this->by_queue.find(inJob.queue);
-	if (queue != this->by_queue.end() && queue->second.IsKnown())
+	if (queue != this->by_queue.end() && queue->second.IsReliable())
 		return queue->second.Expect(inStep.estimate_ms);
 	return std::max<Millis>(inStep.estimate_ms, 1);
 }
@@ -66,10 +66,10 @@
 Millis RunTimes::Longest(const JobSpec &inJob, Millis inMean, size_t inTasks) const
 {
 	auto spread = this->spreads.find(inJob.queue);
-	const double each = spread == this->spreads.end() ? cFirstSpread : spread->second;
-	// The longest of n lies about this many deviations above their mean, for 2 to 30 tasks to within a tenth
-	const double above = std::sqrt(std::log(static_cast<double>(std::max<size_t>(inTasks, 1))));
-	return static_cast<Millis>(static_cast<double>(inMean) * (1.0 + each * above));
+	const double spread_of_queue = spread == this->spreads.end() ? cInitialSpread : spread->second;
+	// The longest of n tasks lies about this many standard deviations above the mean; for 2 to 30 tasks the error is below 10%
+	const double deviations = std::sqrt(std::log(static_cast<double>(std::max<size_t>(inTasks, 1))));
+	return static_cast<Millis>(static_cast<double>(inMean) * (1.0 + spread_of_queue * deviations));
 }
 
 } // namespace Loomreach::Jobs
--- a/Loomreach/Schedule/RunTimes.h
+++ b/Loomreach/Schedule/RunTimes.h
@@ -1,4 +1,5 @@
-// Learned run times of tasks. A caller's own estimate is off by up to nine tenths, and yet it tells something: how much is learned as well.
+// Predicts run times of tasks from finished runs. Callers' estimates are wrong by up to 90% but still carry information; how
+// much weight they get is learned as well.
 
 #pragma once
 
@@ -7,15 +8,16 @@
 namespace Loomreach::Jobs
 {
 
-/// How the run times of one kind of task follow from the callers' estimates: a line through their logarithms, since both are off by
-/// factors. Forgets slowly. Invariant: the sums are weighted by the same shares.
+/// Linear regression of run time on the caller's estimate for one kind of task. It works on logarithms, because both vary by factors. Older
+/// samples lose weight exponentially. Invariant: all sums use the same weights.
 class RunTimeFit
 {
 public:
+	/// Adds a finished run that took `inTook` ms.
 	void Learn(Millis inEstimate, Millis inTook);
-	/// The mean run time of a task with this estimate, ms.
+	/// Predicted mean run time of a task with this estimate, ms. `inEstimate`: 0 if the caller gave none.
 	Millis Expect(Millis inEstimate) const;
-	bool IsKnown() const { return this->samples >= cEnough; }
+	bool IsReliable() const { return this->samples >= cMinSamples; }
 
 	template <class Archive>
 	void serialize(Archive &ioArchive)
@@ -24,32 +26,35 @@
 	}
 
 private:
-	static constexpr uint32 cEnough = 5;       ///< Samples before a fit is believed.
-	static constexpr double cForget = 0.997;   ///< Weight of what is known at each new sample: some 300 tasks, or 40 steps, count.
-	static constexpr double cDoubt = 5.0;      ///< Weight of the assumption that estimates tell nothing, in squared logarithms.
-	static constexpr double cMostSlope = 1.0;  ///< An estimate twice as long means at most twice the time.
-	static constexpr double cMostSpread = 0.3; ///< Squared logarithms: the users' tasks have 0.2 to 0.28; beyond are runs on slow workers.
+	static constexpr uint32 cMinSamples = 5; ///< Samples needed before the fit is used.
+	/// Factor on the weight of older samples for each new one: the last 300 tasks or so count, or 40 steps.
+	static constexpr double cDecay = 0.997;
+	static constexpr double cPriorWeight = 5.0; ///< Weight of the prior that estimates carry no information, in squared logarithms.
+	static constexpr double cMaxSlope = 1.0;    ///< At most, twice the estimate means twice the run time.
+	/// In squared logarithms. The tasks have 0.2 to 0.28; higher values come from runs on slow workers.
+	static constexpr double cMaxVariance = 0.3;
 
 	uint32 samples = 0;
-	double weight = 0.0; ///< Of all samples.
-	double mean_x = 0.0; ///< Of the logarithms of estimates.
-	double mean_y = 0.0; ///< Of the logarithms of run times.
-	double xx = 0.0;     ///< Sum of squares of the estimates' deviations, xy of the products, yy of the run times'.
-	double xy = 0.0;
-	double yy = 0.0;
+	double weight = 0.0; ///< Sum of the weights of all samples.
+	double mean_x = 0.0; ///< Mean logarithm of the estimates.
+	double mean_y = 0.0; ///< Mean logarithm of the run times.
+	double xx = 0.0;     ///< Sum of squared deviations of the estimates' logarithms.
+	double xy = 0.0;     ///< Sum of products of both deviations.
+	double yy = 0.0;     ///< Sum of squared deviations of the run times' logarithms.
 };
 
-/// Run times by image and by queue.
+/// Run times by image and by queue. A prediction uses the image if enough of its runs are known, else the queue, else the caller's
+/// estimate.
 class RunTimes
 {
 public:
-	/// A task of a step ended well after running this long, ms.
+	/// Adds a task of a step that ran to its successful end in `inTook` ms.
 	void Learn(const JobSpec &inJob, const StepSpec &inStep, Millis inTook);
-	/// Tasks of one step took `inSpread` times their mean longer or shorter (a standard deviation).
+	/// Adds the spread of run times within a step: their standard deviation as a share of their mean.
 	void LearnSpread(const JobSpec &inJob, double inSpread);
-	/// What a task of a step is likely to take, ms.
+	/// Predicted run time of a task of a step, ms.
 	Millis Expect(const JobSpec &inJob, const StepSpec &inStep) const;
-	/// What the longest of `inTasks` tasks is likely to take whose mean is `inMean`, ms.
+	/// Predicted run time of the longest of `inTasks` tasks with mean `inMean`, ms.
 	Millis Longest(const JobSpec &inJob, Millis inMean, size_t inTasks) const;
 
 	template <class Archive>
@@ -59,8 +64,8 @@
 	}
 
 private:
-	static constexpr double cFirstSpread = 0.25; ///< Before any step has told: the users' tasks differ by 0.15 to 0.3 of their mean.
-	static constexpr double cSpreadShare = 0.05; ///< Weight of one step's spread.
+	static constexpr double cInitialSpread = 0.25; ///< Assumed until a step has been seen; the tasks' values are 0.15 to 0.3.
+	static constexpr double cSpreadGain = 0.05;    ///< Weight of a new step in the moving average.
 
 	std::map<std::string, RunTimeFit> by_image;
 	std::map<std::string, RunTimeFit> by_queue;
--- a/Loomreach/Schedule/StepSeen.cpp
+++ b/Loomreach/Schedule/StepSeen.cpp
@@ -1,4 +1,4 @@
-// Sums up the runs of one step.
+// Statistics of the run times within one step.
 
 #include <Loomreach/Loomreach.h>
 
--- a/Loomreach/Schedule/StepSeen.h
+++ b/Loomreach/Schedule/StepSeen.h
@@ -1,4 +1,4 @@
-// What the tasks of one step have told of their run times. Kept in memory only: a successor goes by expectations again.
+// Observed run times of the tasks of one step. They are kept in memory only; a new owner of the cell starts from predictions again.
 
 #pragma once
 
@@ -7,22 +7,23 @@
 namespace Loomreach::Jobs
 {
 
-/// See the head of the file.
+/// Statistics of one step.
 class StepSeen
 {
 public:
 	/// A run of a task was planned.
 	void NotePlanned(Millis inNow) { this->planned_at = inNow; }
-	/// When the last run was planned; -1: none was, or by an earlier owner.
+	/// When the last run was planned; -1: this owner has planned none.
 	Millis PlannedAt() const { return this->planned_at; }
-	/// A task's whole run took this long.
+	/// Adds a task whose complete run took `inTook` ms.
 	void Add(Millis inTook);
-	/// Tasks whose whole run was seen.
+	/// Number of tasks added.
 	size_t Count() const { return this->count; }
-	/// Of those seen; there must be one.
+	/// Mean run time, ms; requires at least one task.
 	Millis Mean() const { return static_cast<Millis>(this->sum / static_cast<double>(this->count)); }
+	/// Longest run time, ms.
 	Millis Longest() const { return this->longest; }
-	/// The tasks' standard deviation as a share of their mean; there must be two.
+	/// Standard deviation as a share of the mean; requires at least two tasks.
 	double Spread() const;
 
 private:
