--- a/Loomreach/Schedule/Advice.h
+++ b/Loomreach/Schedule/Advice.h
@@ -1,4 +1,4 @@
-// Questions to the adviser, who alone knows which workers may run a step of a queue with a policy.
+// Requests to the adviser, the service that decides which workers may run a step of a queue with a policy.
 
 #pragma once
 
@@ -7,38 +7,38 @@
 namespace Loomreach::Jobs
 {
 
-/// Which of these workers may run this step?
+/// Request: which of these workers may run this step.
 struct AdviceQuestion
 {
 	std::string job;
 	uint32 round = 0;
 	uint32 step = 0;
 	std::vector<std::string> workers;
-	Millis expect_ms = 0; ///< What the policy says that the answer takes.
+	Millis expect_ms = 0; ///< Expected time to the answer according to the policy.
 };
 
-/// Workers that may, each with its ticket. The others that were asked about never may.
+/// The admitted workers with their tickets. The other workers in the request may never run the step.
 struct AdviceAnswer
 {
-	bool answered = false;
-	Millis valid_ms = 0; ///< Life of the tickets.
-	std::map<std::string, std::string> tickets;
+	bool answered = false;                      ///< False: the call failed, and nothing is known.
+	Millis valid_ms = 0;                        ///< Validity of the tickets.
+	std::map<std::string, std::string> tickets; ///< By worker.
 };
 
-/// A ticket as it is kept.
+/// A ticket with its time of expiry.
 struct Ticket
 {
 	std::string text;
 	Millis good_until = 0;
 };
 
-/// What is known of one step's workers.
+/// The adviser's answers for one step.
 struct StepAdvice
 {
-	bool asked = false; ///< A question is under way.
-	Millis ask_after = 0;
-	std::map<std::string, Ticket> tickets;
-	std::set<std::string> refused; ///< Workers that may never run it.
+	bool asked = false;                    ///< A request is in progress.
+	Millis ask_after = 0;                  ///< No further request is sent before.
+	std::map<std::string, Ticket> tickets; ///< By worker.
+	std::set<std::string> refused;         ///< Workers that may never run it.
 };
 
 } // namespace Loomreach::Jobs
--- a/Loomreach/Schedule/Catalogue.cpp
+++ b/Loomreach/Schedule/Catalogue.cpp
@@ -1,4 +1,4 @@
-// Finds the queue for a caller's request, and the team that makes it.
+// Looks up the queue that a caller's request leads to and the team that sends it.
 
 #include <Loomreach/Loomreach.h>
 
@@ -41,7 +41,7 @@
 	return found == this->teams->end() ? nullptr : &found->second;
 }
 
-/// Names a key towards other entry hosts; never 0.
+/// Identifies a key in messages to other entry hosts without revealing it; never 0.
 static uint64 HashOfKey(std::string_view inKey) { return HashBytes(inKey, 0) | 1; }
 
 std::optional<Admission> Catalogue::Admit(std::string_view inHost, std::string_view inPath, std::string_view inKey) const
--- a/Loomreach/Schedule/PoolDemand.h
+++ b/Loomreach/Schedule/PoolDemand.h
@@ -1,4 +1,4 @@
-// What a pool's owner tells the fleet's owner: how much its pool needs, and which workers it can spare.
+// Report of a pool's owner to the fleet's owner: the demand of the pool and the workers that it can release.
 
 #pragma once
 
@@ -7,13 +7,14 @@
 namespace Loomreach::Jobs
 {
 
-/// See the head of the file.
+/// Demand and releasable workers of one pool.
 struct PoolDemand
 {
-	Resources need;         ///< Of jobs that can be in time: what runs, what could start, what comes in; the highest of the last moments.
-	Resources late;         ///< Of jobs that can only be late.
-	uint32 least_hosts = 0; ///< Tasks that must be apart from one another need this many.
-	std::vector<std::string> spared; ///< Workers that are empty and stay so for the time asked for.
+	/// Demand of jobs that can meet their deadlines (running, ready to start, and forecast); the highest of the recent values.
+	Resources need;
+	Resources late;                  ///< Demand of jobs that can no longer meet their deadlines.
+	uint32 least_hosts = 0;          ///< Number of hosts for tasks that must not share a host.
+	std::vector<std::string> spared; ///< Workers that are empty and stay empty for the requested time.
 
 	template <class Archive>
 	void serialize(Archive &ioArchive)
--- a/Loomreach/Schedule/TaskText.h
+++ b/Loomreach/Schedule/TaskText.h
@@ -1,4 +1,4 @@
-// A task's name as text, for logs: job.round.step.index.
+// Text form of task ids in log lines.
 
 #pragma once
 
@@ -7,7 +7,7 @@
 namespace Loomreach::Jobs
 {
 
-/// "job.round.step.index".
+/// Formats a task id as "job.round.step.index".
 inline std::string TaskText(const TaskId &inTask)
 {
 	return inTask.job + '.' + std::to_string(inTask.round) + '.' + std::to_string(inTask.step) + '.' + std::to_string(inTask.index);
