--- a/Loomreach/Schedule/WorkerLeases.cpp
+++ b/Loomreach/Schedule/WorkerLeases.cpp
@@ -1,4 +1,4 @@
-// The longest lease that workers may have of a cell's owners.
+// Tracks the longest lease that a cell's owners may have granted to workers.
 
 #include <Loomreach/Loomreach.h>
 
@@ -11,14 +11,14 @@
 void WorkerLeases::Begin(Millis inOwn, Millis inMost, Millis inNow)
 {
 	this->own = inOwn;
-	this->former = std::max(inMost, this->logged);
-	this->former_over_at = inNow + LongestLease(this->former);
+	this->previous = std::max(inMost, this->logged);
+	this->previous_expired_at = inNow + LongestLease(this->previous);
 }
 
 std::optional<Millis> WorkerLeases::ToLog(Millis inNow) const
 {
-	// A former owner's longer lease counts for the next one until it is over
-	const Millis wanted = inNow < this->former_over_at ? std::max(this->own, this->logged) : this->own;
+	// Until a previous owner's longer lease has expired, a successor must be able to read it
+	const Millis wanted = inNow < this->previous_expired_at ? std::max(this->own, this->logged) : this->own;
 	if (wanted == this->logged)
 		return std::nullopt;
 	return wanted;
--- a/Loomreach/Schedule/WorkerLeases.h
+++ b/Loomreach/Schedule/WorkerLeases.h
@@ -1,5 +1,6 @@
-// How long a cell's owners lease workers their runs. A successor waits for the longest lease that any owner may have given, so the log says
-// what that is: by its own setting alone an owner with a shorter one would start tasks anew that are still at work.
+// Durations of the leases that a cell's owners grant for the runs on workers. A new owner waits for the longest lease that any owner may
+// have granted before it starts tasks again, so the cell's log stores that duration. Relying on its own setting, an owner with a shorter
+// lease would start tasks whose runs are still going.
 
 #pragma once
 
@@ -8,32 +9,34 @@
 namespace Loomreach::Jobs
 {
 
-/// See the head of the file. Invariant: no lease is given that is longer than what the log holds, unless it holds nothing yet.
+/// Lease durations of the present and the previous owners of a cell. Invariant: no lease is granted that is longer than the logged one,
+/// unless none is logged yet.
 class WorkerLeases
 {
 public:
-	/// What the log holds.
+	/// Takes the lease duration stored in the log.
 	void Restore(Millis inLogged) { this->logged = inLogged; }
-	/// Takes the cell over: this owner gives leases of `inOwn`, and others of its version at most `inMost`.
+	/// A new owner takes over the cell. `inOwn`: the lease it grants; `inMost`: the longest that owners of its version grant.
 	void Begin(Millis inOwn, Millis inMost, Millis inNow);
-	/// The longest lease that a worker may have now.
-	Millis Longest(Millis inNow) const { return inNow < this->former_over_at ? std::max(this->former, this->own) : this->own; }
-	/// The lease to give now.
+	/// The longest lease that a worker may hold now.
+	Millis Longest(Millis inNow) const { return inNow < this->previous_expired_at ? std::max(this->previous, this->own) : this->own; }
+	/// The lease to grant now.
 	Millis ToGive() const { return this->logged > 0 ? std::min(this->own, this->logged) : this->own; }
-	/// Whether the log holds any lease: those of earlier versions do not.
+	/// Whether the log contains a lease duration; logs of earlier versions do not.
 	bool IsLogged() const { return this->logged > 0; }
-	/// What the log should hold, if it does not.
+	/// The duration to write to the log, or nothing if the log is up to date.
 	std::optional<Millis> ToLog(Millis inNow) const;
-	/// An append that holds this is under way; it is through.
+	/// An append with this duration has begun.
 	void OnWriting(Millis inLease) { this->writing = inLease; }
+	/// The append has succeeded.
 	void OnLogged();
 
 private:
-	Millis own = 0;
-	Millis former = 0;         ///< The longest that owners before this one may have given,
-	Millis former_over_at = 0; ///< and by when such a lease is over.
-	Millis logged = 0;         ///< 0: nothing yet.
-	Millis writing = 0;        ///< 0: nothing of it is under way.
+	Millis own = 0;                 ///< Lease that this owner grants.
+	Millis previous = 0;            ///< Longest lease that previous owners may have granted.
+	Millis previous_expired_at = 0; ///< When such a lease has certainly expired.
+	Millis logged = 0;              ///< Duration in the log; 0: none yet.
+	Millis writing = 0;             ///< Duration in the append in progress; 0: none.
 };
 
 } // namespace Loomreach::Jobs
--- a/Loomreach/Schedule/WorkerToken.h
+++ b/Loomreach/Schedule/WorkerToken.h
@@ -1,6 +1,6 @@
-// Fencing tokens of orders to workers. A worker does nothing for a token that is lower than one it has seen. Owners' epochs are so far
-// apart that one owner has many tokens: a higher one for each life of a worker that it comes to know. An order for a former life, carried
-// out late, is so refused by the next one, which has the same id.
+// Fencing tokens of orders to workers. A worker refuses orders with a token lower than the highest it has seen. The epochs of owners are
+// far enough apart that an owner has many tokens and can use a higher one for each new incarnation of a worker. The new incarnation, which
+// may have the same id, thereby refuses a delayed order that was meant for the previous one.
 
 #pragma once
 
@@ -9,16 +9,16 @@
 namespace Loomreach::Jobs
 {
 
-/// Tokens of one owner.
+/// Number of tokens of one owner.
 inline constexpr uint64 cTokensAnEpoch = 1'000'000;
 
-/// The epoch of an owner after one with this epoch.
+/// Epoch of the owner that follows one with this epoch.
 constexpr uint64 NextEpoch(uint64 inEpoch) { return (inEpoch / cTokensAnEpoch + 1) * cTokensAnEpoch; }
 
-/// The token of an owner's orders. `inLife`: how many new lives of workers it had come to know by then.
-constexpr uint64 TokenOf(uint64 inEpoch, uint64 inLife) { return inEpoch + std::min(inLife, cTokensAnEpoch - 1); }
+/// Token of an owner's orders to an incarnation. `inIncarnation`: number of new incarnations that the owner had seen up to this one.
+constexpr uint64 TokenOf(uint64 inEpoch, uint64 inIncarnation) { return inEpoch + std::min(inIncarnation, cTokensAnEpoch - 1); }
 
-/// Whose token it is.
+/// Epoch of the owner that issued a token.
 constexpr uint64 EpochOf(uint64 inToken) { return inToken / cTokensAnEpoch * cTokensAnEpoch; }
 
 } // namespace Loomreach::Jobs
--- a/Loomreach/Schedule/ZoneEvacuations.cpp
+++ b/Loomreach/Schedule/ZoneEvacuations.cpp
@@ -1,4 +1,4 @@
-// Keeps the newest order for each zone.
+// Applies the operators' evacuation orders, of which the newest counts for each zone.
 
 #include <Loomreach/Loomreach.h>
 
@@ -20,9 +20,9 @@
 
 bool ZoneEvacuations::Keep(const std::set<std::string> &inNamed, uint64 inEnd)
 {
-	const size_t taken_back =
+	const size_t ended =
 		std::erase_if(this->zones, [&](const std::string &inZone) { return !inNamed.contains(inZone) && this->newest[inZone] < inEnd; });
-	return taken_back > 0;
+	return ended > 0;
 }
 
 } // namespace Loomreach::Jobs
--- a/Loomreach/Schedule/ZoneEvacuations.h
+++ b/Loomreach/Schedule/ZoneEvacuations.h
@@ -1,6 +1,6 @@
-// Which availability zones the operator has evacuated: nothing more is started there until a zone is taken back. Pure.
+// Availability zones that an operator has evacuated. Nothing is started in such a zone until its evacuation is ended.
 //
-// A zone's newest record decides. Readings may overlap, so a record that lies before one that is known changes nothing.
+// The newest record of a zone decides. Reads of the log may overlap, so a record with a lower offset than the known one is ignored.
 
 #pragma once
 
@@ -9,27 +9,27 @@
 namespace Loomreach::Jobs
 {
 
-/// What a record of the operator says of one availability zone.
+/// An operator's order for one availability zone, as read from a record.
 struct ZoneOrder
 {
 	std::string availability_zone;
-	bool evacuate = false; ///< False: it is taken back.
+	bool evacuate = false; ///< False: the evacuation is ended.
 };
 
-/// See the head of the file.
+/// The evacuated zones; does no I/O.
 class ZoneEvacuations
 {
 public:
-	/// A record was read at this place; whether it changes which zones are evacuated.
+	/// Applies a record read at this offset. Returns whether the set of evacuated zones changes.
 	bool Note(const ZoneOrder &inOrder, uint64 inOffset);
-	/// All newest records up to `inEnd` were read: a zone that they do not name was taken back, and its record removed. Whether that
-	/// changes anything.
+	/// Applies a complete read of the newest records up to `inEnd`, which named the zones `inNamed`. A zone that is missing has had its
+	/// evacuation ended and its record removed. Returns whether the set of evacuated zones changes.
 	bool Keep(const std::set<std::string> &inNamed, uint64 inEnd);
 	const std::set<std::string> &Zones() const { return this->zones; }
 
 private:
 	std::set<std::string> zones;
-	std::map<std::string, uint64> newest; ///< Place of the newest record of each zone. Invariant: has every zone of `zones`.
+	std::map<std::string, uint64> newest; ///< Offset of the newest record of each zone. Invariant: contains every zone of `zones`.
 };
 
 } // namespace Loomreach::Jobs
