--- a/Loomreach/Schedule/ArrivalRate.h
+++ b/Loomreach/Schedule/ArrivalRate.h
@@ -31,8 +31,8 @@
 	size_t CountBetween(Millis inFrom, Millis inTo) const;
 
 	std::deque<Millis> arrived; ///< Times of arrival in the last two windows.
-	double mean_work = 0.0;
-	uint32 jobs = 0;
+	double mean_work = 0.0;     ///< Moving average of the jobs' total work.
+	uint32 jobs = 0;            ///< Number of jobs added so far.
 };
 
 } // namespace Loomreach::Jobs
--- a/Loomreach/Schedule/EndReplicas.cpp
+++ b/Loomreach/Schedule/EndReplicas.cpp
@@ -45,10 +45,10 @@
 	for (StoredUpdate &replica : this->updates)
 	{
 		const EndsUpdate &update = replica.update;
-		const auto [known, is_new] = stopped.try_emplace({update.cell, update.epoch}, false);
+		const auto [found, is_new] = stopped.try_emplace({update.cell, update.epoch}, false);
 		if (is_new)
-			known->second = inIsGone(update.cell, update.epoch);
-		if (!known->second)
+			found->second = inIsGone(update.cell, update.epoch);
+		if (!found->second)
 			continue;
 		for (EndReport &report : replica.update.reports)
 			orphans.push_back({update.cell, std::move(report)});
--- a/Loomreach/Schedule/TaskCrashes.h
+++ b/Loomreach/Schedule/TaskCrashes.h
@@ -24,8 +24,8 @@
 /// One worker crash during a run of a task.
 struct CrashCase
 {
-	bool blamed = false;            ///< Whether the crash is counted in `blamed` of the task, else in `beside`.
-	bool at_once = false;           ///< Whether it is counted in `at_once` as well.
+	bool blamed = false;            ///< Whether the task may have caused the crash; otherwise it is counted as a bystander.
+	bool at_once = false;           ///< Whether the crash came right after the start of the task's run, with no sign of coincidence.
 	bool chance = false;            ///< Other workers were lost at the same time, and no task can have caused their loss.
 	std::vector<CrashRival> rivals; ///< Other suspects.
 
