--- a/Loomreach/Entry/CallerServer.cpp
+++ b/Loomreach/Entry/CallerServer.cpp
@@ -245,12 +245,12 @@
 	// Marked as begun while the claim is under way, so that a repeat at this entry host can't overtake it
 	inExchange->id_key = key;
 	this->relay.Hold();
-	this->control.ClaimOwnId(key,
-							 [this, inExchange, key, inForwarded](EError inError, uint64 inHolder)
-							 {
-								 this->OnClaimed(inExchange, key, inForwarded, inError, inHolder);
-								 this->relay.Release();
-							 });
+	this->control.ClaimCallerId(key,
+								[this, inExchange, key, inForwarded](EError inError, uint64 inHolder)
+								{
+									this->OnClaimed(inExchange, key, inForwarded, inError, inHolder);
+									this->relay.Release();
+								});
 }
 
 void CallerServer::OnClaimed(const std::shared_ptr<Exchange> &inExchange, const std::string &inKey, bool inForwarded, EError inError,
--- a/Loomreach/Entry/ControlLoop.cpp
+++ b/Loomreach/Entry/ControlLoop.cpp
@@ -1,4 +1,4 @@
-// Timers and wiring of the control side.
+// Timers of the control plane, and the rounds that they run.
 
 #include <Loomreach/Loomreach.h>
 
@@ -14,25 +14,32 @@
 namespace Loomreach
 {
 
-static constexpr Millis cFarBeatEvery = 4;
-static constexpr Millis cFarTurnsToSuspect = 3;
-static constexpr Millis cNewsDelayMs = 20;
-static constexpr Millis cListIntervalMs = 2000;
-static constexpr Millis cAskTimeoutMs = 1000;
-static constexpr Millis cFollowerIntervalMs = 5000;
-static constexpr Millis cReaderIntervalMs = 500;
-static constexpr Millis cReplanMs = 2000;
-static constexpr double cRoutesPacing = 100.0;
-static constexpr size_t cMaxDemands = 32;
-static constexpr size_t cMaxHostsInDigest = 16;
-static constexpr Millis cLeavingSignMs = 10'000;
+/// Every how many rounds a heartbeat goes to other zones as well.
+static constexpr Millis cRemoteHeartbeatEvery = 4;
+/// Missed heartbeats after which a member of another zone is suspected.
+static constexpr Millis cRemoteHeartbeatsToSuspect = 3;
+/// Delay of an unscheduled heartbeat, so that one heartbeat covers several records.
+static constexpr Millis cUpdateDelayMs = 20;
+static constexpr Millis cHostListIntervalMs = 2000;
+static constexpr Millis cPeerRequestTimeoutMs = 1000;
+/// How often the log is polled by an entry host that learns of new records from its zone's reader, and by that reader.
+static constexpr Millis cFollowerPollIntervalMs = 5000;
+static constexpr Millis cReaderPollIntervalMs = 500;
+/// Age after which pools are planned again although no input has changed.
+static constexpr Millis cMaxPlanAgeMs = 2000;
+/// Pause after a route update, as a multiple of the time that the update took.
+static constexpr double cRouteUpdateBackoff = 100.0;
+static constexpr size_t cMaxDemandsInHeartbeat = 32;
+static constexpr size_t cMaxHostsInHeartbeat = 16;
+/// Age up to which a peer's report of leaving hosts counts.
+static constexpr Millis cLeavingReportMaxAgeMs = 10'000;
 
 ControlLoop::ControlLoop(const DaemonConfig &inConfig, uint64 inIncarnation, LogFollower &ioFollower, Proposer &ioProposer,
 						 WorkerPoller &ioPoller, PeerLink &ioLink, Dispatcher &ioDispatcher, Metrics &ioMetrics)
 	: config(inConfig), incarnation(inIncarnation), follower(ioFollower), proposer(ioProposer), poller(ioPoller), link(ioLink),
 	  dispatcher(ioDispatcher), metrics(ioMetrics),
 	  tracker(inConfig.name, inConfig.availability_zone, inConfig.suspect_after_ms,
-			  std::max(inConfig.suspect_after_ms, cFarTurnsToSuspect * cFarBeatEvery * inConfig.heartbeat_ms)),
+			  std::max(inConfig.suspect_after_ms, cRemoteHeartbeatsToSuspect * cRemoteHeartbeatEvery * inConfig.heartbeat_ms)),
 	  claims(inConfig.name, inIncarnation)
 {
 }
@@ -40,15 +47,15 @@
 void ControlLoop::Start()
 {
 	this->started = NowMillis();
-	this->beat_timer.Every(this->config.heartbeat_ms, [this] { this->Beat(false); });
+	this->heartbeat_timer.Every(this->config.heartbeat_ms, [this] { this->SendHeartbeats(false); });
 	this->plan_timer.Every(this->config.plan_interval_ms, [this] { this->PlanRound(); });
-	this->poll_timer.Every(this->config.worker_poll_ms,
-						   [this]
-						   {
-							   if (this->follower.IsReady())
-								   this->poller.Round(this->follower.State(), this->Picker(NowMillis()), NowMillis());
-						   });
-	this->list_timer.Every(cListIntervalMs, [this] { this->ReadList(); });
+	this->worker_poll_timer.Every(this->config.worker_poll_ms,
+								  [this]
+								  {
+									  if (this->follower.IsReady())
+										  this->poller.Round(this->follower.State(), this->Picker(NowMillis()), NowMillis());
+								  });
+	this->host_list_timer.Every(cHostListIntervalMs, [this] { this->ReadHostList(); });
 }
 
 Member ControlLoop::Self() const
@@ -65,7 +72,7 @@
 bool ControlLoop::LeaseHolds(Millis inNow) const
 {
 	const Millis read = this->follower.LastPlatformRead();
-	return read != 0 && inNow - read < this->config.claim_lease_ms && inNow >= this->claims_from;
+	return read != 0 && inNow - read < this->config.claim_lease_ms && inNow >= this->claims_not_before;
 }
 
 std::set<std::string> ControlLoop::OwnLeavingHosts() const
@@ -89,85 +96,85 @@
 	std::set<std::string> leaving = this->OwnLeavingHosts();
 	const Millis now = NowMillis();
 	for (const auto &[name, peer] : this->tracker.All())
-		if (now - peer.heard < cLeavingSignMs)
+		if (now - peer.heard < cLeavingReportMaxAgeMs)
 			leaving.insert(peer.digest.leaving_hosts.begin(), peer.digest.leaving_hosts.end());
 	return leaving;
 }
 
-Digest ControlLoop::MakeDigest(Millis inNow) const
+Digest ControlLoop::MakeHeartbeat(Millis inNow) const
 {
-	Digest digest;
-	digest.name = this->config.name;
-	digest.incarnation = this->incarnation;
-	digest.availability_zone = this->config.availability_zone;
-	digest.peers = this->config.peers;
-	digest.next_offset = this->follower.IsReady() ? this->follower.State().next_offset : 0;
-	digest.reaches_platform = this->follower.ReachesPlatform(inNow) && !this->stopping;
-	digest.zone_reaches_platform = digest.reaches_platform || this->tracker.ZoneReachesPlatform(inNow);
-	digest.stopping = this->stopping;
+	Digest heartbeat;
+	heartbeat.name = this->config.name;
+	heartbeat.incarnation = this->incarnation;
+	heartbeat.availability_zone = this->config.availability_zone;
+	heartbeat.peers = this->config.peers;
+	heartbeat.next_offset = this->follower.IsReady() ? this->follower.State().next_offset : 0;
+	heartbeat.reaches_platform = this->follower.ReachesPlatform(inNow) && !this->stopping;
+	heartbeat.zone_reaches_platform = heartbeat.reaches_platform || this->tracker.ZoneReachesPlatform(inNow);
+	heartbeat.stopping = this->stopping;
 	const FleetState &state = this->follower.State();
 	for (const auto &[name, endpoint] : this->dispatcher.Endpoints().All())
 	{
 		auto host = state.hosts.find(name);
 		const bool drains = host != state.hosts.end() && host->second.phase == EHostPhase::Draining;
-		if (drains && endpoint.in_flight > 0 && digest.busy_hosts.size() < cMaxHostsInDigest)
-			digest.busy_hosts.push_back(name);
+		if (drains && endpoint.in_flight > 0 && heartbeat.busy_hosts.size() < cMaxHostsInHeartbeat)
+			heartbeat.busy_hosts.push_back(name);
 	}
 	for (const std::string &name : this->OwnLeavingHosts())
-		if (digest.leaving_hosts.size() < cMaxHostsInDigest)
-			digest.leaving_hosts.push_back(name);
+		if (heartbeat.leaving_hosts.size() < cMaxHostsInHeartbeat)
+			heartbeat.leaving_hosts.push_back(name);
 	for (const auto &[name, path] : state.services)
 	{
 		const uint32 demand = this->dispatcher.Demand(path);
-		if (demand > 0 && digest.demands.size() < cMaxDemands)
-			digest.demands.push_back({ServiceHash(path), static_cast<uint16>(std::min<uint32>(demand, UINT16_MAX))});
+		if (demand > 0 && heartbeat.demands.size() < cMaxDemandsInHeartbeat)
+			heartbeat.demands.push_back({ServiceHash(path), static_cast<uint16>(std::min<uint32>(demand, UINT16_MAX))});
 	}
-	return digest;
+	return heartbeat;
 }
 
-void ControlLoop::Beat(bool inOnlyNews)
+void ControlLoop::SendHeartbeats(bool inUnscheduled)
 {
 	const Millis now = NowMillis();
-	Digest digest = this->MakeDigest(now);
-	const bool far_turn = inOnlyNews || this->beats++ % static_cast<uint64>(cFarBeatEvery) == 0;
-	std::map<std::string, std::vector<std::string>> far_zones;
-	uint64 near = 0; ///< This entry host's place among the members of its zone.
+	Digest heartbeat = this->MakeHeartbeat(now);
+	const bool is_remote_turn = inUnscheduled || this->scheduled_heartbeats++ % static_cast<uint64>(cRemoteHeartbeatEvery) == 0;
+	std::map<std::string, std::vector<std::string>> remote_members;
+	uint64 zone_rank = 0; ///< Position of this entry host among the members of its zone, by name.
 	for (const auto &[name, member] : this->follower.State().view.members)
 	{
 		if (name == this->config.name)
 			continue;
 		if (member.availability_zone == this->config.availability_zone && name < this->config.name)
-			++near;
+			++zone_rank;
 		if (member.availability_zone != this->config.availability_zone)
 		{
-			far_zones[member.availability_zone].push_back(name);
+			remote_members[member.availability_zone].push_back(name);
 			continue;
 		}
-		digest.sequence = ++this->sequence;
-		this->link.Send(member.peers, digest);
+		heartbeat.sequence = ++this->sequence;
+		this->link.Send(member.peers, heartbeat);
 	}
-	if (!far_turn)
+	if (!is_remote_turn)
 		return;
-	// One member in each other zone, so that traffic stays flat; who it is shifts from turn to turn
-	digest.demands.clear();
-	digest.zone_members = this->tracker.ZoneMembers(now);
-	// Members of one zone take different ones in each turn, so that all members there hear the zone in every turn
-	const uint64 turn = this->beats / static_cast<uint64>(cFarBeatEvery) + near;
-	for (const auto &[zone, names] : far_zones)
+	// One member of each other zone, so that traffic stays constant as zones grow; the receiver changes with each turn
+	heartbeat.demands.clear();
+	heartbeat.zone_members = this->tracker.ZoneMembers(now);
+	// Members of one zone choose different receivers in each turn, so that every member of the other zone hears from this zone
+	const uint64 turn = this->scheduled_heartbeats / static_cast<uint64>(cRemoteHeartbeatEvery) + zone_rank;
+	for (const auto &[zone, names] : remote_members)
 	{
 		const std::string &to = names[turn % names.size()];
-		digest.sequence = ++this->sequence;
-		this->link.Send(this->follower.State().view.members.find(to)->second.peers, digest);
+		heartbeat.sequence = ++this->sequence;
+		this->link.Send(this->follower.State().view.members.find(to)->second.peers, heartbeat);
 	}
 }
 
-void ControlLoop::OnDigest(Digest inDigest)
+void ControlLoop::OnHeartbeat(Digest inHeartbeat)
 {
-	if (inDigest.incarnation == this->incarnation)
+	if (inHeartbeat.incarnation == this->incarnation)
 		return;
-	const Address peer = inDigest.peers;
-	const LogOffset next = inDigest.next_offset;
-	if (!this->tracker.Hear(std::move(inDigest), NowMillis()))
+	const Address peer = inHeartbeat.peers;
+	const LogOffset next = inHeartbeat.next_offset;
+	if (!this->tracker.Hear(std::move(inHeartbeat), NowMillis()))
 	{
 		this->metrics.Count(ECounter::PeerRejects, AnswerOf(LastReason().kind).name);
 		return;
@@ -176,32 +183,32 @@
 		this->follower.OnPeerAhead(peer, next);
 }
 
-void ControlLoop::OnFolded(const std::vector<Verdict> &inVerdicts)
+void ControlLoop::OnRecordsApplied(const std::vector<Verdict> &inOutcomes)
 {
-	if (inVerdicts.empty())
+	if (inOutcomes.empty())
 		this->proposer.OnAdopted(this->follower.State());
-	this->proposer.OnVerdicts(inVerdicts);
+	this->proposer.OnVerdicts(inOutcomes);
 	const FleetState &state = this->follower.State();
 	const size_t members = std::max<size_t>(1, state.view.members.size());
-	// Each process may use twice its even share: few propose at a time, and the whole stays under the log's limit
+	// Each process may use twice its even share of the append rate: few propose at the same time, so the total stays below the log's limit
 	this->proposer.SetRate(std::max(1.0, 2.0 * static_cast<double>(this->config.append_per_s) / static_cast<double>(members)));
-	if (state.view.resets != this->seen_resets)
+	if (state.view.resets != this->last_view_resets)
 	{
-		this->seen_resets = state.view.resets;
-		this->claims_from = NowMillis() + this->config.claim_lease_ms + this->config.claim_quiet_ms;
+		this->last_view_resets = state.view.resets;
+		this->claims_not_before = NowMillis() + this->config.claim_lease_ms + this->config.claim_quiet_ms;
 	}
 	this->claims.Update(state);
 	this->tracker.HearLog(state, NowMillis());
 	this->UpdateRoutes();
-	// Tell the others at once, but gather what comes within a few milliseconds
-	if (!this->news_timer.IsRunning())
-		this->news_timer.Once(cNewsDelayMs, [this] { this->Beat(true); });
+	// Tell the peers without waiting for the next heartbeat, but gather what arrives within a few milliseconds
+	if (!this->update_timer.IsRunning())
+		this->update_timer.Once(cUpdateDelayMs, [this] { this->SendHeartbeats(true); });
 	this->proposer.Pump();
 }
 
-void ControlLoop::ReadList()
+void ControlLoop::ReadHostList()
 {
-	// One reader in each zone, and the steward that follows the list; the others hear of leaving hosts by digests
+	// Only one reader in each zone and the planner for the host list read it; the others learn of leaving hosts from heartbeats
 	const StewardPicker picker = this->Picker(NowMillis());
 	if (picker.IsMineIn("log-reader", this->config.availability_zone) || picker.IsMine("hosts"))
 		this->poller.ReadHosts(this->follower.State());
@@ -212,7 +219,7 @@
 	const Millis now = NowMillis();
 	std::set<std::string> leaving = this->LeavingHosts();
 	const bool is_same = this->routes_offset == this->follower.State().next_offset && this->routes_leaving == leaving;
-	// Making the routes grows with the fleet; under a burst of records it takes at most a hundredth of the time
+	// The cost of a route update grows with the fleet; during a burst of records, updates may use at most 1 % of the time
 	if (is_same || now < this->routes_not_before)
 		return;
 	const double began = NowMillisExact();
@@ -221,21 +228,21 @@
 	std::vector<Decision> decisions;
 	this->dispatcher.Update(this->follower.State(), this->routes_leaving, now, decisions);
 	this->UpdateShares(now);
-	this->routes_not_before = now + static_cast<Millis>(cRoutesPacing * (NowMillisExact() - began));
+	this->routes_not_before = now + static_cast<Millis>(cRouteUpdateBackoff * (NowMillisExact() - began));
 	this->on_decisions(std::move(decisions));
 }
 
 void ControlLoop::UpdateShares(Millis inNow)
 {
-	// Nobody in the zone has any demand: the limits can stay as they are
+	// Without demand in this zone, now and in the last round, the limits need no update
 	const bool any_demand =
 		this->dispatcher.Open() > 0 || std::any_of(this->tracker.All().begin(), this->tracker.All().end(),
 												   [](const auto &inPeer) { return !inPeer.second.digest.demands.empty(); });
 	if (!any_demand && !this->had_demand)
 		return;
 	this->had_demand = any_demand;
-	// Live members of the own availability zone, this one among them, with what each reported. Members of other zones seldom
-	// come here; where they do, the worker itself refuses what does not fit
+	// Live members of the own availability zone, including this one, with their reported demand. Members of other zones seldom send
+	// requests to endpoints of this zone; where they do, the worker itself refuses what exceeds its capacity
 	std::vector<MemberDemand> members;
 	for (const auto &[name, member] : this->follower.State().view.members)
 	{
@@ -262,17 +269,17 @@
 		return;
 	const StewardPicker picker = this->Picker(now);
 	this->follower.SetInterval(picker.IsMineIn("log-reader", this->config.availability_zone)
-								   ? cReaderIntervalMs
-								   : std::min(cFollowerIntervalMs, this->config.claim_lease_ms / 3));
+								   ? cReaderPollIntervalMs
+								   : std::min(cFollowerPollIntervalMs, this->config.claim_lease_ms / 3));
 	this->UpdateRoutes();
-	// What requests see of an endpoint is news for its keeper
+	// An endpoint that fails requests, or says that it is leaving, is polled in the next round
 	for (const auto &[name, endpoint] : this->dispatcher.Endpoints().All())
 		if (endpoint.ejected_until > now || endpoint.leaving_until > now)
 			this->poller.Suspect(name);
 	if (!this->stopping)
 		this->PlanMembership(picker, now);
 	this->TakeOverClaims();
-	// Plans are made on what has been read back, so that one round's proposals are not made twice
+	// Plan only once earlier proposals have been read back, so that nothing is proposed twice
 	if (!this->proposer.IsIdle())
 		return;
 	const double began = NowMillisExact();
@@ -292,13 +299,14 @@
 		PlanView({state, this->tracker, this->Self(), inNow, listening_since, this->config.remove_after_ms, this->config.suspect_after_ms});
 	if (change.has_value())
 		return this->proposer.Propose(std::move(*change));
-	// Cut off from another zone but not from the platform: without a word by the log, each would remove the other
+	// Zones that are partitioned from each other but reach the platform would remove each other's members, unless both report through the
+	// log that they are alive
 	const std::string &zone = this->config.availability_zone;
 	const Millis silence = this->config.remove_after_ms / 2;
-	const bool due = inNow - this->log_beat_sent >= this->config.remove_after_ms / 3 && inNow - listening_since >= silence;
+	const bool due = inNow - this->log_heartbeat_sent >= this->config.remove_after_ms / 3 && inNow - listening_since >= silence;
 	if (!due || !inPicker.IsMineIn("log-beat", zone) || !NeedsLogBeat(state.view, this->tracker, zone, silence, inNow))
 		return;
-	this->log_beat_sent = inNow;
+	this->log_heartbeat_sent = inNow;
 	this->proposer.Propose(ZoneAlive{zone});
 }
 
@@ -307,23 +315,23 @@
 	const FleetState &state = this->follower.State();
 	this->poller.SetLeaving(this->LeavingHosts());
 	const KeeperBounds bounds{this->poller.FailedAfter(), this->config.worker_poll_ms / 2, 10 * this->poller.FailedAfter()};
-	const HostKeeper keeper(state, this->poller.Seen(), bounds, inNow);
+	const HostKeeper lifecycle(state, this->poller.Seen(), bounds, inNow);
 	if (inPicker.IsMine("hosts"))
-		for (ProposalBody &body : keeper.FollowList())
+		for (ProposalBody &body : lifecycle.FollowList())
 			this->proposer.Propose(std::move(body));
 	for (const auto &[name, observation] : this->poller.Seen().hosts)
 	{
 		auto host = state.hosts.find(name);
 		if (host == state.hosts.end())
 			continue;
-		for (ProposalBody &body : keeper.Decide(host->second, this->IsAcknowledged(host->second, inNow)))
+		for (ProposalBody &body : lifecycle.Decide(host->second, this->IsAcknowledged(host->second, inNow)))
 			this->proposer.Propose(std::move(body));
 	}
 }
 
 bool ControlLoop::IsAcknowledged(const Host &inHost, Millis inNow) const
 {
-	// Every member has read past the drain and has nothing in flight to the host, or has left the view
+	// Offset of the drain: a host's generation is the log position of its last accepted step
 	const LogOffset drained_at = inHost.generation / cMaxProposalsInBatch;
 	for (const auto &[name, member] : this->follower.State().view.members)
 	{
@@ -331,7 +339,7 @@
 			continue;
 		const Peer *peer = this->tracker.Find(name);
 		const bool same_zone = member.availability_zone == this->config.availability_zone;
-		// Members of other zones beat seldom and to one of us; the worker's own refusal covers them
+		// Members of other zones send heartbeats seldom and to one member only; a draining worker refuses their requests itself
 		if (!same_zone)
 			continue;
 		if (peer == nullptr || !this->tracker.IsLive(name, inNow) || peer->digest.next_offset <= drained_at)
@@ -347,29 +355,28 @@
 void ControlLoop::PlanPools(const StewardPicker &inPicker, Millis inNow)
 {
 	const FleetState &state = this->follower.State();
-	std::set<std::string> unheard;
+	std::set<std::string> unresponsive_hosts;
 	for (const auto &[name, host] : state.hosts)
 		if (inPicker.SilentZones().count(host.spec.availability_zone) != 0)
-			unheard.insert(name);
-	std::set<std::string> waiting = this->backoff.Waiting(state, inNow);
-	// A plan follows from what it looks at: while that stays the same there is nothing new to plan. Now and then it is made all the
-	// same, since stewardships shift
-	PlanBasis basis{state.next_offset, std::move(unheard), std::move(waiting)};
-	if (basis == this->planned_on && inNow - this->planned_at < cReplanMs)
+			unresponsive_hosts.insert(name);
+	std::set<std::string> backed_off_jobs = this->backoff.Waiting(state, inNow);
+	// A plan depends on these inputs alone. It is still made again after a while, since planning assignments move between entry hosts
+	PlanInputs inputs{state.next_offset, std::move(unresponsive_hosts), std::move(backed_off_jobs)};
+	if (inputs == this->last_plan_inputs && inNow - this->last_plan_time < cMaxPlanAgeMs)
 		return;
-	this->planned_on = std::move(basis);
-	this->planned_at = inNow;
-	this->held_by.clear();
+	this->last_plan_inputs = std::move(inputs);
+	this->last_plan_time = inNow;
+	this->wave_blockers.clear();
 	for (const auto &[path, pool] : state.pools)
 	{
 		if (!inPicker.IsMine("pool:" + path))
 			continue;
-		PlacementPlan placements = PlacementPlanner(state, path, &this->planned_on.waiting).Plan();
+		PlacementPlan placements = PlacementPlanner(state, path, &this->last_plan_inputs.backed_off_jobs).Plan();
 		if (std::optional<StartWave> turn = PlanRolling(state, pool, g_get_real_time() / G_USEC_PER_SEC); turn.has_value())
 			this->proposer.Propose(std::move(*turn));
-		WavePlan wave = WavePlanner(state, path, this->planned_on.unheard).Plan();
+		WavePlan wave = WavePlanner(state, path, this->last_plan_inputs.unresponsive_hosts).Plan();
 		if (!wave.held_by.empty())
-			this->held_by.emplace(path, wave.held_by);
+			this->wave_blockers.emplace(path, wave.held_by);
 		for (ProposalBody &body : placements.proposals)
 			this->proposer.Propose(std::move(body));
 		for (ProposalBody &body : wave.proposals)
@@ -393,23 +400,23 @@
 	const std::vector<std::pair<uint32, std::string>> missing = this->claims.Missing();
 	if (missing.empty() || this->taking_over || !this->proposer.IsIdle())
 		return;
-	// One holder at a time, all of its ranges at once
+	// One holder at a time, with all ranges that are missing from it in one request
 	const std::string holder = missing.front().second;
 	auto member = this->follower.State().view.members.find(holder);
 	if (member == this->follower.State().view.members.end())
 		return;
-	AskHandOver ask{this->claims.ViewNumber(), {}};
+	AskHandOver request{this->claims.ViewNumber(), {}};
 	for (const auto &[range, from] : missing)
 		if (from == holder)
-			ask.ranges.push_back(range);
+			request.ranges.push_back(range);
 	this->taking_over = true;
-	const uint64 view = ask.view;
-	this->link.Ask(member->second.peers, std::move(ask), cAskTimeoutMs,
+	const uint64 view = request.view;
+	this->link.Ask(member->second.peers, std::move(request), cPeerRequestTimeoutMs,
 				   [this, view](std::optional<PeerReply> inReply)
 				   {
 					   this->taking_over = false;
 					   const HandOverReply *reply = inReply.has_value() ? std::get_if<HandOverReply>(&*inReply) : nullptr;
-					   // A view that has changed meanwhile asks for another take-over
+					   // If the view has changed since, the next round asks again under the new view
 					   if (reply == nullptr || view != this->claims.ViewNumber())
 						   return;
 					   TakeOver take{view, this->config.name, {}};
@@ -423,40 +430,42 @@
 				   });
 }
 
-PeerReply ControlLoop::AnswerClaim(const AskClaim &inAsk)
+PeerReply ControlLoop::AnswerClaim(const AskClaim &inRequest)
 {
-	if (inAsk.range >= cClaimRanges)
+	if (inRequest.range >= cClaimRanges)
 		return RefusedReply{"no such range"};
 	ClaimReply reply;
 	const Millis now = NowMillis();
-	reply.answer = this->claims.Answer(inAsk.id, inAsk.range, inAsk.owner, inAsk.view, this->LeaseHolds(now), now, reply.holder);
+	reply.answer =
+		this->claims.Answer(inRequest.id, inRequest.range, inRequest.owner, inRequest.view, this->LeaseHolds(now), now, reply.holder);
 	return reply;
 }
 
-PeerReply ControlLoop::AnswerClaim(const AskHandOver &inAsk)
+PeerReply ControlLoop::AnswerClaim(const AskHandOver &inRequest)
 {
 	HandOverReply reply;
-	for (uint32 range : inAsk.ranges)
-		if (std::optional<std::vector<Claim>> list = this->claims.HandOver(range, inAsk.view); list.has_value())
+	for (uint32 range : inRequest.ranges)
+		if (std::optional<std::vector<Claim>> list = this->claims.HandOver(range, inRequest.view); list.has_value())
 			reply.ranges.emplace_back(range, std::move(*list));
 	return reply;
 }
 
-/// One caller's own id on its way through its claim group, member by member: the first arbitrates between claimers.
+/// A claim on a caller-chosen id. The members of its claim group are asked one by one in a fixed order, so that the first member
+/// arbitrates between concurrent claimers.
 struct ControlLoop::ClaimRound
 {
-	AskClaim ask;
+	AskClaim request;
 	std::vector<std::string> group;
 	size_t next = 0;
 	std::function<void(EError, uint64)> done;
 };
 
-void ControlLoop::ClaimOwnId(const std::string &inId, std::function<void(EError, uint64)> inDone)
+void ControlLoop::ClaimCallerId(const std::string &inId, std::function<void(EError, uint64)> inDone)
 {
 	const FleetState &state = this->follower.State();
 	auto round = std::make_shared<ClaimRound>();
 	const uint32 range = ClaimRangeOf({}, inId);
-	round->ask = {inId, range, this->incarnation, state.view.number};
+	round->request = {inId, range, this->incarnation, state.view.number};
 	round->group = ClaimGroupOf(state.view, range);
 	round->done = std::move(inDone);
 	if (!this->LeaseHolds(NowMillis()) || round->group.empty() || state.view.members.count(this->config.name) == 0)
@@ -468,9 +477,9 @@
 {
 	if (inRound->next == inRound->group.size())
 	{
-		// The lease may have run out while the members answered
-		const bool holds = this->LeaseHolds(NowMillis()) && this->follower.State().view.number == inRound->ask.view;
-		return inRound->done(holds ? EError::None : EError::NotReady, 0);
+		// The lease may have run out, or the view changed, while the members answered
+		const bool lease_holds = this->LeaseHolds(NowMillis()) && this->follower.State().view.number == inRound->request.view;
+		return inRound->done(lease_holds ? EError::None : EError::NotReady, 0);
 	}
 	const auto on_reply = [this, inRound](std::optional<PeerReply> inReply)
 	{
@@ -491,20 +500,20 @@
 	};
 	const std::string &name = inRound->group[inRound->next];
 	if (name == this->config.name)
-		return on_reply(this->AnswerClaim(inRound->ask));
-	this->link.Ask(this->follower.State().view.members.find(name)->second.peers, inRound->ask, cAskTimeoutMs, on_reply);
+		return on_reply(this->AnswerClaim(inRound->request));
+	this->link.Ask(this->follower.State().view.members.find(name)->second.peers, inRound->request, cPeerRequestTimeoutMs, on_reply);
 }
 
 void ControlLoop::BeginStop()
 {
 	this->stopping = true;
-	this->Beat(true);
+	this->SendHeartbeats(true);
 }
 
 void ControlLoop::LeaveView(std::function<void()> inDone)
 {
 	const View &view = this->follower.State().view;
-	if (this->left || view.members.count(this->config.name) == 0 || !this->follower.ReachesPlatform(NowMillis()))
+	if (this->leave_proposed || view.members.count(this->config.name) == 0 || !this->follower.ReachesPlatform(NowMillis()))
 		return inDone();
 	ChangeView change{view.number, {}, false};
 	for (const auto &[name, member] : view.members)
@@ -512,8 +521,8 @@
 			change.members.push_back(member);
 	if (change.members.empty())
 		return inDone();
-	this->left = true;
-	// Where the view can't let this member go yet, the others remove it once it is silent
+	this->leave_proposed = true;
+	// If the proposal is rejected, the others remove this member once it has been unresponsive for long enough
 	this->proposer.Propose(std::move(change), [done = std::move(inDone)](const Verdict &) { done(); });
 }
 
--- a/Loomreach/Entry/ControlLoop.h
+++ b/Loomreach/Entry/ControlLoop.h
@@ -1,5 +1,10 @@
-// The control side of one entry host: heartbeats, membership, stewardship, planning. Wires the pure planners
+// Control plane of one entry host: sends heartbeats, keeps the membership view up to date, plans for hosts and pools, writes snapshots and
+// answers claims on ids. The decisions are made by pure classes (planners, claim table); this class runs them on timers and connects them
 // to the log, the peers and the workers.
+//
+// Rules:
+//  * A plan is made only once every earlier proposal of this process has been read back, so that nothing is proposed twice.
+//  * Claims on ids are granted only while the lease holds, that is, for a bounded time after a read that the platform answered.
 
 #pragma once
 
@@ -16,7 +21,7 @@
 namespace Loomreach
 {
 
-/// The loop.
+/// Runs the timers and connects the planners to the log, the peers and the workers.
 class ControlLoop
 {
 public:
@@ -25,61 +30,65 @@
 
 	/// Starts all timers.
 	void Start();
-	/// A planned stop has begun: hand stewardships over, go on with heartbeats.
+	/// Begins a graceful shutdown: gives up all planning assignments at once, but goes on sending heartbeats.
 	void BeginStop();
-	/// Leaves the view and calls back when that is accepted or not to be had.
+	/// Proposes to leave the membership view. `inDone` is called once the outcome is known, accepted or not, or at once where this member
+	/// can't leave: the log is not reachable, or no other member would remain.
 	void LeaveView(std::function<void()> inDone);
-	/// A digest has come.
-	void OnDigest(Digest inDigest);
-	/// Records were folded.
-	void OnFolded(const std::vector<Verdict> &inVerdicts);
-	/// A peer asks about claims.
+	/// Handles a heartbeat message from a peer.
+	void OnHeartbeat(Digest inHeartbeat);
+	/// Handles records that have been applied to the state. `inOutcomes` is empty when a whole state was adopted instead.
+	void OnRecordsApplied(const std::vector<Verdict> &inOutcomes);
+	/// Answers a peer that wants an id bound to it, or claims handed over.
 	PeerReply AnswerClaim(const AskClaim &inAsk);
 	PeerReply AnswerClaim(const AskHandOver &inAsk);
-	/// Binds a caller's own id to this entry host; calls back with None, or with why it may not be dispatched here.
-	/// With DuplicateId, the second argument is the incarnation that it is bound to.
-	void ClaimOwnId(const std::string &inId, std::function<void(EError, uint64)> inDone);
+	/// Binds an id that a caller chose to this entry host. Calls back with None, or with the reason why the request must not be dispatched
+	/// here. With DuplicateId, the second argument is the incarnation that the id is bound to.
+	void ClaimCallerId(const std::string &inId, std::function<void(EError, uint64)> inDone);
 
-	/// This process as a member.
+	/// This process as a member of the view.
 	Member Self() const;
 	const PeerTracker &Tracker() const { return this->tracker; }
-	/// What holds the waves of the pools that this entry host plans for.
-	const std::map<std::string, std::string> &HeldBy() const { return this->held_by; }
-	/// Hosts that are leaving by their own sign or the host list, as seen here or by a peer.
+	/// What blocks maintenance waves, by pool, for the pools that this entry host plans for.
+	const std::map<std::string, std::string> &WaveBlockers() const { return this->wave_blockers; }
+	/// Hosts that announce themselves, or are listed, as leaving; as seen by this entry host or reported by a peer lately.
 	std::set<std::string> LeavingHosts() const;
-	/// Whether claims may be answered and own ids dispatched: the platform was read within the lease.
+	/// Whether claims may be granted and requests with caller-chosen ids dispatched: the platform was read within the lease time.
 	bool LeaseHolds(Millis inNow) const;
-	/// Bytes to and from workers' agents.
+	/// Bytes sent to and received from the workers' agents.
 	uint64 WorkerBytes() const { return this->poller.Bytes(); }
 	bool IsStopping() const { return this->stopping; }
+	/// Tells which planning assignments belong to this entry host at the given time.
 	StewardPicker Picker(Millis inNow) const;
 
-	/// Decisions of the dispatcher that a change of routes or time brought about; set by the wiring.
+	/// Receives the decisions of the dispatcher that follow from changed routes or elapsed time. Must be set before Start().
 	std::function<void(std::vector<Decision>)> on_decisions;
 
 private:
 	struct ClaimRound;
-	/// What the plans of pools were made from.
-	struct PlanBasis
+	/// What the plans of pools depend on; while it is unchanged there is nothing new to plan.
+	struct PlanInputs
 	{
 		LogOffset next_offset = 0;
-		std::set<std::string> unheard;
-		std::set<std::string> waiting;
+		std::set<std::string> unresponsive_hosts;
+		std::set<std::string> backed_off_jobs;
 
-		bool operator==(const PlanBasis &) const = default;
+		bool operator==(const PlanInputs &) const = default;
 	};
-	void Beat(bool inOnlyNews);
-	Digest MakeDigest(Millis inNow) const;
+	/// Sends heartbeats to the own zone and, every few rounds or when unscheduled, to one member of each other zone.
+	void SendHeartbeats(bool inUnscheduled);
+	Digest MakeHeartbeat(Millis inNow) const;
 	void PlanRound();
 	void PlanMembership(const StewardPicker &inPicker, Millis inNow);
 	void PlanHosts(const StewardPicker &inPicker, Millis inNow);
 	void PlanPools(const StewardPicker &inPicker, Millis inNow);
 	void PlanSnapshot(const StewardPicker &inPicker, Millis inNow);
+	/// Whether every member of the own zone has read past the drain of a host and has no requests in flight to it.
 	bool IsAcknowledged(const Host &inHost, Millis inNow) const;
 	void TakeOverClaims();
 	void UpdateShares(Millis inNow);
 	void UpdateRoutes();
-	void ReadList();
+	void ReadHostList();
 	/// Hosts that this entry host itself has seen to be leaving.
 	std::set<std::string> OwnLeavingHosts() const;
 	void AskNextMember(const std::shared_ptr<ClaimRound> &inRound);
@@ -95,28 +104,28 @@
 	PeerTracker tracker;
 	ClaimTable claims;
 	JobBackoff backoff;
-	PlanBasis planned_on;
-	Millis planned_at = 0;
-	bool had_demand = true;
-	std::map<std::string, std::string> held_by;
-	Timer beat_timer;
+	PlanInputs last_plan_inputs;
+	Millis last_plan_time = 0;
+	bool had_demand = true; ///< Some entry host of the zone had demand in the last round.
+	std::map<std::string, std::string> wave_blockers;
+	Timer heartbeat_timer;
 	Timer plan_timer;
-	Timer poll_timer;
-	Timer list_timer;
-	Timer news_timer;
-	uint64 beats = 0;
-	uint64 sequence = 0;
-	Millis started = 0;
+	Timer worker_poll_timer;
+	Timer host_list_timer;
+	Timer update_timer;
+	uint64 scheduled_heartbeats = 0;
+	uint64 sequence = 0; ///< Of the last heartbeat sent.
+	Millis started = 0;  ///< Time of Start().
 	bool stopping = false;
-	bool left = false;
-	bool taking_over = false;
+	bool leave_proposed = false;
+	bool taking_over = false; ///< A request to hand over claims is in progress.
 	ListeningSpan listening;
-	Millis log_beat_sent = 0;
-	LogOffset routes_offset = 0; ///< State that the routes were made from.
-	Millis routes_not_before = 0;
+	Millis log_heartbeat_sent = 0;        ///< Time of the last heartbeat through the log.
+	LogOffset routes_offset = 0;          ///< Offset of the state that the routes were made from.
+	Millis routes_not_before = 0;         ///< Earliest time of the next route update.
 	std::set<std::string> routes_leaving; ///< Leaving hosts that the routes were made with.
-	uint64 seen_resets = 0;
-	Millis claims_from = 0; ///< After a reset, no claims before this time.
+	uint64 last_view_resets = 0;
+	Millis claims_not_before = 0; ///< After a reset of the view, no claims are granted before this time.
 };
 
 } // namespace Loomreach
--- a/Loomreach/Entry/EntryHost.cpp
+++ b/Loomreach/Entry/EntryHost.cpp
@@ -23,9 +23,9 @@
 	  callers(this->config, this->incarnation, this->follower, this->control, this->relay, this->ids, this->codec, this->metrics),
 	  operators(this->config, this->follower, this->control, this->proposer, this->platform, this->dispatcher, this->relay, this->metrics)
 {
-	this->follower.on_folded = [this](const std::vector<Verdict> &inVerdicts) { this->control.OnFolded(inVerdicts); };
+	this->follower.on_folded = [this](const std::vector<Verdict> &inVerdicts) { this->control.OnRecordsApplied(inVerdicts); };
 	this->control.on_decisions = [this](std::vector<Decision> inDecisions) { this->relay.Execute(std::move(inDecisions)); };
-	this->link.on_digest = [this](Digest inDigest) { this->control.OnDigest(std::move(inDigest)); };
+	this->link.on_digest = [this](Digest inDigest) { this->control.OnHeartbeat(std::move(inDigest)); };
 	this->link.on_ask = [this](const PeerAsk &inAsk) -> PeerReply
 	{
 		return std::visit(
--- a/Loomreach/Entry/OperatorServer.cpp
+++ b/Loomreach/Entry/OperatorServer.cpp
@@ -244,7 +244,10 @@
 	this->Propose(inCall, std::move(apply));
 }
 
-void OperatorServer::Pools(const Call &inCall) { this->Reply(inCall.message, ReportPools(this->follower.State(), this->control.HeldBy())); }
+void OperatorServer::Pools(const Call &inCall)
+{
+	this->Reply(inCall.message, ReportPools(this->follower.State(), this->control.WaveBlockers()));
+}
 
 void OperatorServer::Jobs(const Call &inCall) { this->Reply(inCall.message, ReportJobs(this->follower.State())); }
 
@@ -261,7 +264,10 @@
 	this->Reply(inCall.message, ReportHost(state, host->second));
 }
 
-void OperatorServer::Waves(const Call &inCall) { this->Reply(inCall.message, ReportWaves(this->follower.State(), this->control.HeldBy())); }
+void OperatorServer::Waves(const Call &inCall)
+{
+	this->Reply(inCall.message, ReportWaves(this->follower.State(), this->control.WaveBlockers()));
+}
 
 void OperatorServer::InForce(const Call &inCall)
 {
