--- a/Loomreach/Entry/CallerServer.cpp
+++ b/Loomreach/Entry/CallerServer.cpp
@@ -244,22 +244,22 @@
 	}
 	// Marked as begun while the claim is under way, so that a repeat at this entry host can't overtake it
 	inExchange->id_key = key;
-	this->relay.Hold();
+	this->relay.BeginPending();
 	this->control.ClaimCallerId(key,
 								[this, inExchange, key, inForwarded](EError inError, uint64 inHolder)
 								{
 									this->OnClaimed(inExchange, key, inForwarded, inError, inHolder);
-									this->relay.Release();
+									this->relay.EndPending();
 								});
 }
 
 void CallerServer::OnClaimed(const std::shared_ptr<Exchange> &inExchange, const std::string &inKey, bool inForwarded, EError inError,
 							 uint64 inHolder)
 {
-	if (inError == EError::None && !inExchange->IsGone())
+	if (inError == EError::None && !inExchange->IsCallerDisconnected())
 		return this->relay.Submit(inExchange);
 	this->ids.NotRun(inKey);
-	if (inExchange->IsGone())
+	if (inExchange->IsCallerDisconnected())
 		return;
 	if (inError == EError::DuplicateId)
 		return this->ForwardTo(inExchange, inHolder, inForwarded);
--- a/Loomreach/Entry/EntryHost.cpp
+++ b/Loomreach/Entry/EntryHost.cpp
@@ -59,7 +59,7 @@
 
 void EntryHost::Stop(std::function<void()> inDone)
 {
-	LogEvent(ELogLevel::Info, "stop_begun").Field("open_requests", this->relay.Open());
+	LogEvent(ELogLevel::Info, "stop_begun").Field("open_requests", this->relay.OpenRequests());
 	this->stopped = std::move(inDone);
 	this->control.BeginStop();
 	this->relay.on_idle = [this] { this->TryFinish(); };
@@ -73,7 +73,7 @@
 
 void EntryHost::TryFinish()
 {
-	if (!this->finishing || this->relay.Open() != 0 || !this->stopped)
+	if (!this->finishing || this->relay.OpenRequests() != 0 || !this->stopped)
 		return;
 	this->finishing = false;
 	this->control.LeaveView(
--- a/Loomreach/Entry/Exchange.cpp
+++ b/Loomreach/Entry/Exchange.cpp
@@ -1,4 +1,4 @@
-// Writing of answers by libsoup.
+// Writes answers to the messages of libsoup.
 
 #include <Loomreach/Loomreach.h>
 
@@ -21,41 +21,41 @@
 
 Exchange::~Exchange()
 {
-	LOOM_INVARIANT(this->answered || this->gone, "every caller gets an answer");
+	LOOM_INVARIANT(this->answered || this->caller_disconnected, "every caller gets an answer");
 	for (gulong handler : this->handlers)
 		g_signal_handler_disconnect(this->message.get(), handler);
 }
 
-void Exchange::Gone()
+void Exchange::HandleDisconnect()
 {
-	if (this->gone)
+	if (this->caller_disconnected)
 		return;
-	this->gone = true;
-	// Whoever waits for a piece to be written is told by on_gone; until then it must live
-	const std::function<void()> waiting = std::move(this->written);
-	this->written = nullptr;
-	// The call may end this object's life
-	const std::function<void()> call = this->on_gone;
-	if (call)
-		call();
+	this->caller_disconnected = true;
+	// The callback may hold the last reference to the sender of the chunk, which must outlive the call of on_caller_disconnected
+	const std::function<void()> keep_alive = std::move(this->on_chunk_written);
+	this->on_chunk_written = nullptr;
+	// The callback may destroy this object
+	const std::function<void()> callback = this->on_caller_disconnected;
+	if (callback)
+		callback();
 }
 
-void Exchange::Written()
+void Exchange::NotifyWritten()
 {
-	// The call may end this object's life
-	const std::function<void()> call = std::move(this->on_written);
+	// The callback may destroy this object
+	const std::function<void()> callback = std::move(this->on_written);
 	this->on_written = nullptr;
-	if (call)
-		call();
+	if (callback)
+		callback();
 }
 
 void Exchange::OnFinished(SoupServerMessage *, gpointer inSelf)
 {
 	Exchange *self = static_cast<Exchange *>(inSelf);
-	// A finish before the answer is complete is the caller's going away
+	// A message that finishes before its answer is complete has lost its caller
 	if (!self->answered || self->streaming)
-		return self->Gone();
-	self->Written();
+		return self->HandleDisconnect();
+	self->NotifyWritten();
 }
 
 void Exchange::OnDisconnected(SoupServerMessage *inMessage, gpointer inSelf) { OnFinished(inMessage, inSelf); }
@@ -63,10 +63,10 @@
 void Exchange::OnWroteChunk(SoupServerMessage *, gpointer inSelf)
 {
 	Exchange *self = static_cast<Exchange *>(inSelf);
-	const std::function<void()> call = std::move(self->written);
-	self->written = nullptr;
-	if (call)
-		call();
+	const std::function<void()> callback = std::move(self->on_chunk_written);
+	self->on_chunk_written = nullptr;
+	if (callback)
+		callback();
 }
 
 void Exchange::SetOutcome(EOutcome inOutcome, EError inReason)
@@ -96,7 +96,7 @@
 {
 	LOOM_INVARIANT(!this->answered, "a request is answered once");
 	this->answered = true;
-	if (this->gone)
+	if (this->caller_disconnected)
 		return;
 	this->SetOutcome(inOutcome, inReason);
 	soup_server_message_set_status(this->message.get(), inStatus, nullptr);
@@ -107,7 +107,7 @@
 
 void Exchange::CopyHeaders(SoupMessageHeaders *inHeaders)
 {
-	// libsoup writes Date and Server itself
+	// Date and Server are not hop-by-hop, but libsoup writes them itself
 	static constexpr std::array<std::string_view, 10> cHopByHop = {
 		"connection", "keep-alive", "transfer-encoding",  "content-length", "upgrade",
 		"trailer",    "te",         "proxy-authenticate", "date",           "server"};
@@ -131,7 +131,7 @@
 	LOOM_INVARIANT(!this->answered, "a request is answered once");
 	this->answered = true;
 	this->streaming = true;
-	if (this->gone)
+	if (this->caller_disconnected)
 		return;
 	this->CopyHeaders(inHeaders);
 	this->SetOutcome(EOutcome::Ran, EError::None);
@@ -144,11 +144,11 @@
 	soup_server_message_set_status(this->message.get(), inStatus, nullptr);
 }
 
-void Exchange::Piece(GBytes *inBytes, std::function<void()> inWritten)
+void Exchange::WriteChunk(GBytes *inBytes, std::function<void()> inOnWritten)
 {
-	if (this->gone)
+	if (this->caller_disconnected)
 		return;
-	this->written = std::move(inWritten);
+	this->on_chunk_written = std::move(inOnWritten);
 	soup_message_body_append_bytes(soup_server_message_get_response_body(this->message.get()), inBytes);
 	soup_server_message_unpause(this->message.get());
 }
@@ -156,18 +156,18 @@
 void Exchange::EndStream()
 {
 	this->streaming = false;
-	if (this->gone)
+	if (this->caller_disconnected)
 		return;
 	soup_message_body_complete(soup_server_message_get_response_body(this->message.get()));
 	soup_server_message_unpause(this->message.get());
 }
 
-void Exchange::Cut()
+void Exchange::AbortConnection()
 {
 	this->answered = true;
-	if (this->gone)
+	if (this->caller_disconnected)
 		return;
-	this->gone = true;
+	this->caller_disconnected = true;
 	this->streaming = false;
 	const ObjectPtr<GIOStream> stream(soup_server_message_steal_connection(this->message.get()));
 	if (stream != nullptr)
--- a/Loomreach/Entry/Exchange.h
+++ b/Loomreach/Entry/Exchange.h
@@ -1,4 +1,7 @@
-// One caller's request on its way through an entry host: its answer is written here, once and whole, or the connection is cut.
+// The caller's side of one request at an entry host: the libsoup message, and the answer that is written to it.
+//
+// Rule: a request is answered once and completely. An answer that can't be completed ends with an aborted connection, so that the caller
+// can't take it for a whole one.
 
 #pragma once
 
@@ -11,7 +14,7 @@
 namespace Loomreach
 {
 
-/// The caller's side of one request.
+/// One request of a caller. The message stays paused until its answer is set.
 class Exchange
 {
 public:
@@ -20,51 +23,51 @@
 	Exchange(const Exchange &) = delete;
 	Exchange &operator=(const Exchange &) = delete;
 
-	/// Answers with a row of the error table.
+	/// Answers with an error, by its row in the table of errors. `inRetryAfterS` is used where that row allows a retry.
 	void Refuse(EError inError, uint32 inRetryAfterS, std::string_view inDetail);
-	/// Answers with a whole body. `inReason` is None for the first run's own answer.
+	/// Answers with a complete body. `inReason` is None unless this is an error or the kept answer of an earlier request.
 	void Answer(uint32 inStatus, std::string_view inContentType, std::string_view inBody, EOutcome inOutcome = EOutcome::Ran,
 				EError inReason = EError::None);
-	/// Begins an answer whose body follows in pieces. With `inLength` below 0 it is chunked.
+	/// Begins an answer whose body follows in chunks. A negative `inLength` selects the chunked transfer encoding.
 	void BeginStream(uint32 inStatus, SoupMessageHeaders *inHeaders, int64 inLength);
-	/// Sends one piece; `inWritten` is called when the caller has taken it.
-	void Piece(GBytes *inBytes, std::function<void()> inWritten);
+	/// Writes one chunk of the body; `inOnWritten` is called once it has been written, and never after the caller has disconnected.
+	void WriteChunk(GBytes *inBytes, std::function<void()> inOnWritten);
 	/// Ends a streamed answer.
 	void EndStream();
-	/// Cuts the connection: the caller must not take the answer for whole.
-	void Cut();
+	/// Aborts the connection, so that the caller does not take a partial answer for a whole one.
+	void AbortConnection();
 	/// Copies an endpoint's end-to-end headers to the caller.
 	void CopyHeaders(SoupMessageHeaders *inHeaders);
 
 	SoupServerMessage *Message() const { return this->message.get(); }
-	bool IsGone() const { return this->gone; }
+	bool IsCallerDisconnected() const { return this->caller_disconnected; }
 	bool IsAnswered() const { return this->answered; }
 
-	// What the request is; set by the caller server
+	// Set by the caller server before the request is submitted
 	RequestSpec spec;
 	std::string service;
 	std::string path;   ///< Path and query for the endpoint.
-	std::string id_key; ///< Key in the id window; empty: no id that is kept.
+	std::string id_key; ///< Key of its id in the id window; empty: its id is not tracked.
 	Millis arrived = 0;
-	double arrived_exact = 0;
+	double arrived_exact = 0; ///< The same with fractions of a millisecond, for metrics.
 	bool is_long = false;
-	std::function<void()> on_written; ///< The answer has been written, or its caller went away before that.
-	std::function<void()> on_gone;    ///< The caller went away before its answer was written.
+	std::function<void()> on_written;             ///< The answer has been written, or the caller disconnected once it was complete.
+	std::function<void()> on_caller_disconnected; ///< The caller disconnected before the answer was complete.
 
 private:
 	static void OnFinished(SoupServerMessage *inMessage, gpointer inSelf);
 	static void OnDisconnected(SoupServerMessage *inMessage, gpointer inSelf);
 	static void OnWroteChunk(SoupServerMessage *inMessage, gpointer inSelf);
 	void SetOutcome(EOutcome inOutcome, EError inReason);
-	void Gone();
-	void Written();
+	void HandleDisconnect();
+	void NotifyWritten();
 
 	ObjectPtr<SoupServerMessage> message;
 	std::string entry;
-	std::function<void()> written;
+	std::function<void()> on_chunk_written;
 	bool answered = false;
 	bool streaming = false;
-	bool gone = false;
+	bool caller_disconnected = false;
 	std::array<gulong, 3> handlers{};
 };
 
--- a/Loomreach/Entry/OperatorServer.cpp
+++ b/Loomreach/Entry/OperatorServer.cpp
@@ -94,7 +94,7 @@
 	const std::string detail = inCall.parts.size() > 1 ? inCall.parts[1] : std::string();
 	if (what == "metrics")
 	{
-		this->metrics.Gauge("loomreach_open_requests", static_cast<double>(this->relay.Open()));
+		this->metrics.Gauge("loomreach_open_requests", static_cast<double>(this->relay.OpenRequests()));
 		this->metrics.Gauge("loomreach_waiting_requests", static_cast<double>(this->dispatcher.Waiting()));
 		this->metrics.Gauge("loomreach_next_offset", static_cast<double>(this->follower.State().next_offset));
 		this->metrics.Gauge("loomreach_append_repeats", static_cast<double>(this->proposer.Queue().Repeats()));
@@ -177,7 +177,7 @@
 	const Millis read = this->follower.LastPlatformRead();
 	body["state_age_ms"] = read == 0 ? -1 : now - read;
 	body["stopping"] = this->control.IsStopping();
-	body["open_requests"] = this->relay.Open();
+	body["open_requests"] = this->relay.OpenRequests();
 	body["waiting_requests"] = this->dispatcher.Waiting();
 	body["broken_invariants"] = BrokenInvariants();
 	Json members = Json::array();
--- a/Loomreach/Entry/Relay.cpp
+++ b/Loomreach/Entry/Relay.cpp
@@ -1,5 +1,4 @@
-// Attempts at endpoints by libsoup: small answers are read whole before a byte goes to the caller, larger ones are streamed
-// piece by piece as the caller takes them, so that memory a request stays bounded.
+// Attempts at endpoints and forwards to other entry hosts, as asynchronous libsoup calls.
 
 #include <Loomreach/Loomreach.h>
 
@@ -12,12 +11,13 @@
 namespace Loomreach
 {
 
-static constexpr size_t cPieceBytes = 64U << 10;
+/// Size of one read. An answer that reaches it is streamed instead of buffered.
+static constexpr size_t cChunkBytes = 64U << 10;
 static constexpr int cMaxConnections = 8192;
 static constexpr int cMaxConnectionsPerHost = 64;
 static constexpr guint cIdleTimeoutS = 30;
 
-/// One attempt at an endpoint, or one forward to another entry host.
+/// One attempt at an endpoint, or one forward to another entry host. Its pending libsoup calls keep it alive.
 struct Relay::Attempt : std::enable_shared_from_this<Relay::Attempt>
 {
 	Relay *relay = nullptr;
@@ -27,13 +27,13 @@
 	ObjectPtr<SoupMessage> message;
 	ObjectPtr<GCancellable> cancellable;
 	ObjectPtr<GInputStream> stream;
-	Timer deadline;
-	Timer connecting;
-	bool late = false;
-	bool unconnected = false; ///< No connection came in time: the request certainly was not sent.
+	Timer deadline_timer;
+	Timer connect_timer;
+	bool deadline_passed = false;
+	bool connect_timed_out = false; ///< No connection was established in time, so the request was not sent.
 	bool cancelled = false;
 	bool streaming = false;
-	bool reading = false; ///< A read is under way; otherwise a streamed answer waits for its caller.
+	bool read_pending = false; ///< A read is in progress; if not, a streamed answer waits for its caller to take the last chunk.
 	std::string buffer;
 
 	void Start(const Address &inTo)
@@ -46,39 +46,39 @@
 		this->CopyRequest(from);
 		this->cancellable.reset(g_cancellable_new());
 		const Millis left = this->exchange->spec.deadline - NowMillis();
-		this->deadline.Once(left,
-							[self = this->weak_from_this()]
-							{
-								if (const std::shared_ptr<Attempt> attempt = self.lock())
-									attempt->Expire();
-							});
-		this->connecting.Once(std::min(left, this->relay->connect_timeout),
-							  [self = this->weak_from_this()]
-							  {
-								  if (const std::shared_ptr<Attempt> attempt = self.lock())
-									  attempt->GiveUpConnecting();
-							  });
+		this->deadline_timer.Once(left,
+								  [self = this->weak_from_this()]
+								  {
+									  if (const std::shared_ptr<Attempt> attempt = self.lock())
+										  attempt->OnDeadline();
+								  });
+		this->connect_timer.Once(std::min(left, this->relay->connect_timeout),
+								 [self = this->weak_from_this()]
+								 {
+									 if (const std::shared_ptr<Attempt> attempt = self.lock())
+										 attempt->OnConnectTimeout();
+								 });
 		g_signal_connect(this->message.get(), "starting", G_CALLBACK(&Attempt::OnStarting), this);
 		soup_session_send_async(this->relay->session.get(), this->message.get(), G_PRIORITY_DEFAULT, this->cancellable.get(),
-								&Attempt::OnHead, new std::shared_ptr<Attempt>(this->shared_from_this()));
+								&Attempt::OnResponseHead, new std::shared_ptr<Attempt>(this->shared_from_this()));
 	}
 
-	void Expire()
+	void OnDeadline()
 	{
-		this->late = true;
+		this->deadline_passed = true;
 		g_cancellable_cancel(this->cancellable.get());
 	}
 
-	void GiveUpConnecting()
+	void OnConnectTimeout()
 	{
-		this->unconnected = true;
+		this->connect_timed_out = true;
 		g_cancellable_cancel(this->cancellable.get());
 	}
 
-	/// libsoup has a connection and is about to write the request.
-	static void OnStarting(SoupMessage *, gpointer inSelf) { static_cast<Attempt *>(inSelf)->connecting.Stop(); }
+	/// libsoup has a connection and is about to write the request, so the connect timeout no longer applies.
+	static void OnStarting(SoupMessage *, gpointer inSelf) { static_cast<Attempt *>(inSelf)->connect_timer.Stop(); }
 
-	/// The caller went away from a request that may be cut short.
+	/// Cancels the attempt: the caller of a repeatable request has disconnected.
 	void Cancel()
 	{
 		this->cancelled = true;
@@ -109,83 +109,84 @@
 			soup_message_set_request_body_from_bytes(this->message.get(), nullptr, bytes);
 			g_bytes_unref(bytes);
 		}
-		// libsoup itself sends a request again when a reused connection turns out closed; one that may not be repeated gets a new
-		// connection
+		// libsoup repeats a request by itself when a reused connection turns out to be closed. A request that may not be repeated
+		// therefore gets a new connection
 		const bool repeatable = this->exchange->spec.repeatable && !this->is_forward;
 		soup_message_add_flags(this->message.get(), repeatable ? SOUP_MESSAGE_IDEMPOTENT : SOUP_MESSAGE_NEW_CONNECTION);
 		soup_message_add_flags(this->message.get(), SOUP_MESSAGE_NO_REDIRECT);
 	}
 
-	/// How a failed call is to be judged.
-	EAttempt Judge(const ErrorPtr &inError) const
+	/// The result of a failed call.
+	EAttempt ClassifyFailure(const ErrorPtr &inError) const
 	{
 		if (this->cancelled)
 			return EAttempt::Abandoned;
-		if (this->unconnected)
+		if (this->connect_timed_out)
 			return EAttempt::Refused;
-		if (this->late)
+		if (this->deadline_passed)
 			return EAttempt::TimedOut;
 		return inError.Is(G_IO_ERROR, G_IO_ERROR_CONNECTION_REFUSED) ? EAttempt::Refused : EAttempt::Broke;
 	}
 
-	static void OnHead(GObject *inSession, GAsyncResult *inResult, gpointer inHolder)
+	static void OnResponseHead(GObject *inSession, GAsyncResult *inResult, gpointer inHolder)
 	{
 		const std::unique_ptr<std::shared_ptr<Attempt>> holder(static_cast<std::shared_ptr<Attempt> *>(inHolder));
 		const std::shared_ptr<Attempt> self = *holder;
 		ErrorPtr error;
 		self->stream.reset(soup_session_send_finish(SOUP_SESSION(inSession), inResult, error.Out()));
 		if (self->stream == nullptr)
-			return self->Finish(self->Judge(error));
-		self->ReadSigns();
-		self->ReadOn();
+			return self->Finish(self->ClassifyFailure(error));
+		self->ReadEndpointHeaders();
+		self->ReadNextChunk();
 	}
 
-	/// The endpoint's own signs in the head of its answer.
-	void ReadSigns()
+	/// Takes the endpoint's state from the headers of its answer.
+	void ReadEndpointHeaders()
 	{
 		SoupMessageHeaders *headers = soup_message_get_response_headers(this->message.get());
 		if (!this->is_forward && soup_message_headers_get_one(headers, cHeaderLeaving) != nullptr)
 			this->relay->dispatcher.Endpoints().SawLeaving(this->host, NowMillis());
 	}
 
-	bool SaysNotBegun() const
+	bool HasNotBegunHeader() const
 	{
 		SoupMessageHeaders *headers = soup_message_get_response_headers(this->message.get());
-		const char *word = soup_message_headers_get_one(headers, cHeaderNotBegun);
-		return !this->is_forward && soup_message_get_status(this->message.get()) == SOUP_STATUS_SERVICE_UNAVAILABLE && word != nullptr;
+		const char *header_value = soup_message_headers_get_one(headers, cHeaderNotBegun);
+		return !this->is_forward && soup_message_get_status(this->message.get()) == SOUP_STATUS_SERVICE_UNAVAILABLE &&
+			   header_value != nullptr;
 	}
 
-	void ReadOn()
+	void ReadNextChunk()
 	{
-		this->reading = true;
-		g_input_stream_read_bytes_async(this->stream.get(), cPieceBytes, G_PRIORITY_DEFAULT, this->cancellable.get(), &Attempt::OnPiece,
+		this->read_pending = true;
+		g_input_stream_read_bytes_async(this->stream.get(), cChunkBytes, G_PRIORITY_DEFAULT, this->cancellable.get(), &Attempt::OnChunk,
 										new std::shared_ptr<Attempt>(this->shared_from_this()));
 	}
 
-	static void OnPiece(GObject *inStream, GAsyncResult *inResult, gpointer inHolder)
+	static void OnChunk(GObject *inStream, GAsyncResult *inResult, gpointer inHolder)
 	{
 		const std::unique_ptr<std::shared_ptr<Attempt>> holder(static_cast<std::shared_ptr<Attempt> *>(inHolder));
 		const std::shared_ptr<Attempt> self = *holder;
-		self->reading = false;
+		self->read_pending = false;
 		ErrorPtr error;
 		GBytes *bytes = g_input_stream_read_bytes_finish(G_INPUT_STREAM(inStream), inResult, error.Out());
 		if (bytes == nullptr)
-			return self->Finish(self->Judge(error));
-		self->TakePiece(bytes);
+			return self->Finish(self->ClassifyFailure(error));
+		self->HandleChunk(bytes);
 		g_bytes_unref(bytes);
 	}
 
-	void TakePiece(GBytes *inBytes)
+	void HandleChunk(GBytes *inBytes)
 	{
 		gsize size = 0;
 		const void *data = g_bytes_get_data(inBytes, &size);
 		if (size == 0)
 			return this->Finish(EAttempt::Answered);
 		if (this->streaming)
-			return this->SendPiece(inBytes);
+			return this->SendChunk(inBytes);
 		this->buffer.append(static_cast<const char *>(data), size);
-		if (this->buffer.size() < cPieceBytes)
-			return this->ReadOn();
+		if (this->buffer.size() < cChunkBytes)
+			return this->ReadNextChunk();
 		this->BeginStreaming();
 	}
 
@@ -198,34 +199,34 @@
 									has_length ? soup_message_headers_get_content_length(headers) : -1);
 		GBytes *bytes = g_bytes_new(this->buffer.data(), this->buffer.size());
 		this->buffer.clear();
-		this->SendPiece(bytes);
+		this->SendChunk(bytes);
 		g_bytes_unref(bytes);
 	}
 
-	void SendPiece(GBytes *inBytes)
+	void SendChunk(GBytes *inBytes)
 	{
-		// The caller is gone: the rest is read and dropped, so that the endpoint is not cut
-		if (this->exchange->IsGone())
-			return this->ReadOn();
-		this->exchange->Piece(inBytes, [self = this->shared_from_this()] { self->ReadOn(); });
+		// Without a caller the rest is read and dropped, so that the endpoint's work is not interrupted
+		if (this->exchange->IsCallerDisconnected())
+			return this->ReadNextChunk();
+		this->exchange->WriteChunk(inBytes, [self = this->shared_from_this()] { self->ReadNextChunk(); });
 	}
 
 	void Finish(EAttempt inResult)
 	{
-		this->deadline.Stop();
-		this->connecting.Stop();
+		this->deadline_timer.Stop();
+		this->connect_timer.Stop();
 		if (this->message != nullptr)
 			g_signal_handlers_disconnect_by_data(this->message.get(), this);
-		if (inResult == EAttempt::Answered && this->SaysNotBegun())
+		if (inResult == EAttempt::Answered && this->HasNotBegunHeader())
 			inResult = EAttempt::NotBegun;
 		if (inResult == EAttempt::Answered)
 			this->Deliver();
 		else if (this->streaming)
-			this->exchange->Cut();
+			this->exchange->AbortConnection();
 		this->relay->EndAttempt(this->shared_from_this(), inResult, this->streaming);
 	}
 
-	/// Gives the caller the whole answer.
+	/// Completes the answer to the caller, and keeps it where a repeat of the id may ask for it.
 	void Deliver()
 	{
 		if (this->streaming)
@@ -235,18 +236,18 @@
 		const uint32 status = soup_message_get_status(this->message.get());
 		if (!this->exchange->id_key.empty() && !this->is_forward)
 			this->relay->ids.Ran(this->exchange->id_key, {status, type == nullptr ? "" : type, this->buffer});
-		if (this->exchange->IsGone())
+		if (this->exchange->IsCallerDisconnected())
 			return;
 		EOutcome outcome = EOutcome::Ran;
 		EError reason = EError::None;
 		if (this->is_forward)
 		{
-			// The issuing entry host has already said what became of the request
-			const char *word = soup_message_headers_get_one(headers, cHeaderOutcome);
-			const char *why = soup_message_headers_get_one(headers, cHeaderReason);
-			outcome = word != nullptr && std::string_view(word) == "not-run" ? EOutcome::NotRun : EOutcome::Unknown;
-			outcome = word != nullptr && std::string_view(word) == "ran" ? EOutcome::Ran : outcome;
-			reason = why == nullptr ? EError::None : ErrorOf(why).value_or(EError::Internal);
+			// The entry host that issued or claimed the id has already stated the outcome
+			const char *header_value = soup_message_headers_get_one(headers, cHeaderOutcome);
+			const char *reason_name = soup_message_headers_get_one(headers, cHeaderReason);
+			outcome = header_value != nullptr && std::string_view(header_value) == "not-run" ? EOutcome::NotRun : EOutcome::Unknown;
+			outcome = header_value != nullptr && std::string_view(header_value) == "ran" ? EOutcome::Ran : outcome;
+			reason = reason_name == nullptr ? EError::None : ErrorOf(reason_name).value_or(EError::Internal);
 		}
 		this->exchange->CopyHeaders(headers);
 		this->exchange->Answer(status, type == nullptr ? "" : type, this->buffer, outcome, reason);
@@ -267,7 +268,7 @@
 {
 	const RequestId id = ++this->last_id;
 	inExchange->spec.id = id;
-	inExchange->on_gone = [this, id] { this->OnGone(id); };
+	inExchange->on_caller_disconnected = [this, id] { this->OnCallerDisconnected(id); };
 	const RequestSpec spec = inExchange->spec;
 	this->exchanges.emplace(id, std::move(inExchange));
 	std::vector<Decision> decisions;
@@ -277,15 +278,16 @@
 
 void Relay::Execute(std::vector<Decision> inDecisions)
 {
-	this->pending.insert(this->pending.end(), std::make_move_iterator(inDecisions.begin()), std::make_move_iterator(inDecisions.end()));
-	// Decisions that come up while others are carried out take their turn
+	this->pending_decisions.insert(this->pending_decisions.end(), std::make_move_iterator(inDecisions.begin()),
+								   std::make_move_iterator(inDecisions.end()));
+	// Carrying out a decision may lead to further ones; the outer call runs them in order
 	if (this->executing)
 		return;
 	this->executing = true;
-	while (!this->pending.empty())
+	while (!this->pending_decisions.empty())
 	{
-		const Decision decision = std::move(this->pending.front());
-		this->pending.pop_front();
+		const Decision decision = std::move(this->pending_decisions.front());
+		this->pending_decisions.pop_front();
 		auto found = this->exchanges.find(decision.request);
 		if (found == this->exchanges.end())
 			continue;
@@ -319,15 +321,15 @@
 	{
 		if (inResult != EAttempt::Answered && !inRelayed)
 			inAttempt->exchange->Refuse(inResult == EAttempt::Refused ? EError::IssuerGone : EError::ForwardFailed, 0, "");
-		--this->forwards;
+		--this->open_forwards;
 		return this->CheckIdle();
 	}
 	this->attempts.erase(inAttempt->exchange->spec.id);
 	std::vector<Decision> decisions;
 	this->dispatcher.Ended(inAttempt->exchange->spec.id, inResult, inRelayed, NowMillis(), decisions);
 	this->Execute(std::move(decisions));
-	// An abandoned request has no final decision; its last attempt ends it
-	if (inAttempt->exchange->IsGone())
+	// The dispatcher makes no final decision on an abandoned request, so the end of its last attempt closes it
+	if (inAttempt->exchange->IsCallerDisconnected())
 		this->Close(inAttempt->exchange->spec.id);
 	this->CheckIdle();
 }
@@ -351,13 +353,13 @@
 	auto found = this->exchanges.find(inRequest);
 	if (found == this->exchanges.end())
 		return;
-	this->metrics.Count(ECounter::Requests, found->second->IsGone() ? "abandoned" : "answered");
+	this->metrics.Count(ECounter::Requests, found->second->IsCallerDisconnected() ? "abandoned" : "answered");
 	this->metrics.Time(ETiming::Request, NowMillisExact() - found->second->arrived_exact);
 	const std::shared_ptr<Exchange> exchange = std::move(found->second);
 	this->exchanges.erase(found);
-	if (exchange->IsGone())
+	if (exchange->IsCallerDisconnected())
 		return;
-	// A planned stop waits until the caller has the last byte
+	// A graceful shutdown waits until the last byte has been written to the caller
 	exchange->on_written = [this, inRequest]
 	{
 		this->closing.erase(inRequest);
@@ -366,13 +368,13 @@
 	this->closing.emplace(inRequest, exchange);
 }
 
-void Relay::Release()
+void Relay::EndPending()
 {
-	--this->held;
+	--this->pending_submits;
 	this->CheckIdle();
 }
 
-void Relay::OnGone(RequestId inRequest)
+void Relay::OnCallerDisconnected(RequestId inRequest)
 {
 	auto found = this->exchanges.find(inRequest);
 	if (found == this->exchanges.end())
@@ -383,18 +385,18 @@
 	this->dispatcher.Abandon(inRequest);
 	if (running == nullptr)
 	{
-		// It waited and certainly did not run
+		// It was still queued, so it did not run
 		if (!exchange->id_key.empty())
 			this->ids.NotRun(exchange->id_key);
 		this->Close(inRequest);
 		return this->CheckIdle();
 	}
-	// A request that may be repeated is worth no slot without its caller; any other runs to its end
+	// Without its caller a repeatable request does not justify a slot at the endpoint; any other request runs to its end
 	if (exchange->spec.repeatable)
 		running->Cancel();
-	// An answer that waited for its caller is read on: to its end, or to the cancellation
-	if (running->streaming && !running->reading)
-		running->ReadOn();
+	// A streamed answer that waited for its caller is read on until it ends or its attempt is cancelled
+	if (running->streaming && !running->read_pending)
+		running->ReadNextChunk();
 }
 
 void Relay::Forward(std::shared_ptr<Exchange> inExchange, const Address &inTo)
@@ -403,13 +405,13 @@
 	attempt->relay = this;
 	attempt->exchange = std::move(inExchange);
 	attempt->is_forward = true;
-	++this->forwards;
+	++this->open_forwards;
 	attempt->Start(inTo);
 }
 
 void Relay::CheckIdle()
 {
-	if (this->Open() == 0 && this->on_idle)
+	if (this->OpenRequests() == 0 && this->on_idle)
 		this->on_idle();
 }
 
