--- a/Loomreach/Entry/CallerServer.cpp
+++ b/Loomreach/Entry/CallerServer.cpp
@@ -1,4 +1,4 @@
-// Reading and checking callers' requests.
+// Checks of the requests of callers, and what happens to a request by its id.
 
 #include <Loomreach/Loomreach.h>
 
@@ -17,18 +17,18 @@
 
 static constexpr std::string_view cServicePrefix = "/v1/services/";
 static constexpr std::string_view cIdPrefix = "lr1-";
-static constexpr uint32 cMaxIdsAtOnce = 1000;
-static constexpr size_t cMaxOwnId = 128;
+static constexpr uint32 cMaxIdsPerCall = 1000;
+static constexpr size_t cMaxCallerIdLength = 128;
 static constexpr int64 cMaxDeadlineMs = 86'400'000;
 
-/// A request's header, or an empty view.
+/// The value of a request's header, or an empty view.
 static std::string_view HeaderOf(SoupServerMessage *inMessage, const char *inName)
 {
 	const char *value = soup_message_headers_get_one(soup_server_message_get_request_headers(inMessage), inName);
 	return value == nullptr ? std::string_view() : std::string_view(value);
 }
 
-/// Reads a whole number that fills the text.
+/// Parses a whole number that makes up the complete text.
 static std::optional<int64> ParseNumber(std::string_view inText)
 {
 	int64 number = 0;
@@ -38,14 +38,14 @@
 	return number;
 }
 
-/// Whether a text is nothing but digits: one plain length, neither signed nor stated twice.
+/// Whether a text consists of digits only. A Content-Length that is signed or given twice does not.
 static bool IsDigits(std::string_view inText)
 {
 	return !inText.empty() &&
 		   std::all_of(inText.begin(), inText.end(), [](char inCharacter) { return inCharacter >= '0' && inCharacter <= '9'; });
 }
 
-/// Methods that HTTP itself calls idempotent.
+/// Whether HTTP defines a method as idempotent.
 static bool IsIdempotentMethod(std::string_view inMethod)
 {
 	static constexpr std::array<std::string_view, 6> cMethods = {"GET", "HEAD", "PUT", "DELETE", "OPTIONS", "TRACE"};
@@ -64,18 +64,18 @@
 	this->server = OpenServer(this->config.callers, "callers");
 	if (this->server == nullptr)
 		return false;
-	// libsoup asks only the most specific path's early handler
+	// libsoup calls the early handler of the most specific path only, so every path needs one
 	for (const char *path : {"/v1/services", "/v1/ids", "/v1/health", static_cast<const char *>(nullptr)})
-		soup_server_add_early_handler(this->server.get(), path, &CallerServer::OnEarly, this, nullptr);
+		soup_server_add_early_handler(this->server.get(), path, &CallerServer::OnRequestHead, this, nullptr);
 	soup_server_add_handler(this->server.get(), "/v1/services", &CallerServer::OnService, this, nullptr);
 	soup_server_add_handler(this->server.get(), "/v1/ids", &CallerServer::OnIds, this, nullptr);
 	soup_server_add_handler(this->server.get(), "/v1/health", &CallerServer::OnHealth, this, nullptr);
-	soup_server_add_handler(this->server.get(), nullptr, &CallerServer::OnOther, this, nullptr);
+	soup_server_add_handler(this->server.get(), nullptr, &CallerServer::OnUnknownPath, this, nullptr);
 	return true;
 }
 
-/// Counts a body's bytes as they come and cuts the connection of one that grows past the limit.
-static void OnBodyPiece(SoupServerMessage *inMessage, GBytes *, gpointer inSelf)
+/// Closes the connection of a request whose body, as received so far, exceeds the limit.
+static void OnBodyChunk(SoupServerMessage *inMessage, GBytes *, gpointer inSelf)
 {
 	const DaemonConfig *config = static_cast<const DaemonConfig *>(inSelf);
 	if (soup_server_message_get_request_body(inMessage)->length <= config->max_request_bytes)
@@ -85,22 +85,22 @@
 		g_io_stream_close(stream.get(), nullptr, nullptr);
 }
 
-void CallerServer::OnEarly(SoupServer *, SoupServerMessage *inMessage, const char *, GHashTable *, gpointer inSelf)
+void CallerServer::OnRequestHead(SoupServer *, SoupServerMessage *inMessage, const char *, GHashTable *, gpointer inSelf)
 {
 	CallerServer *self = static_cast<CallerServer *>(inSelf);
 	SoupMessageHeaders *headers = soup_server_message_get_request_headers(inMessage);
-	const char *lengths = soup_message_headers_get_list(headers, "Content-Length");
-	const bool has_length = lengths != nullptr;
+	const char *length_list = soup_message_headers_get_list(headers, "Content-Length");
+	const bool has_length = length_list != nullptr;
 	const bool has_encoding = soup_message_headers_get_one(headers, "Transfer-Encoding") != nullptr;
 	EError error = EError::None;
-	// Two ways to tell a body's length, or a strange one, are an attempt to smuggle a second request
-	if (has_length && (has_encoding || !IsDigits(lengths)))
+	// Two statements of the body's length, or a malformed one, are refused as possible request smuggling
+	if (has_length && (has_encoding || !IsDigits(length_list)))
 		error = EError::BadRequest;
 	else if (has_length && soup_message_headers_get_content_length(headers) > self->config.max_request_bytes)
 		error = EError::TooLarge;
 	if (error == EError::None)
 	{
-		g_signal_connect(inMessage, "got-chunk", G_CALLBACK(&OnBodyPiece), const_cast<DaemonConfig *>(&self->config));
+		g_signal_connect(inMessage, "got-chunk", G_CALLBACK(&OnBodyChunk), const_cast<DaemonConfig *>(&self->config));
 		return;
 	}
 	self->metrics.Count(ECounter::Refusals, AnswerOf(error).name);
@@ -134,10 +134,10 @@
 	const size_t slash = rest.find('/');
 	exchange->service = std::string(rest.substr(0, slash));
 	GUri *uri = soup_server_message_get_uri(inMessage);
-	// What the endpoint sees keeps the caller's own escapes, not the decoded path that libsoup hands over
+	// The endpoint gets the path as the caller escaped it; the path that libsoup passes in is decoded
 	const std::string_view raw = g_uri_get_path(uri);
-	const size_t after = raw.find('/', cServicePrefix.size());
-	exchange->path = after == std::string_view::npos ? "/" : std::string(raw.substr(after));
+	const size_t path_start = raw.find('/', cServicePrefix.size());
+	exchange->path = path_start == std::string_view::npos ? "/" : std::string(raw.substr(path_start));
 	if (const char *query = g_uri_get_query(uri); query != nullptr)
 		exchange->path += std::string("?") + query;
 	if (!this->follower.IsReady())
@@ -170,19 +170,19 @@
 	int64 time_left = inJob.deadline_ms;
 	if (const std::string_view text = HeaderOf(inMessage, cHeaderDeadline); !text.empty())
 	{
-		const std::optional<int64> wanted = ParseNumber(text);
-		if (!wanted.has_value() || *wanted <= 0 || *wanted > cMaxDeadlineMs)
+		const std::optional<int64> requested = ParseNumber(text);
+		if (!requested.has_value() || *requested <= 0 || *requested > cMaxDeadlineMs)
 			return FailFalse(EError::BadRequest, "Loomreach-Deadline-Ms: expected a whole number from 1 to 86400000");
-		// A caller may ask for less time than the service gives; more only where requests last long anyway
-		time_left = inJob.long_requests ? *wanted : std::min(time_left, *wanted);
+		// A caller may allow less time than the service's deadline, but more only for a service with long requests
+		time_left = inJob.long_requests ? *requested : std::min(time_left, *requested);
 	}
 	spec.deadline = ioExchange.arrived + time_left;
 	if (const std::string_view text = HeaderOf(inMessage, cHeaderPriority); !text.empty())
 	{
-		const std::optional<int64> wanted = ParseNumber(text);
-		if (!wanted.has_value() || *wanted < 0)
+		const std::optional<int64> requested = ParseNumber(text);
+		if (!requested.has_value() || *requested < 0)
 			return FailFalse(EError::BadRequest, "Loomreach-Priority: expected a whole number from 0");
-		spec.priority = std::min(spec.priority, *wanted);
+		spec.priority = std::min(spec.priority, *requested);
 	}
 	spec.repeatable = inJob.repeatable && IsIdempotentMethod(soup_server_message_get_method(inMessage));
 	if (const std::string_view text = HeaderOf(inMessage, cHeaderRepeatable); !text.empty())
@@ -201,7 +201,7 @@
 		return;
 	const std::string id(HeaderOf(inMessage, cHeaderId));
 	const bool forwarded = !HeaderOf(inMessage, cHeaderForwarded).empty();
-	// A request that may be repeated needs no memory of its id
+	// A repeatable request may run more than once, so its id is not tracked
 	if (id.empty() || (*exchange)->spec.repeatable)
 		return this->relay.Submit(*exchange);
 	this->HandleId(*exchange, id, forwarded);
@@ -209,13 +209,13 @@
 
 void CallerServer::HandleId(const std::shared_ptr<Exchange> &inExchange, const std::string &inId, bool inForwarded)
 {
-	if (inId.size() > cMaxOwnId)
+	if (inId.size() > cMaxCallerIdLength)
 		return this->Refuse(inExchange, EError::BadRequest, "Idempotency-Key: at most 128 characters");
 	if (!inId.starts_with(cIdPrefix))
-		return this->HandleOwn(inExchange, inId, inForwarded);
+		return this->HandleCallerId(inExchange, inId, inForwarded);
 	const std::optional<IssuedId> issued = this->ParseId(inId);
 	if (!issued.has_value())
-		return this->Refuse(inExchange, EError::BadRequest, "Idempotency-Key: looks like an issued id but was not issued here");
+		return this->Refuse(inExchange, EError::BadRequest, "Idempotency-Key: has the form of an issued id but was not issued here");
 	this->HandleIssued(inExchange, *issued, inForwarded);
 }
 
@@ -223,18 +223,18 @@
 {
 	if (inId.incarnation != this->incarnation)
 		return this->ForwardTo(inExchange, inId.incarnation, inForwarded);
-	this->UseVerdict(inExchange, IdWindow::IssuedKey(inId.sequence), this->ids.BeginIssued(inId.sequence));
+	this->HandleIdState(inExchange, IdWindow::IssuedKey(inId.sequence), this->ids.BeginIssued(inId.sequence));
 }
 
-void CallerServer::HandleOwn(const std::shared_ptr<Exchange> &inExchange, const std::string &inId, bool inForwarded)
+void CallerServer::HandleCallerId(const std::shared_ptr<Exchange> &inExchange, const std::string &inId, bool inForwarded)
 {
-	// The same id names different requests at different services
+	// The same id at different services means different requests
 	const std::string key = "own:" + inExchange->service + "/" + inId;
 	if (this->ids.KnowsOwn(key))
 	{
-		const IdVerdict verdict = this->ids.BeginOwn(key);
-		if (verdict.use != EIdUse::MayRun)
-			return this->UseVerdict(inExchange, key, verdict);
+		const IdVerdict id_state = this->ids.BeginOwn(key);
+		if (id_state.use != EIdUse::MayRun)
+			return this->HandleIdState(inExchange, key, id_state);
 	}
 	else
 	{
@@ -242,7 +242,7 @@
 			return this->Refuse(inExchange, EError::NotAccepted, LastReason().detail);
 		this->ids.BeginOwn(key);
 	}
-	// Marked as begun while the claim is under way, so that a repeat at this entry host can't overtake it
+	// The id is marked as begun while it is being claimed, so that a repeat at this entry host can't be dispatched before this request
 	inExchange->id_key = key;
 	this->relay.BeginPending();
 	this->control.ClaimCallerId(key,
@@ -263,19 +263,21 @@
 		return;
 	if (inError == EError::DuplicateId)
 		return this->ForwardTo(inExchange, inHolder, inForwarded);
-	this->Refuse(inExchange, inError, "the id could not be claimed with every member of its group; ids from POST /v1/ids need no claim");
+	this->Refuse(inExchange, inError,
+				 "the id could not be claimed at every member of its claim group; ids from POST /v1/ids need no claim");
 }
 
-void CallerServer::UseVerdict(const std::shared_ptr<Exchange> &inExchange, const std::string &inKey, const IdVerdict &inVerdict)
+void CallerServer::HandleIdState(const std::shared_ptr<Exchange> &inExchange, const std::string &inKey, const IdVerdict &inState)
 {
-	switch (inVerdict.use)
+	switch (inState.use)
 	{
 	case EIdUse::MayRun: inExchange->id_key = inKey; return this->relay.Submit(inExchange);
 	case EIdUse::Answered:
 		this->metrics.Count(ECounter::Requests, "answered-again");
-		return inExchange->Answer(inVerdict.answer->status, inVerdict.answer->content_type, inVerdict.answer->body, EOutcome::Ran,
+		return inExchange->Answer(inState.answer->status, inState.answer->content_type, inState.answer->body, EOutcome::Ran,
 								  EError::DuplicateId);
-	case EIdUse::Begun: return this->Refuse(inExchange, EError::DuplicateId, "its first run has no answer that is kept, or has not ended");
+	case EIdUse::Begun:
+		return this->Refuse(inExchange, EError::DuplicateId, "the first run of this id has not ended, or no answer of it was kept");
 	case EIdUse::Forgotten: return this->Refuse(inExchange, EError::IdForgotten, "");
 	}
 }
@@ -295,12 +297,12 @@
 	this->Refuse(inExchange, EError::IssuerGone, "");
 }
 
-std::string CallerServer::MakeId()
+std::string CallerServer::IssueId()
 {
 	char text[64];
 	const int length = std::snprintf(text, sizeof(text), "%016" PRIx64 "-%" PRIx64, this->incarnation, this->ids.Issue());
-	const std::string plain(text, static_cast<size_t>(length));
-	return std::string(cIdPrefix) + plain + "-" + this->codec.Tag(plain);
+	const std::string payload(text, static_cast<size_t>(length));
+	return std::string(cIdPrefix) + payload + "-" + this->codec.Tag(payload);
 }
 
 std::optional<CallerServer::IssuedId> CallerServer::ParseId(const std::string &inId) const
@@ -310,8 +312,8 @@
 	const size_t middle = rest.find('-');
 	if (last == std::string_view::npos || middle == last)
 		return Fail(EError::BadRequest, "not an issued id");
-	const std::string_view plain = rest.substr(0, last);
-	if (this->codec.Tag(plain) != rest.substr(last + 1))
+	const std::string_view payload = rest.substr(0, last);
+	if (this->codec.Tag(payload) != rest.substr(last + 1))
 		return Fail(EError::Forged, "not an issued id");
 	IssuedId id;
 	const auto read = [](std::string_view inText, uint64 &outNumber)
@@ -319,7 +321,7 @@
 		const auto [end, error] = std::from_chars(inText.data(), inText.data() + inText.size(), outNumber, 16);
 		return error == std::errc() && end == inText.data() + inText.size();
 	};
-	if (!read(plain.substr(0, middle), id.incarnation) || !read(plain.substr(middle + 1), id.sequence))
+	if (!read(payload.substr(0, middle), id.incarnation) || !read(payload.substr(middle + 1), id.sequence))
 		return Fail(EError::BadRequest, "not an issued id");
 	return id;
 }
@@ -331,7 +333,7 @@
 		return soup_server_message_set_status(inMessage, SOUP_STATUS_METHOD_NOT_ALLOWED, nullptr);
 	const char *count_text = inQuery == nullptr ? nullptr : static_cast<const char *>(g_hash_table_lookup(inQuery, "count"));
 	const std::optional<int64> count = count_text == nullptr ? std::optional<int64>(1) : ParseNumber(count_text);
-	if (!count.has_value() || *count < 1 || *count > cMaxIdsAtOnce)
+	if (!count.has_value() || *count < 1 || *count > cMaxIdsPerCall)
 	{
 		const std::string text = "count: expected a whole number from 1 to 1000\n";
 		soup_server_message_set_response(inMessage, "text/plain", SOUP_MEMORY_COPY, text.data(), text.size());
@@ -339,7 +341,7 @@
 	}
 	nlohmann::json list = nlohmann::json::array();
 	for (int64 i = 0; i < *count; ++i)
-		list.push_back(self->MakeId());
+		list.push_back(self->IssueId());
 	const std::string body = nlohmann::json{{"ids", std::move(list)}}.dump() + "\n";
 	soup_server_message_set_response(inMessage, "application/json", SOUP_MEMORY_COPY, body.data(), body.size());
 	soup_server_message_set_status(inMessage, SOUP_STATUS_OK, nullptr);
@@ -375,7 +377,7 @@
 	soup_server_message_set_status(inMessage, status, nullptr);
 }
 
-void CallerServer::OnOther(SoupServer *, SoupServerMessage *inMessage, const char *, GHashTable *, gpointer)
+void CallerServer::OnUnknownPath(SoupServer *, SoupServerMessage *inMessage, const char *, GHashTable *, gpointer)
 {
 	const std::string text = "{\"error\":\"not-found\",\"outcome\":\"not-run\"}\n";
 	soup_message_headers_replace(soup_server_message_get_response_headers(inMessage), cHeaderOutcome, "not-run");
