--- a/Loomreach/Entry/ControlLoop.cpp
+++ b/Loomreach/Entry/ControlLoop.cpp
@@ -151,7 +151,7 @@
 			continue;
 		}
 		heartbeat.sequence = ++this->sequence;
-		this->link.Send(member.peers, heartbeat);
+		this->link.SendHeartbeat(member.peers, heartbeat);
 	}
 	if (!is_remote_turn)
 		return;
@@ -164,7 +164,7 @@
 	{
 		const std::string &to = names[turn % names.size()];
 		heartbeat.sequence = ++this->sequence;
-		this->link.Send(this->follower.State().view.members.find(to)->second.peers, heartbeat);
+		this->link.SendHeartbeat(this->follower.State().view.members.find(to)->second.peers, heartbeat);
 	}
 }
 
@@ -187,7 +187,7 @@
 {
 	if (inOutcomes.empty())
 		this->proposer.OnAdopted(this->follower.State());
-	this->proposer.OnVerdicts(inOutcomes);
+	this->proposer.OnOutcomes(inOutcomes);
 	const FleetState &state = this->follower.State();
 	const size_t members = std::max<size_t>(1, state.view.members.size());
 	// Each process may use twice its even share of the append rate: few propose at the same time, so the total stays below the log's limit
@@ -203,7 +203,7 @@
 	// Tell the peers without waiting for the next heartbeat, but gather what arrives within a few milliseconds
 	if (!this->update_timer.IsRunning())
 		this->update_timer.Once(cUpdateDelayMs, [this] { this->SendHeartbeats(true); });
-	this->proposer.Pump();
+	this->proposer.SendBatch();
 }
 
 void ControlLoop::ReadHostList()
@@ -264,7 +264,7 @@
 	this->UpdateShares(now);
 	this->dispatcher.Tick(now, decisions);
 	this->on_decisions(std::move(decisions));
-	this->proposer.Pump();
+	this->proposer.SendBatch();
 	if (!this->follower.IsReady())
 		return;
 	const StewardPicker picker = this->Picker(now);
@@ -411,23 +411,23 @@
 			request.ranges.push_back(range);
 	this->taking_over = true;
 	const uint64 view = request.view;
-	this->link.Ask(member->second.peers, std::move(request), cPeerRequestTimeoutMs,
-				   [this, view](std::optional<PeerReply> inReply)
-				   {
-					   this->taking_over = false;
-					   const HandOverReply *reply = inReply.has_value() ? std::get_if<HandOverReply>(&*inReply) : nullptr;
-					   // If the view has changed since, the next round asks again under the new view
-					   if (reply == nullptr || view != this->claims.ViewNumber())
-						   return;
-					   TakeOver take{view, this->config.name, {}};
-					   for (const auto &[range, list] : reply->ranges)
-					   {
-						   this->claims.TakeIn(range, list, NowMillis());
-						   take.ranges.push_back(range);
-					   }
-					   if (!take.ranges.empty())
-						   this->proposer.Propose(std::move(take));
-				   });
+	this->link.SendRequest(member->second.peers, std::move(request), cPeerRequestTimeoutMs,
+						   [this, view](std::optional<PeerReply> inReply)
+						   {
+							   this->taking_over = false;
+							   const HandOverReply *reply = inReply.has_value() ? std::get_if<HandOverReply>(&*inReply) : nullptr;
+							   // If the view has changed since, the next round asks again under the new view
+							   if (reply == nullptr || view != this->claims.ViewNumber())
+								   return;
+							   TakeOver take{view, this->config.name, {}};
+							   for (const auto &[range, list] : reply->ranges)
+							   {
+								   this->claims.TakeIn(range, list, NowMillis());
+								   take.ranges.push_back(range);
+							   }
+							   if (!take.ranges.empty())
+								   this->proposer.Propose(std::move(take));
+						   });
 }
 
 PeerReply ControlLoop::AnswerClaim(const AskClaim &inRequest)
@@ -501,7 +501,7 @@
 	const std::string &name = inRound->group[inRound->next];
 	if (name == this->config.name)
 		return on_reply(this->AnswerClaim(inRound->request));
-	this->link.Ask(this->follower.State().view.members.find(name)->second.peers, inRound->request, cPeerRequestTimeoutMs, on_reply);
+	this->link.SendRequest(this->follower.State().view.members.find(name)->second.peers, inRound->request, cPeerRequestTimeoutMs, on_reply);
 }
 
 void ControlLoop::BeginStop()
--- a/Loomreach/Entry/EntryHost.cpp
+++ b/Loomreach/Entry/EntryHost.cpp
@@ -1,4 +1,4 @@
-// Wiring of one entry host and its planned stop.
+// Connects the parts of an entry host, and shuts it down.
 
 #include <Loomreach/Loomreach.h>
 
@@ -8,14 +8,15 @@
 namespace Loomreach
 {
 
-/// How long a stopping entry host still takes new requests, ms: the balancer has yet to notice that it is not ready.
-static constexpr Millis cStopGraceMs = 2000;
+/// Time for which new requests are still accepted after a shutdown began, since the load balancer takes a while to see that this entry
+/// host is not ready.
+static constexpr Millis cShutdownGraceMs = 2000;
 
-/// Draws the incarnation of this process. Never 0.
-static uint64 DrawIncarnation() { return ((static_cast<uint64>(g_random_int()) << 32) | g_random_int()) | 1; }
+/// A random incarnation for this process, never 0.
+static uint64 MakeIncarnation() { return ((static_cast<uint64>(g_random_int()) << 32) | g_random_int()) | 1; }
 
 EntryHost::EntryHost(DaemonConfig inConfig)
-	: config(std::move(inConfig)), incarnation(DrawIncarnation()), codec(this->config.peer_key), platform(this->config.platform),
+	: config(std::move(inConfig)), incarnation(MakeIncarnation()), codec(this->config.peer_key), platform(this->config.platform),
 	  link(this->config.peers, this->codec, this->metrics), follower(this->platform, this->link, this->metrics, this->config.seeds),
 	  proposer(this->platform, this->follower, this->metrics, this->incarnation), poller(this->config, this->platform),
 	  dispatcher(this->config.availability_zone), relay(this->dispatcher, this->ids, this->metrics, this->config.connect_timeout_ms),
@@ -23,21 +24,21 @@
 	  callers(this->config, this->incarnation, this->follower, this->control, this->relay, this->ids, this->codec, this->metrics),
 	  operators(this->config, this->follower, this->control, this->proposer, this->platform, this->dispatcher, this->relay, this->metrics)
 {
-	this->follower.on_folded = [this](const std::vector<Verdict> &inVerdicts) { this->control.OnRecordsApplied(inVerdicts); };
+	this->follower.on_records_applied = [this](const std::vector<Verdict> &inOutcomes) { this->control.OnRecordsApplied(inOutcomes); };
 	this->control.on_decisions = [this](std::vector<Decision> inDecisions) { this->relay.Execute(std::move(inDecisions)); };
-	this->link.on_digest = [this](Digest inDigest) { this->control.OnHeartbeat(std::move(inDigest)); };
-	this->link.on_ask = [this](const PeerAsk &inAsk) -> PeerReply
+	this->link.on_heartbeat = [this](Digest inHeartbeat) { this->control.OnHeartbeat(std::move(inHeartbeat)); };
+	this->link.on_request = [this](const PeerAsk &inRequest) -> PeerReply
 	{
 		return std::visit(
-			[this](const auto &inQuestion) -> PeerReply
+			[this](const auto &inContent) -> PeerReply
 			{
-				using Question = std::decay_t<decltype(inQuestion)>;
-				if constexpr (std::is_same_v<Question, FetchRecords> || std::is_same_v<Question, FetchState>)
-					return this->follower.AnswerFetch(inQuestion);
+				using Request = std::decay_t<decltype(inContent)>;
+				if constexpr (std::is_same_v<Request, FetchRecords> || std::is_same_v<Request, FetchState>)
+					return this->follower.AnswerFetch(inContent);
 				else
-					return this->control.AnswerClaim(inQuestion);
+					return this->control.AnswerClaim(inContent);
 			},
-			inAsk);
+			inRequest);
 	};
 }
 
@@ -60,27 +61,27 @@
 void EntryHost::Stop(std::function<void()> inDone)
 {
 	LogEvent(ELogLevel::Info, "stop_begun").Field("open_requests", this->relay.OpenRequests());
-	this->stopped = std::move(inDone);
+	this->on_stopped = std::move(inDone);
 	this->control.BeginStop();
 	this->relay.on_idle = [this] { this->TryFinish(); };
-	this->grace.Once(cStopGraceMs,
-					 [this]
-					 {
-						 this->finishing = true;
-						 this->TryFinish();
-					 });
+	this->grace_timer.Once(cShutdownGraceMs,
+						   [this]
+						   {
+							   this->may_finish = true;
+							   this->TryFinish();
+						   });
 }
 
 void EntryHost::TryFinish()
 {
-	if (!this->finishing || this->relay.OpenRequests() != 0 || !this->stopped)
+	if (!this->may_finish || this->relay.OpenRequests() != 0 || !this->on_stopped)
 		return;
-	this->finishing = false;
+	this->may_finish = false;
 	this->control.LeaveView(
 		[this]
 		{
 			LogPlain(ELogLevel::Info, "stop_done");
-			this->stopped();
+			this->on_stopped();
 		});
 }
 
--- a/Loomreach/Entry/EntryHost.h
+++ b/Loomreach/Entry/EntryHost.h
@@ -1,4 +1,4 @@
-// One entry host: everything of the system in one process, wired together.
+// The process of an entry host: owns all its parts and connects them.
 
 #pragma once
 
@@ -7,18 +7,21 @@
 namespace Loomreach
 {
 
-/// The process. Lives from its start to the end of its planned stop.
+/// One entry host, from the start of the process to the end of its graceful shutdown.
 class EntryHost
 {
 public:
 	explicit EntryHost(DaemonConfig inConfig);
 
-	/// Binds all listeners and starts to follow the log. False, with the reason, when an address can't be had.
+	/// Binds all listeners and starts to follow the log. False, with bad-config, when an address is not available.
 	bool Start();
-	/// Begins the planned stop: not ready at once, stewardships handed over, `inDone` after the last request has ended.
+	/// Begins a graceful shutdown: the process reports itself as not ready, plans nothing any more, and still serves requests for a grace
+	/// period. `inDone` is called after the last request has ended and the process has left the membership view, or could not
+	/// leave it.
 	void Stop(std::function<void()> inDone);
 
 private:
+	/// Leaves the view once the grace period is over and no request is open.
 	void TryFinish();
 
 	DaemonConfig config;
@@ -36,9 +39,9 @@
 	ControlLoop control;
 	CallerServer callers;
 	OperatorServer operators;
-	std::function<void()> stopped;
-	bool finishing = false;
-	Timer grace;
+	std::function<void()> on_stopped;
+	bool may_finish = false; ///< The grace period is over, and the view has not been left yet.
+	Timer grace_timer;
 };
 
 } // namespace Loomreach
--- a/Loomreach/Entry/HttpListener.cpp
+++ b/Loomreach/Entry/HttpListener.cpp
@@ -1,5 +1,5 @@
-// Listening sockets with a backlog of their own: libsoup's default of 10 drops connections of a burst, and the caller's
-// system tries again only a second later.
+// Listening sockets with a larger backlog than libsoup's default of 10: in a burst that one overflows, and a client whose connection is
+// dropped tries again only after a second.
 
 #include <Loomreach/Loomreach.h>
 
@@ -12,23 +12,24 @@
 
 static constexpr int cBacklog = 1024;
 
-/// A bound and listening socket, or nothing.
+/// A bound and listening socket, or nullptr with the error.
 static ObjectPtr<GSocket> Listen(const Address &inAddress, ErrorPtr &outError)
 {
-	const ObjectPtr<GSocketAddress> where(g_inet_socket_address_new_from_string(inAddress.ip.c_str(), inAddress.port));
+	const ObjectPtr<GSocketAddress> socket_address(g_inet_socket_address_new_from_string(inAddress.ip.c_str(), inAddress.port));
 	ObjectPtr<GSocket> socket(
-		g_socket_new(g_socket_address_get_family(where.get()), G_SOCKET_TYPE_STREAM, G_SOCKET_PROTOCOL_TCP, outError.Out()));
+		g_socket_new(g_socket_address_get_family(socket_address.get()), G_SOCKET_TYPE_STREAM, G_SOCKET_PROTOCOL_TCP, outError.Out()));
 	if (socket == nullptr)
 		return nullptr;
-	// What is accepted inherits it
+	// Accepted connections inherit the keep-alive options
 	CareFor(g_socket_get_fd(socket.get()));
 	g_socket_set_listen_backlog(socket.get(), cBacklog);
-	if (g_socket_bind(socket.get(), where.get(), TRUE, outError.Out()) == FALSE || g_socket_listen(socket.get(), outError.Out()) == FALSE)
+	if (g_socket_bind(socket.get(), socket_address.get(), TRUE, outError.Out()) == FALSE ||
+		g_socket_listen(socket.get(), outError.Out()) == FALSE)
 		return nullptr;
 	return socket;
 }
 
-ObjectPtr<SoupServer> OpenServer(const Address &inAddress, std::string_view inWhat)
+ObjectPtr<SoupServer> OpenServer(const Address &inAddress, std::string_view inListenerName)
 {
 	ErrorPtr error;
 	const ObjectPtr<GSocket> socket = Listen(inAddress, error);
@@ -37,7 +38,7 @@
 																		error.Out()) != FALSE;
 	if (listens)
 		return server;
-	FailFalse(EError::BadConfig, std::string(inWhat) + ": " + inAddress.Text() + ": " + error.Text());
+	FailFalse(EError::BadConfig, std::string(inListenerName) + ": " + inAddress.Text() + ": " + error.Text());
 	return nullptr;
 }
 
--- a/Loomreach/Entry/HttpListener.h
+++ b/Loomreach/Entry/HttpListener.h
@@ -1,4 +1,4 @@
-// Opens HTTP listeners with room for bursts of new connections.
+// Opens HTTP listeners whose backlog is large enough for bursts of new connections.
 
 #pragma once
 
@@ -10,7 +10,8 @@
 namespace Loomreach
 {
 
-/// Opens a libsoup server on an address; nothing, with bad-config, when the address can't be had. `inWhat` names it in the reason.
-ObjectPtr<SoupServer> OpenServer(const Address &inAddress, std::string_view inWhat);
+/// Opens a libsoup server on an address; nothing, with bad-config, when the address is not available. `inListenerName` stands in the
+/// reason.
+ObjectPtr<SoupServer> OpenServer(const Address &inAddress, std::string_view inListenerName);
 
 } // namespace Loomreach
--- a/Loomreach/Entry/LogFollower.cpp
+++ b/Loomreach/Entry/LogFollower.cpp
@@ -1,4 +1,4 @@
-// Reading, folding and snapshotting the log.
+// Reads of the log and of snapshots, from the platform and from peers.
 
 #include <Loomreach/Loomreach.h>
 
@@ -11,9 +11,10 @@
 {
 
 static constexpr uint32 cPageRecords = 500;
-static constexpr Millis cPeerTimeoutMs = 3000;
+static constexpr Millis cPeerRequestTimeoutMs = 3000;
 static constexpr Millis cRetryMs = 500;
-static constexpr Millis cReachMs = 8000;
+/// Age of the last read up to which the platform counts as reachable.
+static constexpr Millis cPlatformReachableMs = 8000;
 
 void RecordTail::Add(LogOffset inOffset, std::string inBytes)
 {
@@ -53,7 +54,7 @@
 
 bool LogFollower::ReachesPlatform(Millis inNow) const
 {
-	return this->last_platform_read != 0 && inNow - this->last_platform_read < cReachMs;
+	return this->last_platform_read != 0 && inNow - this->last_platform_read < cPlatformReachableMs;
 }
 
 void LogFollower::Schedule(Millis inDelay)
@@ -70,8 +71,8 @@
 			this->metrics.Count(ECounter::PlatformCalls, inPage.has_value() ? "read-ok" : "read-failed");
 			if (!inPage.has_value())
 			{
-				// The platform is down at start: a peer may have the state
-				this->AskSeeds();
+				// The platform does not answer at start; a seed may have the state
+				this->FetchStateFromSeeds();
 				return this->poll_timer.Once(cRetryMs, [this] { this->ready ? this->Poll() : this->Start(); });
 			}
 			for (const LogRecord &record : inPage->records)
@@ -95,7 +96,7 @@
 
 void LogFollower::Adopt(FleetState inState, std::string_view inSource)
 {
-	// Never a state older than one that was seen
+	// The state never moves back
 	if (inState.next_offset <= this->state.next_offset && this->ready)
 		return;
 	LOOM_INVARIANT(inState.settings_version >= this->state.settings_version, "no accepted settings version goes back");
@@ -106,19 +107,19 @@
 	this->snapshot_time = NowMillis();
 	this->metrics.Count(ECounter::Snapshots, std::string("adopted-from-") + std::string(inSource));
 	LogEvent(ELogLevel::Info, "state_adopted").Field("source", inSource).Field("offset", this->state.next_offset);
-	this->on_folded({});
+	this->on_records_applied({});
 }
 
 void LogFollower::Poll()
 {
-	if (this->reading)
+	if (this->platform_read_pending)
 		return;
-	this->reading = true;
+	this->platform_read_pending = true;
 	const Millis started = NowMillis();
 	this->platform.Read(cRecordStream, this->state.next_offset, cPageRecords,
 						[this, started](std::optional<LogPage> inPage)
 						{
-							this->reading = false;
+							this->platform_read_pending = false;
 							this->metrics.Count(ECounter::PlatformCalls, inPage.has_value() ? "read-ok" : "read-failed");
 							this->OnPage(started, std::move(inPage));
 						});
@@ -129,16 +130,16 @@
 	if (!inPage.has_value())
 	{
 		if (this->ready)
-			this->AskPeerForNews();
+			this->FetchRecordsFromNextPeer();
 		else
-			this->AskSeeds();
+			this->FetchStateFromSeeds();
 		return this->Schedule(cRetryMs);
 	}
 	if (inPage->first > this->state.next_offset)
 	{
-		// Retention has overtaken this reader: only a snapshot, or a peer's state, closes the gap
+		// Retention has removed the next record from the log, so only a snapshot or a peer's state closes the gap
 		LogEvent(ELogLevel::Warning, "log_gap").Field("first", inPage->first).Field("next_offset", this->state.next_offset);
-		this->AskSeeds();
+		this->FetchStateFromSeeds();
 		return this->poll_timer.Once(cRetryMs, [this] { this->Start(); });
 	}
 	std::vector<PassedRecord> records;
@@ -148,58 +149,59 @@
 	if (!this->ready)
 		LogEvent(ELogLevel::Info, "state_from_log").Field("records", records.size());
 	this->ready = true;
-	this->FoldRecords(std::move(records), "platform");
+	this->ApplyRecords(std::move(records), "platform");
 	if (this->state.next_offset >= end)
 		this->last_platform_read = inStarted;
 	this->Schedule(this->state.next_offset < end ? 0 : this->interval);
 }
 
-void LogFollower::FoldRecords(std::vector<PassedRecord> inRecords, std::string_view inSource)
+void LogFollower::ApplyRecords(std::vector<PassedRecord> inRecords, std::string_view inSource)
 {
 	const double started = NowMillisExact();
-	std::vector<Verdict> verdicts;
-	uint64 folded = 0;
+	std::vector<Verdict> outcomes;
+	uint64 applied = 0;
 	for (PassedRecord &record : inRecords)
 	{
 		if (record.offset < this->state.next_offset)
 			continue;
-		// A gap within a page is not to be folded over
+		// Nothing after a gap may be applied
 		if (record.offset > this->state.next_offset)
 			break;
 		const LogPosition version = this->state.settings_version;
-		std::vector<Verdict> some = FoldRecord(this->state, record.offset, record.bytes);
+		std::vector<Verdict> record_outcomes = FoldRecord(this->state, record.offset, record.bytes);
 		LOOM_INVARIANT(this->state.settings_version >= version, "no accepted settings version goes back");
-		verdicts.insert(verdicts.end(), some.begin(), some.end());
+		outcomes.insert(outcomes.end(), record_outcomes.begin(), record_outcomes.end());
 		this->tail.Add(record.offset, std::move(record.bytes));
-		++folded;
+		++applied;
 	}
-	if (folded == 0)
+	if (applied == 0)
 		return;
-	this->metrics.Count(ECounter::RecordsFolded, inSource, folded);
+	this->metrics.Count(ECounter::RecordsFolded, inSource, applied);
 	this->metrics.Time(ETiming::Fold, NowMillisExact() - started);
-	this->on_folded(verdicts);
+	this->on_records_applied(outcomes);
 }
 
 void LogFollower::OnPeerAhead(const Address &inPeer, LogOffset inNext)
 {
-	if (this->asking || !this->ready || inNext <= this->state.next_offset)
+	if (this->peer_request_pending || !this->ready || inNext <= this->state.next_offset)
 		return;
-	this->asking = true;
-	this->link.Ask(inPeer, FetchRecords{this->state.next_offset}, cPeerTimeoutMs,
-				   [this, inPeer](std::optional<PeerReply> inReply)
-				   {
-					   this->asking = false;
-					   if (!inReply.has_value())
-						   return;
-					   if (RecordsReply *reply = std::get_if<RecordsReply>(&*inReply); reply != nullptr)
-						   return this->FoldRecords(std::move(reply->records), "peer");
-					   // The peer no longer keeps these records; where the platform is out of reach its state will do
-					   if (!this->ReachesPlatform(NowMillis()))
-						   this->AskStateOf(inPeer);
-				   });
+	this->peer_request_pending = true;
+	this->link.SendRequest(inPeer, FetchRecords{this->state.next_offset}, cPeerRequestTimeoutMs,
+						   [this, inPeer](std::optional<PeerReply> inReply)
+						   {
+							   this->peer_request_pending = false;
+							   if (!inReply.has_value())
+								   return;
+							   if (RecordsReply *reply = std::get_if<RecordsReply>(&*inReply); reply != nullptr)
+								   return this->ApplyRecords(std::move(reply->records), "peer");
+							   // The peer no longer keeps these records. While the platform is not reachable, its whole state is adopted
+							   // instead
+							   if (!this->ReachesPlatform(NowMillis()))
+								   this->FetchStateFrom(inPeer);
+						   });
 }
 
-void LogFollower::AskPeerForNews()
+void LogFollower::FetchRecordsFromNextPeer()
 {
 	std::vector<Address> peers = this->seeds;
 	for (const auto &[name, member] : this->state.view.members)
@@ -208,53 +210,53 @@
 		this->OnPeerAhead(peers[this->next_peer++ % peers.size()], this->state.next_offset + 1);
 }
 
-void LogFollower::AskStateOf(const Address &inPeer)
+void LogFollower::FetchStateFrom(const Address &inPeer)
 {
-	if (this->asking)
+	if (this->peer_request_pending)
 		return;
-	this->asking = true;
-	this->link.Ask(inPeer, FetchState{}, cPeerTimeoutMs,
-				   [this](std::optional<PeerReply> inReply)
-				   {
-					   this->asking = false;
-					   const StateReply *reply = inReply.has_value() ? std::get_if<StateReply>(&*inReply) : nullptr;
-					   if (reply == nullptr)
-						   return;
-					   std::optional<FleetState> peer_state = DecodeState(reply->state);
-					   if (peer_state.has_value() && (!this->ready || peer_state->next_offset > this->state.next_offset))
-						   this->Adopt(std::move(*peer_state), "peer");
-				   });
+	this->peer_request_pending = true;
+	this->link.SendRequest(inPeer, FetchState{}, cPeerRequestTimeoutMs,
+						   [this](std::optional<PeerReply> inReply)
+						   {
+							   this->peer_request_pending = false;
+							   const StateReply *reply = inReply.has_value() ? std::get_if<StateReply>(&*inReply) : nullptr;
+							   if (reply == nullptr)
+								   return;
+							   std::optional<FleetState> peer_state = DecodeState(reply->state);
+							   if (peer_state.has_value() && (!this->ready || peer_state->next_offset > this->state.next_offset))
+								   this->Adopt(std::move(*peer_state), "peer");
+						   });
 }
 
-void LogFollower::AskSeeds()
+void LogFollower::FetchStateFromSeeds()
 {
-	if (this->seeds_asked != 0)
+	if (this->seed_replies_pending != 0)
 		return;
-	// All of them, and the newest counts: one of them may have been cut off for long
-	this->newest_offered.reset();
-	this->seeds_asked = this->seeds.size();
+	// Asks all seeds and adopts the newest state, since any of them may have been partitioned for long
+	this->newest_seed_state.reset();
+	this->seed_replies_pending = this->seeds.size();
 	for (const Address &seed : this->seeds)
-		this->link.Ask(seed, FetchState{}, cPeerTimeoutMs,
-					   [this](std::optional<PeerReply> inReply) { this->OnSeedState(std::move(inReply)); });
+		this->link.SendRequest(seed, FetchState{}, cPeerRequestTimeoutMs,
+							   [this](std::optional<PeerReply> inReply) { this->OnSeedState(std::move(inReply)); });
 }
 
 void LogFollower::OnSeedState(std::optional<PeerReply> inReply)
 {
-	--this->seeds_asked;
+	--this->seed_replies_pending;
 	const StateReply *reply = inReply.has_value() ? std::get_if<StateReply>(&*inReply) : nullptr;
 	std::optional<FleetState> offered = reply == nullptr ? std::nullopt : DecodeState(reply->state);
-	if (offered.has_value() && (!this->newest_offered.has_value() || offered->next_offset > this->newest_offered->next_offset))
-		this->newest_offered = std::move(offered);
-	if (this->seeds_asked != 0 || !this->newest_offered.has_value())
+	if (offered.has_value() && (!this->newest_seed_state.has_value() || offered->next_offset > this->newest_seed_state->next_offset))
+		this->newest_seed_state = std::move(offered);
+	if (this->seed_replies_pending != 0 || !this->newest_seed_state.has_value())
 		return;
-	if (!this->ready || this->newest_offered->next_offset > this->state.next_offset)
-		this->Adopt(std::move(*this->newest_offered), "peer");
-	this->newest_offered.reset();
+	if (!this->ready || this->newest_seed_state->next_offset > this->state.next_offset)
+		this->Adopt(std::move(*this->newest_seed_state), "peer");
+	this->newest_seed_state.reset();
 }
 
-PeerReply LogFollower::AnswerFetch(const FetchRecords &inAsk) const
+PeerReply LogFollower::AnswerFetch(const FetchRecords &inRequest) const
 {
-	std::optional<std::vector<PassedRecord>> records = this->tail.From(inAsk.from, this->state.next_offset);
+	std::optional<std::vector<PassedRecord>> records = this->tail.From(inRequest.from, this->state.next_offset);
 	if (!this->ready || !records.has_value())
 		return RefusedReply{"these records are no longer kept"};
 	return RecordsReply{std::move(*records)};
@@ -269,9 +271,9 @@
 
 void LogFollower::WriteSnapshot()
 {
-	if (this->writing || !this->ready)
+	if (this->snapshot_write_pending || !this->ready)
 		return;
-	this->writing = true;
+	this->snapshot_write_pending = true;
 	auto pieces = std::make_shared<std::vector<std::string>>(CutSnapshot(this->state.next_offset, EncodeState(this->state)));
 	this->AppendPieces(pieces, 0, this->state.next_offset);
 }
@@ -280,7 +282,7 @@
 {
 	if (inIndex == inPieces->size())
 	{
-		this->writing = false;
+		this->snapshot_write_pending = false;
 		this->snapshot_offset = inOffset;
 		this->snapshot_time = NowMillis();
 		this->metrics.Count(ECounter::Snapshots, "written");
@@ -290,10 +292,11 @@
 	this->platform.Append(cSnapshotStream, (*inPieces)[inIndex],
 						  [this, inPieces, inIndex, inOffset](std::optional<LogOffset> inDone)
 						  {
-							  // A lost answer repeats the piece; the assembler takes it once
+							  // After a failed append, or a lost answer, the snapshot is written again later; readers take a piece that
+							  // is stored twice only once
 							  if (inDone.has_value())
 								  return this->AppendPieces(inPieces, inIndex + 1, inOffset);
-							  this->writing = false;
+							  this->snapshot_write_pending = false;
 							  this->metrics.Count(ECounter::Snapshots, "failed");
 						  });
 }
--- a/Loomreach/Entry/PeerLink.cpp
+++ b/Loomreach/Entry/PeerLink.cpp
@@ -1,4 +1,4 @@
-// GSocket for datagrams, GSocketService and GSocketClient for questions.
+// Sockets of GLib, and the framing of requests and replies on TCP: a length of 4 bytes, big endian, then the sealed message.
 
 #include <Loomreach/Loomreach.h>
 
@@ -13,11 +13,13 @@
 {
 
 constexpr size_t cLengthBytes = 4;
-constexpr size_t cCodeAndHeaderBytes = 64;
+/// Bytes that a sealed frame may have beyond its content: the authentication code and the header.
+constexpr size_t cFrameOverheadBytes = 64;
 constexpr guint cConnectionTimeoutS = 10;
-constexpr int cDatagramsAtOnce = 64;
+/// Datagrams read in one call of the main loop.
+constexpr int cMaxDatagramsPerWakeup = 64;
 
-/// A frame on its way in: its length, then as many bytes. Calls back once, with nothing on any error.
+/// Reads one frame: its length, then as many bytes. Calls back once, with nothing on any error.
 struct FrameReader
 {
 	ObjectPtr<GInputStream> stream;
@@ -39,14 +41,14 @@
 		std::unique_ptr<FrameReader> reader(static_cast<FrameReader *>(inReader));
 		gsize got = 0;
 		const bool good = g_input_stream_read_all_finish(G_INPUT_STREAM(inStream), inResult, &got, nullptr) != FALSE && got == cLengthBytes;
-		size_t wanted = 0;
+		size_t expected = 0;
 		for (uint8 byte : reader->length)
-			wanted = wanted << 8 | byte;
-		if (!good || wanted == 0 || wanted > reader->max_bytes)
+			expected = expected << 8 | byte;
+		if (!good || expected == 0 || expected > reader->max_bytes)
 			return reader->done(std::nullopt);
-		reader->bytes.resize(wanted);
+		reader->bytes.resize(expected);
 		FrameReader *raw = reader.release();
-		g_input_stream_read_all_async(raw->stream.get(), raw->bytes.data(), wanted, G_PRIORITY_DEFAULT, raw->cancellable.get(), &OnBytes,
+		g_input_stream_read_all_async(raw->stream.get(), raw->bytes.data(), expected, G_PRIORITY_DEFAULT, raw->cancellable.get(), &OnBytes,
 									  raw);
 	}
 
@@ -60,7 +62,7 @@
 	}
 };
 
-/// A frame on its way out. Calls back once with whether all of it was written.
+/// Writes one frame. Calls back once with whether all of it was written.
 struct FrameWriter
 {
 	ObjectPtr<GOutputStream> stream;
@@ -94,8 +96,8 @@
 
 } // namespace
 
-/// A question under way to a peer.
-struct PeerLink::Question : std::enable_shared_from_this<PeerLink::Question>
+/// A request to a peer, from its connection to its reply.
+struct PeerLink::OutgoingRequest : std::enable_shared_from_this<PeerLink::OutgoingRequest>
 {
 	PeerLink *link = nullptr;
 	std::shared_ptr<bool> alive;
@@ -112,24 +114,24 @@
 		if (this->timeout != 0)
 			g_source_remove(this->timeout);
 		this->timeout = 0;
-		ReplyCallback call = std::move(this->done);
+		ReplyCallback callback = std::move(this->done);
 		this->done = nullptr;
-		if (call && *this->alive)
-			call(std::move(inReply));
+		if (callback && *this->alive)
+			callback(std::move(inReply));
 	}
 
-	static gboolean OnTimeout(gpointer inQuestion)
+	static gboolean OnTimeout(gpointer inRequest)
 	{
-		Question *question = static_cast<Question *>(inQuestion);
-		question->timeout = 0;
-		g_cancellable_cancel(question->cancellable.get());
+		OutgoingRequest *request = static_cast<OutgoingRequest *>(inRequest);
+		request->timeout = 0;
+		g_cancellable_cancel(request->cancellable.get());
 		return G_SOURCE_REMOVE;
 	}
 
 	static void OnConnected(GObject *inClient, GAsyncResult *inResult, gpointer inHolder)
 	{
-		const std::unique_ptr<std::shared_ptr<Question>> holder(static_cast<std::shared_ptr<Question> *>(inHolder));
-		const std::shared_ptr<Question> self = *holder;
+		const std::unique_ptr<std::shared_ptr<OutgoingRequest>> holder(static_cast<std::shared_ptr<OutgoingRequest> *>(inHolder));
+		const std::shared_ptr<OutgoingRequest> self = *holder;
 		self->connection.reset(g_socket_client_connect_finish(G_SOCKET_CLIENT(inClient), inResult, nullptr));
 		if (self->connection == nullptr)
 			return self->Finish(std::nullopt);
@@ -146,7 +148,7 @@
 		auto reader = std::make_unique<FrameReader>();
 		reader->stream = Share(g_io_stream_get_input_stream(G_IO_STREAM(this->connection.get())));
 		reader->cancellable = Share(this->cancellable.get());
-		reader->max_bytes = cMaxReplyBytes + cCodeAndHeaderBytes;
+		reader->max_bytes = cMaxReplyBytes + cFrameOverheadBytes;
 		reader->done = [self = this->shared_from_this()](std::optional<std::string> inBytes) { self->TakeReply(std::move(inBytes)); };
 		FrameReader::Start(std::move(reader));
 	}
@@ -158,7 +160,7 @@
 		this->link->metrics.Count(ECounter::PeerBytes, "tcp-in", inBytes->size());
 		std::optional<ReplyFrame> frame = this->link->codec.OpenReply(*inBytes);
 		if (frame.has_value() && frame->nonce != this->nonce)
-			frame = Fail(EError::Replayed, "a reply to another question");
+			frame = Fail(EError::Replayed, "a reply to another request");
 		if (!frame.has_value())
 		{
 			this->link->Reject();
@@ -168,8 +170,8 @@
 	}
 };
 
-/// A peer's question that is being answered.
-struct PeerLink::Answering : std::enable_shared_from_this<PeerLink::Answering>
+/// A connection of a peer, from its request to the reply.
+struct PeerLink::IncomingRequest : std::enable_shared_from_this<PeerLink::IncomingRequest>
 {
 	PeerLink *link = nullptr;
 	std::shared_ptr<bool> alive;
@@ -179,7 +181,7 @@
 	{
 		auto reader = std::make_unique<FrameReader>();
 		reader->stream = Share(g_io_stream_get_input_stream(G_IO_STREAM(this->connection.get())));
-		reader->max_bytes = cMaxAskBytes + cCodeAndHeaderBytes;
+		reader->max_bytes = cMaxAskBytes + cFrameOverheadBytes;
 		reader->done = [self = this->shared_from_this()](const std::optional<std::string> &inBytes) { self->Answer(inBytes); };
 		FrameReader::Start(std::move(reader));
 	}
@@ -194,7 +196,7 @@
 			return this->link->Reject();
 		auto writer = std::make_unique<FrameWriter>();
 		writer->stream = Share(g_io_stream_get_output_stream(G_IO_STREAM(this->connection.get())));
-		writer->bytes = this->link->codec.SealReply({frame->nonce, this->link->on_ask(frame->ask)});
+		writer->bytes = this->link->codec.SealReply({frame->nonce, this->link->on_request(frame->ask)});
 		writer->done = [self = this->shared_from_this()](bool)
 		{ g_io_stream_close(G_IO_STREAM(self->connection.get()), nullptr, nullptr); };
 		this->link->metrics.Count(ECounter::PeerBytes, "tcp-out", writer->bytes.size());
@@ -226,16 +228,17 @@
 bool PeerLink::Open()
 {
 	ErrorPtr error;
-	const ObjectPtr<GSocketAddress> where = SocketAddress(this->address);
-	this->udp.reset(g_socket_new(g_socket_address_get_family(where.get()), G_SOCKET_TYPE_DATAGRAM, G_SOCKET_PROTOCOL_UDP, error.Out()));
-	if (this->udp == nullptr || g_socket_bind(this->udp.get(), where.get(), FALSE, error.Out()) == FALSE)
+	const ObjectPtr<GSocketAddress> socket_address = SocketAddress(this->address);
+	this->udp.reset(
+		g_socket_new(g_socket_address_get_family(socket_address.get()), G_SOCKET_TYPE_DATAGRAM, G_SOCKET_PROTOCOL_UDP, error.Out()));
+	if (this->udp == nullptr || g_socket_bind(this->udp.get(), socket_address.get(), FALSE, error.Out()) == FALSE)
 		return FailFalse(EError::BadConfig, "peers: " + this->address.Text() + ": " + error.Text());
 	g_socket_set_blocking(this->udp.get(), FALSE);
 	this->udp_source = g_socket_create_source(this->udp.get(), G_IO_IN, nullptr);
 	g_source_set_callback(this->udp_source, G_SOURCE_FUNC(&PeerLink::OnDatagram), this, nullptr);
 	g_source_attach(this->udp_source, nullptr);
 	this->tcp.reset(g_socket_service_new());
-	const bool listens = g_socket_listener_add_address(G_SOCKET_LISTENER(this->tcp.get()), where.get(), G_SOCKET_TYPE_STREAM,
+	const bool listens = g_socket_listener_add_address(G_SOCKET_LISTENER(this->tcp.get()), socket_address.get(), G_SOCKET_TYPE_STREAM,
 													   G_SOCKET_PROTOCOL_TCP, nullptr, nullptr, error.Out()) != FALSE;
 	if (!listens)
 		return FailFalse(EError::BadConfig, "peers: " + this->address.Text() + ": " + error.Text());
@@ -255,21 +258,21 @@
 gboolean PeerLink::OnDatagram(GSocket *inSocket, GIOCondition, gpointer inSelf)
 {
 	PeerLink *self = static_cast<PeerLink *>(inSelf);
-	// One byte more than allowed, so that an oversized datagram is seen as such
+	// One byte more than allowed, so that a datagram that is too large is recognized
 	std::array<char, cMaxDatagramBytes + 1> buffer{};
-	for (int i = 0; i < cDatagramsAtOnce; ++i)
+	for (int i = 0; i < cMaxDatagramsPerWakeup; ++i)
 	{
 		const gssize got = g_socket_receive(inSocket, buffer.data(), buffer.size(), nullptr, nullptr);
 		if (got < 0)
 			break;
 		self->metrics.Count(ECounter::PeerBytes, "udp-in", static_cast<uint64>(got));
-		std::optional<Digest> digest;
+		std::optional<Digest> heartbeat;
 		if (static_cast<size_t>(got) > cMaxDatagramBytes)
-			digest = Fail(EError::TooLarge, "datagram");
+			heartbeat = Fail(EError::TooLarge, "datagram");
 		else
-			digest = self->codec.OpenDigest(std::string_view(buffer.data(), static_cast<size_t>(got)));
-		if (digest.has_value())
-			self->on_digest(std::move(*digest));
+			heartbeat = self->codec.OpenDigest(std::string_view(buffer.data(), static_cast<size_t>(got)));
+		if (heartbeat.has_value())
+			self->on_heartbeat(std::move(*heartbeat));
 		else
 			self->Reject();
 	}
@@ -280,43 +283,43 @@
 {
 	PeerLink *self = static_cast<PeerLink *>(inSelf);
 	g_socket_set_timeout(g_socket_connection_get_socket(inConnection), cConnectionTimeoutS);
-	auto answering = std::make_shared<Answering>();
-	answering->link = self;
-	answering->alive = self->alive;
-	answering->connection = Share(inConnection);
-	answering->Start();
+	auto request = std::make_shared<IncomingRequest>();
+	request->link = self;
+	request->alive = self->alive;
+	request->connection = Share(inConnection);
+	request->Start();
 	return TRUE;
 }
 
-void PeerLink::Send(const Address &inTo, const Digest &inDigest)
+void PeerLink::SendHeartbeat(const Address &inTo, const Digest &inHeartbeat)
 {
-	const std::string sealed = this->codec.SealDigest(inDigest);
+	const std::string sealed = this->codec.SealDigest(inHeartbeat);
 	if (sealed.size() > cMaxDatagramBytes)
 	{
-		FailFalse(EError::TooLarge, "own digest of " + std::to_string(sealed.size()) + " bytes");
+		FailFalse(EError::TooLarge, "own heartbeat of " + std::to_string(sealed.size()) + " bytes");
 		return this->Reject();
 	}
-	const ObjectPtr<GSocketAddress> where = SocketAddress(inTo);
-	const gssize sent = g_socket_send_to(this->udp.get(), where.get(), sealed.data(), sealed.size(), nullptr, nullptr);
+	const ObjectPtr<GSocketAddress> socket_address = SocketAddress(inTo);
+	const gssize sent = g_socket_send_to(this->udp.get(), socket_address.get(), sealed.data(), sealed.size(), nullptr, nullptr);
 	if (sent > 0)
 		this->metrics.Count(ECounter::PeerBytes, "udp-out", static_cast<uint64>(sent));
 }
 
-void PeerLink::Ask(const Address &inTo, PeerAsk inAsk, Millis inTimeout, ReplyCallback inDone)
+void PeerLink::SendRequest(const Address &inTo, PeerAsk inRequest, Millis inTimeout, ReplyCallback inDone)
 {
-	auto question = std::make_shared<Question>();
-	question->link = this;
-	question->alive = this->alive;
-	question->nonce = ++this->nonce;
-	question->sealed = this->codec.SealAsk({question->nonce, std::move(inAsk)});
-	question->done = std::move(inDone);
-	question->client.reset(g_socket_client_new());
-	question->cancellable.reset(g_cancellable_new());
-	question->timeout = g_timeout_add(static_cast<guint>(inTimeout), &Question::OnTimeout, question.get());
-	this->metrics.Count(ECounter::PeerBytes, "tcp-out", question->sealed.size());
-	const ObjectPtr<GSocketAddress> where = SocketAddress(inTo);
-	g_socket_client_connect_async(question->client.get(), G_SOCKET_CONNECTABLE(where.get()), question->cancellable.get(),
-								  &Question::OnConnected, new std::shared_ptr<Question>(question));
+	auto request = std::make_shared<OutgoingRequest>();
+	request->link = this;
+	request->alive = this->alive;
+	request->nonce = ++this->nonce;
+	request->sealed = this->codec.SealAsk({request->nonce, std::move(inRequest)});
+	request->done = std::move(inDone);
+	request->client.reset(g_socket_client_new());
+	request->cancellable.reset(g_cancellable_new());
+	request->timeout = g_timeout_add(static_cast<guint>(inTimeout), &OutgoingRequest::OnTimeout, request.get());
+	this->metrics.Count(ECounter::PeerBytes, "tcp-out", request->sealed.size());
+	const ObjectPtr<GSocketAddress> socket_address = SocketAddress(inTo);
+	g_socket_client_connect_async(request->client.get(), G_SOCKET_CONNECTABLE(socket_address.get()), request->cancellable.get(),
+								  &OutgoingRequest::OnConnected, new std::shared_ptr<OutgoingRequest>(request));
 }
 
 } // namespace Loomreach
--- a/Loomreach/Entry/PeerLink.h
+++ b/Loomreach/Entry/PeerLink.h
@@ -1,4 +1,6 @@
-// Sockets between entry hosts: UDP datagrams with digests, TCP connections with one question and one reply each.
+// Network connections between entry hosts: heartbeats as UDP datagrams, and requests by TCP with one request and one reply per connection.
+//
+// Rule: a message that is forged, replayed, truncated, too large or of an unknown version changes nothing. It is counted by reason.
 
 #pragma once
 
@@ -9,7 +11,7 @@
 namespace Loomreach
 {
 
-/// The link. Whatever is forged, cut short, oversized or of an unknown version changes nothing and is counted by reason.
+/// Sends and receives the messages between entry hosts.
 class PeerLink
 {
 public:
@@ -20,21 +22,24 @@
 	PeerLink(const PeerLink &) = delete;
 	PeerLink &operator=(const PeerLink &) = delete;
 
-	/// Binds both sockets; false, with bad-config, when the address can't be had.
+	/// Binds both sockets. False, with bad-config, when the address is not available.
 	bool Open();
-	/// Sends a digest; a datagram that can't be sent is lost, as any may be.
-	void Send(const Address &inTo, const Digest &inDigest);
-	/// Asks a peer; `inDone` is called once, with nothing when no reply came in time.
-	void Ask(const Address &inTo, PeerAsk inAsk, Millis inTimeout, ReplyCallback inDone);
+	/// Sends a heartbeat. A failure to send is ignored, since any datagram may be lost.
+	void SendHeartbeat(const Address &inTo, const Digest &inHeartbeat);
+	/// Sends a request; `inDone` is called once, with nothing when no valid reply came in time.
+	void SendRequest(const Address &inTo, PeerAsk inRequest, Millis inTimeout, ReplyCallback inDone);
 
-	std::function<void(Digest)> on_digest;
-	std::function<PeerReply(const PeerAsk &)> on_ask;
+	/// Receives the heartbeats of peers. Must be set before Open().
+	std::function<void(Digest)> on_heartbeat;
+	/// Answers the requests of peers. Must be set before Open().
+	std::function<PeerReply(const PeerAsk &)> on_request;
 
 private:
-	struct Question;
-	struct Answering;
+	struct OutgoingRequest;
+	struct IncomingRequest;
 	static gboolean OnDatagram(GSocket *inSocket, GIOCondition inCondition, gpointer inSelf);
 	static gboolean OnIncoming(GSocketService *inService, GSocketConnection *inConnection, GObject *inSource, gpointer inSelf);
+	/// Counts and logs a message that was not accepted, with the last reason of this thread.
 	void Reject();
 
 	Address address;
@@ -43,8 +48,8 @@
 	ObjectPtr<GSocket> udp;
 	GSource *udp_source = nullptr;
 	ObjectPtr<GSocketService> tcp;
-	std::shared_ptr<bool> alive;
-	uint64 nonce = 0;
+	std::shared_ptr<bool> alive; ///< False once the link is destroyed; calls in progress check it.
+	uint64 nonce = 0;            ///< Of the last request sent.
 };
 
 } // namespace Loomreach
--- a/Loomreach/Entry/Proposer.cpp
+++ b/Loomreach/Entry/Proposer.cpp
@@ -1,4 +1,4 @@
-// Wires the append queue to the platform and to the follower.
+// Sends batches of the append queue to the platform and matches outcomes with proposals.
 
 #include <Loomreach/Loomreach.h>
 
@@ -14,14 +14,14 @@
 {
 }
 
-void Proposer::Answer(Ticket inTicket, const Verdict &inVerdict)
+void Proposer::Complete(Ticket inTicket, const Verdict &inOutcome)
 {
 	auto found = this->callbacks.find(inTicket);
 	if (found == this->callbacks.end())
 		return;
-	const Callback call = std::move(found->second);
+	const Callback callback = std::move(found->second);
 	this->callbacks.erase(found);
-	call(inVerdict);
+	callback(inOutcome);
 }
 
 void Proposer::Propose(ProposalBody inBody, Callback inDone)
@@ -37,16 +37,16 @@
 	}
 	if (inDone)
 		this->callbacks.emplace(*ticket, std::move(inDone));
-	this->Pump();
+	this->SendBatch();
 }
 
-void Proposer::Pump()
+void Proposer::SendBatch()
 {
 	const Millis now = NowMillis();
 	for (const DroppedTicket &dropped : this->queue.DropStale(now))
 	{
 		this->metrics.Count(ECounter::Rejections, AnswerOf(EError::PlatformDown).name);
-		this->Answer(dropped.ticket, {{}, dropped.kind, 0, EError::PlatformDown, "it waited too long for the log and was not sent"});
+		this->Complete(dropped.ticket, {{}, dropped.kind, 0, EError::PlatformDown, "it waited too long for the log and was not sent"});
 	}
 	std::optional<std::string> batch = this->queue.Take(now);
 	if (!batch.has_value())
@@ -60,39 +60,41 @@
 							  else
 								  this->queue.OnFailed(NowMillis());
 							  this->follower.Poll();
-							  this->Pump();
+							  this->SendBatch();
 						  });
 }
 
 void Proposer::OnAdopted(const FleetState &inState)
 {
-	auto mark = inState.proposers.find(this->incarnation);
-	if (mark == inState.proposers.end())
+	auto progress = inState.proposers.find(this->incarnation);
+	if (progress == inState.proposers.end())
 		return;
-	for (const DroppedTicket &unread : this->queue.OnAdopted(mark->second.sequence))
-		this->Answer(unread.ticket, {{}, unread.kind, 0, EError::VerdictLost, "the state was taken over from a snapshot"});
+	for (const DroppedTicket &unresolved : this->queue.OnAdopted(progress->second.sequence))
+		this->Complete(
+			unresolved.ticket,
+			{{}, unresolved.kind, 0, EError::VerdictLost, "the state was taken over from a snapshot before the outcome was read"});
 }
 
-void Proposer::OnVerdicts(const std::vector<Verdict> &inVerdicts)
+void Proposer::OnOutcomes(const std::vector<Verdict> &inOutcomes)
 {
-	for (const Verdict &verdict : inVerdicts)
+	for (const Verdict &outcome : inOutcomes)
 	{
-		if (verdict.id.incarnation != this->incarnation || verdict.kind == EProposal::Count)
+		if (outcome.id.incarnation != this->incarnation || outcome.kind == EProposal::Count)
 			continue;
-		const std::optional<Ticket> ticket = this->queue.OnSeen(verdict.id.sequence);
-		// A repeat of an append whose answer was lost: the first one counted
+		const std::optional<Ticket> ticket = this->queue.OnSeen(outcome.id.sequence);
+		// Already seen: the batch was appended again because the answer to its first append was lost
 		if (!ticket.has_value())
 			continue;
-		if (verdict.Accepted())
-			this->metrics.Count(ECounter::Proposals, NameOfProposal(verdict.kind));
+		if (outcome.Accepted())
+			this->metrics.Count(ECounter::Proposals, NameOfProposal(outcome.kind));
 		else
-			this->metrics.Count(ECounter::Rejections, AnswerOf(verdict.error).name);
-		LogEvent(ELogLevel::Info, verdict.Accepted() ? "proposal_accepted" : "proposal_rejected")
-			.Field("kind", NameOfProposal(verdict.kind))
-			.Field("position", verdict.position)
-			.Field("reason", AnswerOf(verdict.error).name)
-			.Field("detail", verdict.detail);
-		this->Answer(*ticket, verdict);
+			this->metrics.Count(ECounter::Rejections, AnswerOf(outcome.error).name);
+		LogEvent(ELogLevel::Info, outcome.Accepted() ? "proposal_accepted" : "proposal_rejected")
+			.Field("kind", NameOfProposal(outcome.kind))
+			.Field("position", outcome.position)
+			.Field("reason", AnswerOf(outcome.error).name)
+			.Field("detail", outcome.detail);
+		this->Complete(*ticket, outcome);
 	}
 }
 
--- a/Loomreach/Entry/Proposer.h
+++ b/Loomreach/Entry/Proposer.h
@@ -1,4 +1,4 @@
-// Takes proposals to the log and brings their verdicts back to whoever proposed them.
+// Appends the proposals of this process to the log, and reports the outcome of each to whoever proposed it.
 
 #pragma once
 
@@ -9,31 +9,33 @@
 namespace Loomreach
 {
 
-/// The proposer of one process.
+/// Connects the queue of proposals to the platform and to the follower of the log.
 class Proposer
 {
 public:
-	/// Called once with the verdict, or with not-accepted when the proposal certainly was not sent.
+	/// Called once with the outcome. The error is not-accepted or platform-down when the proposal was not sent, and verdict-lost when it
+	/// stands in the log but its outcome was not read.
 	using Callback = std::function<void(const Verdict &)>;
 
 	Proposer(PlatformClient &ioPlatform, LogFollower &ioFollower, Metrics &ioMetrics, uint64 inIncarnation);
 
-	/// Proposes. Without a callback the verdict is only counted.
+	/// Queues a proposal. Without a callback its outcome is only counted and logged.
 	void Propose(ProposalBody inBody, Callback inDone = nullptr);
-	/// Sends what may be sent now; called on a timer and after each change.
-	void Pump();
-	/// Takes note of verdicts read from the log.
-	void OnVerdicts(const std::vector<Verdict> &inVerdicts);
-	/// Takes note of a state that was adopted whole: verdicts of what it already holds are not to be read any more.
+	/// Drops proposals that have waited too long, and appends the next batch if the append rate allows it. Called on a timer and after each
+	/// change.
+	void SendBatch();
+	/// Completes the proposals of this process whose outcomes have been read from the log.
+	void OnOutcomes(const std::vector<Verdict> &inOutcomes);
+	/// Completes, with verdict-lost, the proposals that an adopted state already includes: their outcomes will not be read any more.
 	void OnAdopted(const FleetState &inState);
-	/// Sets this process's share of the append budget.
+	/// Sets this process's share of the append rate, appends per second.
 	void SetRate(double inPerSecond) { this->queue.SetRate(inPerSecond); }
-	/// Whether everything proposed has been read back: a good time to plan anew.
+	/// Whether the outcomes of all proposals have been read, so that the state shows what they changed.
 	bool IsIdle() const { return this->queue.Waiting() == 0 && this->queue.Unseen() == 0; }
 	const AppendQueue &Queue() const { return this->queue; }
 
 private:
-	void Answer(Ticket inTicket, const Verdict &inVerdict);
+	void Complete(Ticket inTicket, const Verdict &inOutcome);
 
 	PlatformClient &platform;
 	LogFollower &follower;
