--- a/Loomreach/Entry/ControlLoop.cpp
+++ b/Loomreach/Entry/ControlLoop.cpp
@@ -53,7 +53,7 @@
 								  [this]
 								  {
 									  if (this->follower.IsReady())
-										  this->poller.Round(this->follower.State(), this->Picker(NowMillis()), NowMillis());
+										  this->poller.PollWorkers(this->follower.State(), this->Picker(NowMillis()), NowMillis());
 								  });
 	this->host_list_timer.Every(cHostListIntervalMs, [this] { this->ReadHostList(); });
 }
@@ -272,10 +272,10 @@
 								   ? cReaderPollIntervalMs
 								   : std::min(cFollowerPollIntervalMs, this->config.claim_lease_ms / 3));
 	this->UpdateRoutes();
-	// An endpoint that fails requests, or says that it is leaving, is polled in the next round
+	// A host that fails requests, or says that it is leaving, is polled at the short interval
 	for (const auto &[name, endpoint] : this->dispatcher.Endpoints().All())
 		if (endpoint.ejected_until > now || endpoint.leaving_until > now)
-			this->poller.Suspect(name);
+			this->poller.PollSoon(name);
 	if (!this->stopping)
 		this->PlanMembership(picker, now);
 	this->TakeOverClaims();
--- a/Loomreach/Entry/OperatorServer.cpp
+++ b/Loomreach/Entry/OperatorServer.cpp
@@ -1,4 +1,4 @@
-// Operators' calls: reading the accepted state, and proposing changes to it.
+// Calls of operators: reports on the accepted state, and proposals that change it.
 
 #include <Loomreach/Loomreach.h>
 
@@ -47,11 +47,11 @@
 	if (this->config.operators_token.empty())
 		return true;
 	const char *header = soup_message_headers_get_one(soup_server_message_get_request_headers(inMessage), "Authorization");
-	const std::string_view shown = header == nullptr ? "" : header;
-	if (!shown.starts_with(cBearer))
+	const std::string_view header_value = header == nullptr ? "" : header;
+	if (!header_value.starts_with(cBearer))
 		return false;
-	const std::string_view token = shown.substr(cBearer.size());
-	// The comparison takes the same time wherever the tokens differ
+	const std::string_view token = header_value.substr(cBearer.size());
+	// Compares in constant time, so that the duration does not reveal how much of a token is right
 	size_t difference = token.size() ^ this->config.operators_token.size();
 	for (size_t i = 0; i < token.size(); ++i)
 		difference |= static_cast<size_t>(token[i] ^ this->config.operators_token[i % this->config.operators_token.size()]);
@@ -73,7 +73,7 @@
 	while (!path.empty())
 	{
 		const size_t slash = path.find('/');
-		call.parts.emplace_back(path.substr(0, slash));
+		call.path_segments.emplace_back(path.substr(0, slash));
 		path = slash == std::string_view::npos ? std::string_view() : path.substr(slash + 1);
 	}
 	if (inQuery != nullptr)
@@ -90,9 +90,9 @@
 
 void OperatorServer::Route(const Call &inCall)
 {
-	const std::string what = inCall.parts.empty() ? std::string() : inCall.parts.front();
-	const std::string detail = inCall.parts.size() > 1 ? inCall.parts[1] : std::string();
-	if (what == "metrics")
+	const std::string resource = inCall.path_segments.empty() ? std::string() : inCall.path_segments.front();
+	const std::string subresource = inCall.path_segments.size() > 1 ? inCall.path_segments[1] : std::string();
+	if (resource == "metrics")
 	{
 		this->metrics.Gauge("loomreach_open_requests", static_cast<double>(this->relay.OpenRequests()));
 		this->metrics.Gauge("loomreach_waiting_requests", static_cast<double>(this->dispatcher.Waiting()));
@@ -107,49 +107,49 @@
 		soup_server_message_set_response(inCall.message, "text/plain; version=0.0.4", SOUP_MEMORY_COPY, text.data(), text.size());
 		return soup_server_message_set_status(inCall.message, SOUP_STATUS_OK, nullptr);
 	}
-	if (what == "status")
+	if (resource == "status")
 		return this->Status(inCall);
 	if (!this->follower.IsReady())
 		return this->ReplyError(inCall.message, EError::NotReady, "no state yet");
 	if (inCall.method == "POST")
 		return this->RoutePost(inCall);
-	if (what == "settings")
-		return detail == "explain" ? this->Explain(inCall) : this->Settings(inCall);
-	if (what == "pools")
+	if (resource == "settings")
+		return subresource == "explain" ? this->ExplainSettings(inCall) : this->Settings(inCall);
+	if (resource == "pools")
 		return this->Pools(inCall);
-	if (what == "jobs")
-		return detail == "why" ? this->WhyJob(inCall) : this->Jobs(inCall);
-	if (what == "hosts")
+	if (resource == "jobs")
+		return subresource == "why" ? this->ExplainJob(inCall) : this->Jobs(inCall);
+	if (resource == "hosts")
 		return this->Hosts(inCall);
-	if (what == "waves")
+	if (resource == "waves")
 		return this->Waves(inCall);
-	if (what == "in-force")
-		return this->InForce(inCall);
-	this->ReplyError(inCall.message, EError::NotFound, what);
+	if (resource == "in-force")
+		return this->ReportProgress(inCall);
+	this->ReplyError(inCall.message, EError::NotFound, resource);
 }
 
 void OperatorServer::RoutePost(const Call &inCall)
 {
-	const std::string &what = inCall.parts.front();
-	if (what == "settings")
-		return this->Apply(inCall);
-	if (what == "waves" && inCall.parts.size() == 1)
-		return this->StartWaveCall(inCall);
-	if (what == "waves" && inCall.parts.size() == 3)
+	const std::string &resource = inCall.path_segments.front();
+	if (resource == "settings")
+		return this->ApplyNewSettings(inCall);
+	if (resource == "waves" && inCall.path_segments.size() == 1)
+		return this->HandleStartWave(inCall);
+	if (resource == "waves" && inCall.path_segments.size() == 3)
 	{
 		for (const EWaveAction action : {EWaveAction::Pause, EWaveAction::Resume, EWaveAction::Cancel})
-			if (NameOfWaveAction(action) == inCall.parts[2])
-				return this->Propose(inCall, ChangeWave{inCall.parts[1], action});
-		return this->ReplyError(inCall.message, EError::NotFound, inCall.parts[2]);
+			if (NameOfWaveAction(action) == inCall.path_segments[2])
+				return this->Propose(inCall, ChangeWave{inCall.path_segments[1], action});
+		return this->ReplyError(inCall.message, EError::NotFound, inCall.path_segments[2]);
 	}
-	if (what == "hosts" && inCall.parts.size() == 3)
+	if (resource == "hosts" && inCall.path_segments.size() == 3)
 	{
-		auto host = this->follower.State().hosts.find(inCall.parts[1]);
+		auto host = this->follower.State().hosts.find(inCall.path_segments[1]);
 		if (host == this->follower.State().hosts.end())
-			return this->ReplyError(inCall.message, EError::UnknownHost, inCall.parts[1]);
-		return this->StepHostCall(inCall, host->second);
+			return this->ReplyError(inCall.message, EError::UnknownHost, inCall.path_segments[1]);
+		return this->HandleHostStep(inCall, host->second);
 	}
-	this->ReplyError(inCall.message, EError::NotFound, what);
+	this->ReplyError(inCall.message, EError::NotFound, resource);
 }
 
 void OperatorServer::Reply(SoupServerMessage *inMessage, const Json &inBody) const
@@ -196,7 +196,7 @@
 	this->Reply(inCall.message, {{"version", state.settings_version}, {"toml", state.settings.ToToml()}});
 }
 
-void OperatorServer::Explain(const Call &inCall)
+void OperatorServer::ExplainSettings(const Call &inCall)
 {
 	const FleetState &state = this->follower.State();
 	const std::string path = inCall.Get("path");
@@ -215,7 +215,7 @@
 	this->Reply(inCall.message, {{"path", path}, {"settings", std::move(rows)}});
 }
 
-void OperatorServer::Apply(const Call &inCall)
+void OperatorServer::ApplyNewSettings(const Call &inCall)
 {
 	const FleetState &state = this->follower.State();
 	SoupMessageBody *body = soup_server_message_get_request_body(inCall.message);
@@ -251,16 +251,19 @@
 
 void OperatorServer::Jobs(const Call &inCall) { this->Reply(inCall.message, ReportJobs(this->follower.State())); }
 
-void OperatorServer::WhyJob(const Call &inCall) { this->Reply(inCall.message, ReportWhy(this->follower.State(), inCall.Get("path"))); }
+void OperatorServer::ExplainJob(const Call &inCall)
+{
+	this->Reply(inCall.message, ExplainPlacements(this->follower.State(), inCall.Get("path")));
+}
 
 void OperatorServer::Hosts(const Call &inCall)
 {
 	const FleetState &state = this->follower.State();
-	if (inCall.parts.size() < 2)
+	if (inCall.path_segments.size() < 2)
 		return this->Reply(inCall.message, ReportHosts(state));
-	auto host = state.hosts.find(inCall.parts[1]);
+	auto host = state.hosts.find(inCall.path_segments[1]);
 	if (host == state.hosts.end())
-		return this->ReplyError(inCall.message, EError::UnknownHost, inCall.parts[1]);
+		return this->ReplyError(inCall.message, EError::UnknownHost, inCall.path_segments[1]);
 	this->Reply(inCall.message, ReportHost(state, host->second));
 }
 
@@ -269,7 +272,7 @@
 	this->Reply(inCall.message, ReportWaves(this->follower.State(), this->control.WaveBlockers()));
 }
 
-void OperatorServer::InForce(const Call &inCall)
+void OperatorServer::ReportProgress(const Call &inCall)
 {
 	LogPosition position = 0;
 	const std::string text = inCall.Get("position");
@@ -291,19 +294,19 @@
 	this->Reply(inCall.message, {{"reached", reached}, {"behind", std::move(behind)}});
 }
 
-void OperatorServer::StepHostCall(const Call &inCall, const Host &inHost)
+void OperatorServer::HandleHostStep(const Call &inCall, const Host &inHost)
 {
-	const std::string &what = inCall.parts[2];
-	if (what == "move")
+	const std::string &action = inCall.path_segments[2];
+	if (action == "move")
 		return this->Propose(inCall, MoveHost{inHost.spec.name, inHost.pool, inCall.Get("to"), inHost.generation});
 	for (const EHostStep step : {EHostStep::Drain, EHostStep::Undrain, EHostStep::Unquarantine, EHostStep::Remove})
-		if (NameOfStep(step) == what)
+		if (NameOfStep(step) == action)
 			return this->Propose(
 				inCall, StepHost{inHost.spec.name, step, inHost.generation, step == EHostStep::Drain ? "" : inHost.wave, "operator", 0});
-	this->ReplyError(inCall.message, EError::NotFound, what);
+	this->ReplyError(inCall.message, EError::NotFound, action);
 }
 
-void OperatorServer::StartWaveCall(const Call &inCall)
+void OperatorServer::HandleStartWave(const Call &inCall)
 {
 	this->Propose(inCall, StartWave{inCall.Get("name"), inCall.Get("pool"), inCall.Get("availability_zone"), inCall.Get("rack")});
 }
@@ -317,20 +320,20 @@
 	const LogPosition version_before = this->follower.State().settings_version;
 	const SettingsTree settings_before = this->follower.State().settings;
 	this->proposer.Propose(std::move(inBody),
-						   [this, message, version_before, settings_before](const Verdict &inVerdict)
+						   [this, message, version_before, settings_before](const Verdict &inOutcome)
 						   {
-							   if (inVerdict.Accepted())
+							   if (inOutcome.Accepted())
 							   {
 								   this->Reply(
 									   message.get(),
-									   {{"accepted", true}, {"position", inVerdict.position}, {"kind", NameOfProposal(inVerdict.kind)}});
+									   {{"accepted", true}, {"position", inOutcome.position}, {"kind", NameOfProposal(inOutcome.kind)}});
 							   }
 							   else
 							   {
-								   const ErrorAnswer &row = AnswerOf(inVerdict.error);
-								   Json body = {{"error", row.name}, {"meaning", row.meaning}, {"detail", inVerdict.detail}};
+								   const ErrorAnswer &row = AnswerOf(inOutcome.error);
+								   Json body = {{"error", row.name}, {"meaning", row.meaning}, {"detail", inOutcome.detail}};
 								   const FleetState &state = this->follower.State();
-								   if (inVerdict.error == EError::Conflict && state.settings_version != version_before)
+								   if (inOutcome.error == EError::Conflict && state.settings_version != version_before)
 								   {
 									   body["version"] = state.settings_version;
 									   for (const SettingChange &change : state.settings.DiffFrom(settings_before))
--- a/Loomreach/Entry/StateReport.cpp
+++ b/Loomreach/Entry/StateReport.cpp
@@ -1,4 +1,4 @@
-// Reports for operators.
+// Builds the reports for operators.
 
 #include <Loomreach/Loomreach.h>
 
@@ -29,7 +29,7 @@
 			{"state_hash", inState.Hash()}};
 }
 
-Json ReportPools(const FleetState &inState, const std::map<std::string, std::string> &inHeldBy)
+Json ReportPools(const FleetState &inState, const std::map<std::string, std::string> &inWaveBlockers)
 {
 	Json rows = Json::array();
 	for (const auto &[path, pool] : inState.pools)
@@ -37,9 +37,9 @@
 		auto counts = inState.pool_counts.find(path);
 		const PoolCounts hosts = counts == inState.pool_counts.end() ? PoolCounts() : counts->second;
 		const Buffer buffer = ReckonBuffer(inState, pool, {});
-		const std::string promise =
+		const std::string buffer_purpose =
 			pool.buffer_percent >= 0 ? "the share that the settings state" : "the loss of its largest rack during a wave";
-		auto held = inHeldBy.find(path);
+		auto blocker = inWaveBlockers.find(path);
 		rows.push_back({{"path", path},
 						{"hosts", hosts.hosts},
 						{"available", hosts.available},
@@ -49,8 +49,8 @@
 						{"batch_cpu_milli", buffer.soft},
 						{"spare_cpu_milli", buffer.Spare()},
 						{"buffer_cpu_milli", buffer.wanted},
-						{"buffer_is_for", promise},
-						{"held_by", held == inHeldBy.end() ? "" : held->second}});
+						{"buffer_is_for", buffer_purpose},
+						{"held_by", blocker == inWaveBlockers.end() ? "" : blocker->second}});
 	}
 	return rows;
 }
@@ -78,12 +78,12 @@
 	return rows;
 }
 
-Json ReportWhy(const FleetState &inState, const std::string &inJob)
+Json ExplainPlacements(const FleetState &inState, const std::string &inJob)
 {
 	auto job = inState.jobs.find(inJob);
 	if (job == inState.jobs.end())
 		return {{"path", inJob}, {"why", "The settings declare no such job."}};
-	// What a steward would decide now tells why a replica is not placed
+	// Plans the pool as its assigned planner would do now; the plan says why replicas are not placed
 	const PlacementPlan plan = PlacementPlanner(inState, job->second.pool).Plan();
 	Json sentences = Json::array();
 	for (const Unplaced &entry : plan.unplaced)
@@ -97,7 +97,7 @@
 	return {{"path", inJob}, {"why", summary}, {"replicas", std::move(sentences)}};
 }
 
-static Json BriefHost(const Host &inHost)
+static Json HostSummary(const Host &inHost)
 {
 	return {{"name", inHost.spec.name},
 			{"pool", inHost.pool},
@@ -115,11 +115,11 @@
 {
 	Json rows = Json::array();
 	for (const auto &[name, host] : inState.hosts)
-		rows.push_back(BriefHost(host));
+		rows.push_back(HostSummary(host));
 	return rows;
 }
 
-/// Why a host cannot leave now, or where its leaving stands.
+/// Whether a host can leave now, why it cannot, or what it still waits for.
 static std::string ExplainLeaving(const FleetState &inState, const Host &inHost)
 {
 	switch (inHost.phase)
@@ -133,7 +133,7 @@
 	case EHostPhase::Active: break;
 	}
 	if (inHost.health == EHostHealth::Failed)
-		return "It does not answer. It may be at work behind a cut, so it is not taken out.";
+		return "It does not answer. It may be cut off behind a network partition and still at work, so it is not taken out.";
 	if (inHost.IsAvailable() && !inState.HasRoomInBudget(inHost.pool))
 		return "It cannot leave: " + inHost.pool + " must keep " + std::to_string(inState.RequiredAvailable(inHost.pool)) +
 			   " hosts available.";
@@ -142,7 +142,7 @@
 
 Json ReportHost(const FleetState &inState, const Host &inHost)
 {
-	Json row = BriefHost(inHost);
+	Json row = HostSummary(inHost);
 	row["address"] = inHost.spec.address.Text();
 	row["generation"] = inHost.generation;
 	row["leaving"] = ExplainLeaving(inState, inHost);
@@ -154,7 +154,7 @@
 	return row;
 }
 
-Json ReportWaves(const FleetState &inState, const std::map<std::string, std::string> &inHeldBy)
+Json ReportWaves(const FleetState &inState, const std::map<std::string, std::string> &inWaveBlockers)
 {
 	Json rows = Json::array();
 	for (const auto &[name, wave] : inState.waves)
@@ -172,10 +172,10 @@
 			if (host->second.health == EHostHealth::Failed || host_state == EWaveHost::Leaving)
 				stuck.push_back({{"host", host_name}, {"why", ExplainLeaving(inState, host->second)}});
 		}
-		Json held = Json::object();
+		Json blockers = Json::object();
 		for (const std::string &pool : pools)
-			if (auto entry = inHeldBy.find(pool); entry != inHeldBy.end())
-				held[pool] = entry->second;
+			if (auto entry = inWaveBlockers.find(pool); entry != inWaveBlockers.end())
+				blockers[pool] = entry->second;
 		rows.push_back({{"name", name},
 						{"state", NameOfWaveState(wave.state)},
 						{"hosts", wave.hosts.size()},
@@ -183,7 +183,7 @@
 						{"leaving", counts[static_cast<size_t>(EWaveHost::Leaving)]},
 						{"done", counts[static_cast<size_t>(EWaveHost::Done)]},
 						{"waiting_on", std::move(stuck)},
-						{"held_by", std::move(held)}});
+						{"held_by", std::move(blockers)}});
 	}
 	return rows;
 }
--- a/Loomreach/Entry/WorkerPoller.cpp
+++ b/Loomreach/Entry/WorkerPoller.cpp
@@ -1,4 +1,4 @@
-// Polling of workers and of the host list.
+// Polls of workers, and reads of the host list.
 
 #include <Loomreach/Loomreach.h>
 
@@ -9,14 +9,15 @@
 namespace Loomreach
 {
 
-static constexpr Millis cListFreshMs = 30'000;
+/// Age up to which the host list counts as fresh.
+static constexpr Millis cHostListMaxAgeMs = 30'000;
 
 WorkerOrder OrderFor(const FleetState &inState, const Host &inHost, Millis inLease)
 {
 	WorkerOrder order;
 	order.state_offset = inState.next_offset;
 	order.lease_ms = inLease;
-	// A host that is draining ends what it has and begins nothing, whoever sends it
+	// A draining host finishes what it has and begins nothing new, whichever entry host sends it
 	order.accepts = inHost.phase == EHostPhase::Active;
 	for (const ReplicaKey &replica : inHost.replicas)
 	{
@@ -29,23 +30,23 @@
 	return order;
 }
 
-void WorkerPoller::Round(const FleetState &inState, const StewardPicker &inPicker, Millis inNow)
+void WorkerPoller::PollWorkers(const FleetState &inState, const StewardPicker &inPicker, Millis inNow)
 {
-	this->seen.list_is_fresh = this->list_read != 0 && inNow - this->list_read < cListFreshMs;
-	std::set<std::string> kept;
+	this->seen.list_is_fresh = this->host_list_read != 0 && inNow - this->host_list_read < cHostListMaxAgeMs;
+	std::set<std::string> assigned;
 	for (const auto &[name, host] : inState.hosts)
 	{
 		if (!inPicker.IsMineIn("host:" + name, host.spec.availability_zone))
 			continue;
-		kept.insert(name);
+		assigned.insert(name);
 		this->PollOne(inState, host, inNow);
 	}
-	std::erase_if(this->seen.hosts, [&kept](const auto &inEntry) { return kept.count(inEntry.first) == 0; });
-	std::erase_if(this->turns, [&kept](const auto &inEntry) { return kept.count(inEntry.first) == 0; });
-	this->suspects.clear();
+	std::erase_if(this->seen.hosts, [&assigned](const auto &inEntry) { return assigned.count(inEntry.first) == 0; });
+	std::erase_if(this->last_polls, [&assigned](const auto &inEntry) { return assigned.count(inEntry.first) == 0; });
+	this->poll_soon.clear();
 }
 
-/// Hash of what an order asks for, whatever state it was made from.
+/// Hash of the content of an order, regardless of the state offset it was made from.
 static uint64 HashOrder(const WorkerOrder &inOrder)
 {
 	uint64 hash = inOrder.accepts ? 1 : 0;
@@ -56,11 +57,11 @@
 
 bool WorkerPoller::IsDue(const Host &inHost, uint64 inOrderHash, Millis inNow)
 {
-	const Turn &turn = this->turns[inHost.spec.name];
-	const bool as_usual = inHost.IsAvailable() && turn.order_hash == inOrderHash && this->suspects.count(inHost.spec.name) == 0;
-	const Millis interval = as_usual ? this->Interval() : this->config.worker_poll_ms;
-	const bool has_new_order = turn.order_hash != 0 && turn.order_hash != inOrderHash;
-	return turn.polled == 0 || has_new_order || inNow - turn.polled >= interval;
+	const LastPoll &last_poll = this->last_polls[inHost.spec.name];
+	const bool is_steady = inHost.IsAvailable() && last_poll.order_hash == inOrderHash && this->poll_soon.count(inHost.spec.name) == 0;
+	const Millis interval = is_steady ? this->Interval() : this->config.worker_poll_ms;
+	const bool has_new_order = last_poll.order_hash != 0 && last_poll.order_hash != inOrderHash;
+	return last_poll.polled == 0 || has_new_order || inNow - last_poll.polled >= interval;
 }
 
 void WorkerPoller::PollOne(const FleetState &inState, const Host &inHost, Millis inNow)
@@ -69,14 +70,14 @@
 	HostObservation &observation = this->seen.hosts[name];
 	if (observation.first_polled == 0)
 		observation.first_polled = inNow;
-	// A host that was handed over and has not gone down yet: ask again, the platform takes it once for each boot
+	// The host is out for its reboot but has not gone down yet. The request is repeated; the platform accepts it once per boot
 	if (inHost.phase == EHostPhase::Out && observation.boot == inHost.out_boot)
 		this->platform.Reboot(name, inHost.out_boot, [](bool) {});
 	const WorkerOrder order = OrderFor(inState, inHost, this->Lease());
 	const uint64 order_hash = HashOrder(order);
-	if (!this->IsDue(inHost, order_hash, inNow) || !this->under_way.insert(name).second)
+	if (!this->IsDue(inHost, order_hash, inNow) || !this->polls_in_progress.insert(name).second)
 		return;
-	this->turns[name] = {inNow, order_hash};
+	this->last_polls[name] = {inNow, order_hash};
 	const bool accepts = order.accepts;
 	this->worker.Send(inHost.spec.address, order, this->config.worker_failed_after_ms,
 					  [this, name, accepts](std::optional<WorkerStatus> inStatus) { this->OnStatus(name, accepts, std::move(inStatus)); });
@@ -84,10 +85,10 @@
 
 void WorkerPoller::OnStatus(const std::string &inHost, bool inAccepts, std::optional<WorkerStatus> inStatus)
 {
-	this->under_way.erase(inHost);
-	// An order that did not arrive is sent again at once
+	this->polls_in_progress.erase(inHost);
+	// The order may not have arrived, so the host is polled again after the short interval
 	if (!inStatus.has_value())
-		this->turns[inHost].order_hash = 0;
+		this->last_polls[inHost].order_hash = 0;
 	auto found = this->seen.hosts.find(inHost);
 	if (found == this->seen.hosts.end() || !inStatus.has_value())
 		return;
@@ -98,14 +99,14 @@
 	observation.leaving = inStatus->leaving;
 	observation.in_flight = inStatus->in_flight;
 	observation.tasks = std::move(inStatus->tasks);
-	// Only a worker that has been told to begin nothing can be quiet for good
+	// A worker that accepts new work may begin something at any moment, so it does not count as quiet
 	if (observation.in_flight > 0 || inAccepts)
 		observation.quiet_since = 0;
 	else if (observation.quiet_since == 0)
 		observation.quiet_since = now;
 }
 
-void WorkerPoller::NoteAbsent(const FleetState &inState, Millis inNow)
+void WorkerPoller::UpdateAbsentHosts(const FleetState &inState, Millis inNow)
 {
 	std::erase_if(this->seen.absent_since, [this, &inState](const auto &inEntry)
 				  { return this->seen.listed.count(inEntry.first) != 0 || inState.hosts.count(inEntry.first) == 0; });
@@ -123,8 +124,8 @@
 				return;
 			if (inResult.hosts.has_value())
 				this->seen.listed = std::move(*inResult.hosts);
-			this->list_read = NowMillis();
-			this->NoteAbsent(inState, this->list_read);
+			this->host_list_read = NowMillis();
+			this->UpdateAbsentHosts(inState, this->host_list_read);
 		});
 }
 
