--- a/Loomreach/Entry/ControlLoop.h
+++ b/Loomreach/Entry/ControlLoop.h
@@ -4,7 +4,8 @@
 //
 // Rules:
 //  * A plan is made only once every earlier proposal of this process has been read back, so that nothing is proposed twice.
-//  * Claims on ids are granted only while the lease holds, that is, for a bounded time after a read that the platform answered.
+//  * Claims on ids are granted only while the lease holds: for `claim_lease_ms` after the last read of the platform that brought the state
+//    up to date.
 
 #pragma once
 
@@ -40,8 +41,8 @@
 	/// Handles records that have been applied to the state. `inOutcomes` is empty when a whole state was adopted instead.
 	void OnRecordsApplied(const std::vector<Verdict> &inOutcomes);
 	/// Answers a peer that wants an id bound to it, or claims handed over.
-	PeerReply AnswerClaim(const AskClaim &inAsk);
-	PeerReply AnswerClaim(const AskHandOver &inAsk);
+	PeerReply AnswerClaim(const AskClaim &inRequest);
+	PeerReply AnswerClaim(const AskHandOver &inRequest);
 	/// Binds an id that a caller chose to this entry host. Calls back with None, or with the reason why the request must not be dispatched
 	/// here. With DuplicateId, the second argument is the incarnation that the id is bound to.
 	void ClaimCallerId(const std::string &inId, std::function<void(EError, uint64)> inDone);
@@ -85,12 +86,16 @@
 	void PlanSnapshot(const StewardPicker &inPicker, Millis inNow);
 	/// Whether every member of the own zone has read past the drain of a host and has no requests in flight to it.
 	bool IsAcknowledged(const Host &inHost, Millis inNow) const;
+	/// Requests the claims that this member must hold under the present view and lacks, from one of their holders.
 	void TakeOverClaims();
+	/// Sets the limits of endpoints from the demand that the members of the own zone have.
 	void UpdateShares(Millis inNow);
+	/// Updates services and endpoints of the dispatcher from the state, not more often than cRouteUpdateBackoff allows.
 	void UpdateRoutes();
 	void ReadHostList();
 	/// Hosts that this entry host itself has seen to be leaving.
 	std::set<std::string> OwnLeavingHosts() const;
+	/// Sends a claim to the next member of its group, or ends it when all have granted it.
 	void AskNextMember(const std::shared_ptr<ClaimRound> &inRound);
 
 	const DaemonConfig &config;
--- a/Loomreachctl/Commands.cpp
+++ b/Loomreachctl/Commands.cpp
@@ -1,4 +1,4 @@
-// The sub-commands.
+// The sub-commands and the output of their answers.
 
 #include <Loomreach/Loomreach.h>
 
@@ -14,17 +14,17 @@
 
 using Json = nlohmann::json;
 
-static constexpr Millis cFollowPauseMs = 300;
-static constexpr Millis cWaitPauseMs = 20;
+static constexpr Millis cFollowPollMs = 300;
+static constexpr Millis cInForcePollMs = 20;
 
 static void Sleep(Millis inMillis) { g_usleep(static_cast<gulong>(inMillis) * 1000); }
 
 static void PrintLine(const std::string &inLine) { std::printf("%s\n", inLine.c_str()); }
 
-/// A value as text without JSON's quotes.
-static std::string Plain(const Json &inValue) { return inValue.is_string() ? inValue.get<std::string>() : inValue.dump(); }
+/// A value as text; a string without its quotes.
+static std::string ToText(const Json &inValue) { return inValue.is_string() ? inValue.get<std::string>() : inValue.dump(); }
 
-/// Good words green, bad ones red, on a terminal only.
+/// Colours the names of good states green and of bad ones red, on a terminal only.
 static std::string Colored(const CommandOptions &inOptions, const std::string &inText)
 {
 	if (!inOptions.color)
@@ -36,7 +36,7 @@
 	return inText;
 }
 
-/// Prints rows as a table with the columns named.
+/// Prints the named columns of rows as a table.
 static void PrintTable(const CommandOptions &inOptions, const Json &inRows, const std::vector<std::string> &inColumns)
 {
 	std::vector<size_t> widths;
@@ -44,7 +44,7 @@
 	{
 		size_t width = column.size();
 		for (const Json &row : inRows)
-			width = std::max(width, Plain(row.value(column, Json(""))).size());
+			width = std::max(width, ToText(row.value(column, Json(""))).size());
 		widths.push_back(width);
 	}
 	std::string head;
@@ -56,7 +56,7 @@
 		std::string line;
 		for (size_t i = 0; i < inColumns.size(); ++i)
 		{
-			const std::string text = Plain(row.value(inColumns[i], Json("")));
+			const std::string text = ToText(row.value(inColumns[i], Json("")));
 			line += Colored(inOptions, text) + std::string(widths[i] - text.size() + 2, ' ');
 		}
 		PrintLine(line);
@@ -67,10 +67,10 @@
 static void PrintObject(const Json &inObject)
 {
 	for (const auto &[key, value] : inObject.items())
-		PrintLine(key + ": " + Plain(value));
+		PrintLine(key + ": " + ToText(value));
 }
 
-/// Prints rows as the output flag wants them.
+/// Prints rows as a table or as JSON, by --output.
 static bool PrintRows(CommandCall &ioCall, const std::optional<Json> &inRows, const std::vector<std::string> &inColumns)
 {
 	if (!inRows.has_value())
@@ -82,7 +82,8 @@
 	return true;
 }
 
-static bool PrintOne(CommandCall &ioCall, const std::optional<Json> &inObject)
+/// Prints an object as lines or as JSON, by --output.
+static bool PrintAnswer(CommandCall &ioCall, const std::optional<Json> &inObject)
 {
 	if (!inObject.has_value())
 		return false;
@@ -96,8 +97,8 @@
 static void PrintChanges(const Json &inChanges)
 {
 	for (const Json &change : inChanges)
-		PrintLine("  " + Plain(change["path"]) + "  " + Plain(change["setting"]) + ": " + Plain(change["before"]) + " -> " +
-				  Plain(change["after"]));
+		PrintLine("  " + ToText(change["path"]) + "  " + ToText(change["setting"]) + ": " + ToText(change["before"]) + " -> " +
+				  ToText(change["after"]));
 }
 
 static bool SettingsCheck(CommandCall &ioCall)
@@ -112,6 +113,7 @@
 	return true;
 }
 
+/// Posts a settings file that has been checked locally.
 static std::optional<Json> PostSettings(CommandCall &ioCall, const std::string &inQuery)
 {
 	const std::string &file = ioCall.arguments[0];
@@ -131,13 +133,13 @@
 		PrintLine(answer->dump(2));
 		return true;
 	}
-	PrintLine("Against version " + Plain((*answer)["version"]) + ", " + std::to_string((*answer)["changes"].size()) +
+	PrintLine("Against version " + ToText((*answer)["version"]) + ", " + std::to_string((*answer)["changes"].size()) +
 			  " values in force would change:");
 	PrintChanges((*answer)["changes"]);
 	return true;
 }
 
-/// Waits until a position is in force on every member that is heard.
+/// Waits until every member has read past a log position, at most for --timeout_ms.
 static bool WaitInForce(CommandCall &ioCall, const Json &inPosition)
 {
 	const double began = NowMillisExact();
@@ -151,21 +153,21 @@
 			std::printf("In force on %s entry hosts after %.0f ms.\n", (*answer)["reached"].dump().c_str(), NowMillisExact() - began);
 			return true;
 		}
-		Sleep(cWaitPauseMs);
+		Sleep(cInForcePollMs);
 	}
 	return FailFalse(EError::DeadlineUnmet, "accepted, but some entry hosts have not reported it yet; `status` shows which are heard");
 }
 
 static bool SettingsApply(CommandCall &ioCall)
 {
-	// Without --base_version the file is meant for the version in force now
+	// Without --base_version the change is based on the version in force now
 	std::string base = ioCall.options.base_version;
 	if (base.empty())
 	{
-		const std::optional<Json> present = ioCall.client.Get("/v1/settings");
-		if (!present.has_value())
+		const std::optional<Json> current = ioCall.client.Get("/v1/settings");
+		if (!current.has_value())
 			return false;
-		base = (*present)["version"].dump();
+		base = (*current)["version"].dump();
 	}
 	const std::optional<Json> answer = PostSettings(ioCall, "&base_version=" + base + "&author=" + UrlEscape(ioCall.options.author));
 	if (!answer.has_value())
@@ -173,7 +175,7 @@
 		Reason reason = LastReason();
 		if (ioCall.client.LastRefusal().contains("changed"))
 		{
-			PrintLine("Meanwhile version " + Plain(ioCall.client.LastRefusal()["version"]) + " has come into force. It changed:");
+			PrintLine("Meanwhile version " + ToText(ioCall.client.LastRefusal()["version"]) + " has come into force. It changed:");
 			PrintChanges(ioCall.client.LastRefusal()["changed"]);
 		}
 		return FailFalse(reason.kind, std::move(reason.detail));
@@ -187,7 +189,7 @@
 	const std::optional<Json> answer = ioCall.client.Get("/v1/settings");
 	if (!answer.has_value())
 		return false;
-	PrintLine(ioCall.options.json ? answer->dump(2) : "# version " + Plain((*answer)["version"]) + "\n" + Plain((*answer)["toml"]));
+	PrintLine(ioCall.options.json ? answer->dump(2) : "# version " + ToText((*answer)["version"]) + "\n" + ToText((*answer)["toml"]));
 	return true;
 }
 
@@ -199,13 +201,13 @@
 	return PrintRows(ioCall, (*answer)["settings"], {"setting", "value", "from", "meaning"});
 }
 
-/// The row of a list whose key has a value.
-static std::optional<Json> RowOf(const std::optional<Json> &inRows, const std::string &inKey, const std::string &inValue)
+/// The row of a list in which a key has the given value.
+static std::optional<Json> FindRow(const std::optional<Json> &inRows, const std::string &inKey, const std::string &inValue)
 {
 	if (!inRows.has_value())
 		return std::nullopt;
 	for (const Json &row : *inRows)
-		if (Plain(row.value(inKey, Json(""))) == inValue)
+		if (ToText(row.value(inKey, Json(""))) == inValue)
 			return row;
 	return Fail(EError::NotFound, inValue);
 }
@@ -216,14 +218,20 @@
 					 {"path", "hosts", "available", "required", "spare_cpu_milli", "buffer_cpu_milli", "held_by"});
 }
 
-static bool PoolShow(CommandCall &ioCall) { return PrintOne(ioCall, RowOf(ioCall.client.Get("/v1/pools"), "path", ioCall.arguments[0])); }
+static bool PoolShow(CommandCall &ioCall)
+{
+	return PrintAnswer(ioCall, FindRow(ioCall.client.Get("/v1/pools"), "path", ioCall.arguments[0]));
+}
 
 static bool JobList(CommandCall &ioCall)
 {
 	return PrintRows(ioCall, ioCall.client.Get("/v1/jobs"), {"path", "kind", "priority", "wanted", "placed", "finished"});
 }
 
-static bool JobShow(CommandCall &ioCall) { return PrintOne(ioCall, RowOf(ioCall.client.Get("/v1/jobs"), "path", ioCall.arguments[0])); }
+static bool JobShow(CommandCall &ioCall)
+{
+	return PrintAnswer(ioCall, FindRow(ioCall.client.Get("/v1/jobs"), "path", ioCall.arguments[0]));
+}
 
 static bool JobWhy(CommandCall &ioCall)
 {
@@ -231,10 +239,10 @@
 	if (!answer.has_value())
 		return false;
 	if (ioCall.options.json)
-		return PrintOne(ioCall, answer);
-	PrintLine(Plain((*answer)["why"]));
+		return PrintAnswer(ioCall, answer);
+	PrintLine(ToText((*answer)["why"]));
 	for (const Json &replica : answer->value("replicas", Json::array()))
-		PrintLine("  replica " + replica["replica"].dump() + ": " + Plain(replica["why"]));
+		PrintLine("  replica " + replica["replica"].dump() + ": " + ToText(replica["why"]));
 	return true;
 }
 
@@ -244,9 +252,9 @@
 					 {"name", "pool", "availability_zone", "rack", "phase", "health", "replicas", "wave"});
 }
 
-static bool HostShow(CommandCall &ioCall) { return PrintOne(ioCall, ioCall.client.Get("/v1/hosts/" + UrlEscape(ioCall.arguments[0]))); }
+static bool HostShow(CommandCall &ioCall) { return PrintAnswer(ioCall, ioCall.client.Get("/v1/hosts/" + UrlEscape(ioCall.arguments[0]))); }
 
-/// Posts a change and says that it was accepted.
+/// Posts a change and prints the position at which it was accepted.
 static bool PostChange(CommandCall &ioCall, const std::string &inPath)
 {
 	const std::optional<Json> answer = ioCall.client.Post(inPath);
@@ -258,7 +266,10 @@
 
 static bool HostDrain(CommandCall &ioCall) { return PostChange(ioCall, "/v1/hosts/" + UrlEscape(ioCall.arguments[0]) + "/drain"); }
 static bool HostUndrain(CommandCall &ioCall) { return PostChange(ioCall, "/v1/hosts/" + UrlEscape(ioCall.arguments[0]) + "/undrain"); }
-static bool HostTrust(CommandCall &ioCall) { return PostChange(ioCall, "/v1/hosts/" + UrlEscape(ioCall.arguments[0]) + "/unquarantine"); }
+static bool HostUnquarantine(CommandCall &ioCall)
+{
+	return PostChange(ioCall, "/v1/hosts/" + UrlEscape(ioCall.arguments[0]) + "/unquarantine");
+}
 static bool HostMove(CommandCall &ioCall)
 {
 	return PostChange(ioCall, "/v1/hosts/" + UrlEscape(ioCall.arguments[0]) + "/move?to=" + UrlEscape(ioCall.arguments[1]));
@@ -280,20 +291,20 @@
 	std::string last;
 	while (true)
 	{
-		const std::optional<Json> wave = RowOf(ioCall.client.Get("/v1/waves"), "name", ioCall.arguments[0]);
+		const std::optional<Json> wave = FindRow(ioCall.client.Get("/v1/waves"), "name", ioCall.arguments[0]);
 		if (!wave.has_value())
 			return false;
-		std::string line = ioCall.arguments[0] + ": " + Plain((*wave)["state"]) + ", " + (*wave)["done"].dump() + " of " +
+		std::string line = ioCall.arguments[0] + ": " + ToText((*wave)["state"]) + ", " + (*wave)["done"].dump() + " of " +
 						   (*wave)["hosts"].dump() + " hosts done, " + (*wave)["leaving"].dump() + " out or on their way";
 		for (const auto &[pool, why] : (*wave)["held_by"].items())
-			line += "; " + pool + " held by " + Plain(why);
+			line += "; " + pool + " held by " + ToText(why);
 		if (line != last)
 			PrintLine(line);
 		std::fflush(stdout);
 		last = line;
 		if ((*wave)["state"] == "done" || (*wave)["state"] == "cancelled")
 			return true;
-		Sleep(cFollowPauseMs);
+		Sleep(cFollowPollMs);
 	}
 }
 
@@ -303,11 +314,11 @@
 		return WaveFollow(ioCall);
 	const std::optional<Json> waves = ioCall.client.Get("/v1/waves");
 	if (!ioCall.arguments.empty())
-		return PrintOne(ioCall, RowOf(waves, "name", ioCall.arguments[0]));
+		return PrintAnswer(ioCall, FindRow(waves, "name", ioCall.arguments[0]));
 	return PrintRows(ioCall, waves, {"name", "state", "hosts", "pending", "leaving", "done"});
 }
 
-static bool Status(CommandCall &ioCall) { return PrintOne(ioCall, ioCall.client.Get("/v1/status")); }
+static bool Status(CommandCall &ioCall) { return PrintAnswer(ioCall, ioCall.client.Get("/v1/status")); }
 
 static bool MetricsText(CommandCall &ioCall)
 {
@@ -333,7 +344,7 @@
 			PrintLine(line);
 		std::fflush(stdout);
 		last = line;
-		Sleep(cFollowPauseMs);
+		Sleep(cFollowPollMs);
 	}
 	return true;
 }
@@ -341,28 +352,28 @@
 static constexpr std::array cCommands = {
 	Command{"settings", "check", "FILE", 1, 1, "check a settings file without an entry host", &SettingsCheck},
 	Command{"settings", "diff", "FILE", 1, 1, "show every value in force that the file would change", &SettingsDiff},
-	Command{"settings", "apply", "FILE", 1, 1, "put a file in force; --wait until it is so everywhere", &SettingsApply},
+	Command{"settings", "apply", "FILE", 1, 1, "put a settings file in force; --wait until it is in force everywhere", &SettingsApply},
 	Command{"settings", "show", "", 0, 0, "show the settings in force", &SettingsShow},
 	Command{"settings", "explain", "PATH", 1, 1, "show each value in force at a node and the node it comes from", &SettingsExplain},
 	Command{"pool", "list", "", 0, 0, "list pools with their budgets and buffers", &PoolList},
-	Command{"pool", "show", "PATH", 1, 1, "show one pool, what its buffer costs and which promise it is for", &PoolShow},
+	Command{"pool", "show", "PATH", 1, 1, "show one pool, what its buffer costs and what it is for", &PoolShow},
 	Command{"job", "list", "", 0, 0, "list jobs", &JobList},
 	Command{"job", "show", "PATH", 1, 1, "show one job and its replicas", &JobShow},
-	Command{"job", "why", "PATH", 1, 1, "say why a job's replicas run or do not", &JobWhy},
+	Command{"job", "why", "PATH", 1, 1, "explain why a job's replicas run or do not", &JobWhy},
 	Command{"host", "list", "", 0, 0, "list hosts", &HostList},
 	Command{"host", "show", "NAME", 1, 1, "show one host and why it cannot leave", &HostShow},
 	Command{"host", "drain", "NAME", 1, 1, "give a host no new work", &HostDrain},
-	Command{"host", "undrain", "NAME", 1, 1, "take a drain back", &HostUndrain},
+	Command{"host", "undrain", "NAME", 1, 1, "cancel the drain of a host", &HostUndrain},
 	Command{"host", "move", "NAME POOL", 2, 2, "move a drained host to another pool", &HostMove},
-	Command{"host", "unquarantine", "NAME", 1, 1, "trust a quarantined host again", &HostTrust},
+	Command{"host", "unquarantine", "NAME", 1, 1, "use a quarantined host again", &HostUnquarantine},
 	Command{"wave", "start", "NAME", 1, 1, "start a maintenance wave over --pool, --availability_zone, --rack or all", &WaveStart},
 	Command{"wave", "status", "[NAME]", 0, 1, "show waves; --follow one until it ends", &WaveStatus},
-	Command{"wave", "pause", "NAME", 1, 1, "let no more hosts leave", &WavePause},
+	Command{"wave", "pause", "NAME", 1, 1, "pause a wave: let no more hosts leave", &WavePause},
 	Command{"wave", "resume", "NAME", 1, 1, "go on with a paused wave", &WaveResume},
 	Command{"wave", "cancel", "NAME", 1, 1, "end a wave; hosts that are out still come back", &WaveCancel},
-	Command{"status", "", "", 0, 0, "show the entry host and the whole", &Status},
+	Command{"status", "", "", 0, 0, "show the entry host and totals of the fleet", &Status},
 	Command{"metrics", "", "", 0, 0, "print the metrics as Prometheus text", &MetricsText},
-	Command{"watch", "", "", 0, 0, "print changes of the whole as they come, for --timeout_ms", &Watch},
+	Command{"watch", "", "", 0, 0, "print changes of the totals of the fleet, for --timeout_ms", &Watch},
 };
 
 std::span<const Command> AllCommands() { return cCommands; }
--- a/Loomreachctl/Commands.h
+++ b/Loomreachctl/Commands.h
@@ -1,4 +1,4 @@
-// The sub-commands of loomreachctl and the table that finds, documents and runs them.
+// The sub-commands of loomreachctl, and the table by which they are found, documented and run.
 
 #pragma once
 
@@ -7,12 +7,12 @@
 namespace Loomreach
 {
 
-/// What the flags say.
+/// Values of the flags.
 struct CommandOptions
 {
 	bool json = false;   ///< --output=json.
-	bool wait = false;   ///< --wait: until in force everywhere.
-	bool follow = false; ///< --follow: until the wave ends.
+	bool wait = false;   ///< --wait: wait until the change is in force everywhere.
+	bool follow = false; ///< --follow: follow the wave until it ends.
 	bool color = false;  ///< Standard output is a terminal.
 	std::string base_version;
 	std::string author;
@@ -22,30 +22,30 @@
 	Millis timeout_ms = 60'000;
 };
 
-/// A sub-command's call.
+/// One call of a sub-command.
 struct CommandCall
 {
 	OperatorClient &client;
 	const CommandOptions &options;
-	std::vector<std::string> arguments; ///< After the two command words.
+	std::vector<std::string> arguments; ///< Those after the command words.
 };
 
 /// A sub-command.
 struct Command
 {
 	std::string_view group;
-	std::string_view verb; ///< Empty where the group stands alone.
+	std::string_view verb; ///< Empty if the group is the complete command.
 	std::string_view arguments;
 	size_t min_arguments;
 	size_t max_arguments;
 	std::string_view meaning;
-	bool (*run)(CommandCall &ioCall); ///< False leaves the last reason.
+	bool (*run)(CommandCall &ioCall); ///< False on failure, with the last reason set.
 };
 
 /// All sub-commands.
 std::span<const Command> AllCommands();
 
-/// The sub-command that words begin with, or nullptr.
+/// The sub-command that the words begin with, or nullptr.
 const Command *FindCommand(const std::vector<std::string> &inWords);
 
 } // namespace Loomreach
--- a/Loomreachctl/Main.cpp
+++ b/Loomreachctl/Main.cpp
@@ -1,4 +1,4 @@
-// loomreachctl: the operators' command-line tool.
+// loomreachctl: the command-line tool for operators. Parses the flags and runs one sub-command.
 
 #include <Loomreach/Loomreach.h>
 
@@ -15,7 +15,7 @@
 DEFINE_string(token_file, "", "File with the operators' token.");
 DEFINE_string(output, "text", "text or json.");
 DEFINE_bool(wait, false, "Wait until the change is in force everywhere.");
-DEFINE_bool(follow, false, "Follow until the end.");
+DEFINE_bool(follow, false, "Follow a wave until the end.");
 DEFINE_string(base_version, "", "Version that the settings were read at; default: the one in force now.");
 DEFINE_string(author, "", "Who changes the settings.");
 DEFINE_string(pool, "", "Only hosts of this pool.");
@@ -69,8 +69,8 @@
 	return token;
 }
 
-/// `COMMAND --help` prints that command; gflags' own help would list the flags of every library.
-bool AsksForHelp(int inCount, char **inWords)
+/// Whether --help is among the arguments. It is handled here, since the help of gflags lists the flags of every library.
+bool WantsHelp(int inCount, char **inWords)
 {
 	for (int i = 1; i < inCount; ++i)
 		if (std::string_view(inWords[i]) == "--help" || std::string_view(inWords[i]) == "-h")
@@ -95,13 +95,13 @@
 
 int main(int argc, char **argv)
 {
-	if (AsksForHelp(argc, argv))
+	if (WantsHelp(argc, argv))
 	{
-		std::vector<std::string> plain;
+		std::vector<std::string> command_words;
 		for (int i = 1; i < argc; ++i)
 			if (argv[i][0] != '-')
-				plain.emplace_back(argv[i]);
-		return PrintHelp(plain);
+				command_words.emplace_back(argv[i]);
+		return PrintHelp(command_words);
 	}
 	gflags::SetUsageMessage(Usage());
 	gflags::SetVersionString("0.1.0");
--- a/Loomreachctl/OperatorClient.cpp
+++ b/Loomreachctl/OperatorClient.cpp
@@ -1,4 +1,4 @@
-// Synchronous calls over the asynchronous client.
+// Runs the main loop until the asynchronous HTTP client has the answer.
 
 #include <Loomreach/Loomreach.h>
 
@@ -38,10 +38,10 @@
 		return Fail(EError::NotReady, "no answer from " + this->server.Text() + ": " + inResult.error);
 	nlohmann::json body = nlohmann::json::parse(inResult.body, nullptr, false);
 	if (!body.is_object() && !body.is_array())
-		return Fail(EError::Corrupt, "the entry host's answer is no JSON");
+		return Fail(EError::Corrupt, "the entry host's answer is no valid JSON");
 	if (inResult.IsOk())
 		return body;
-	this->refusal = body;
+	this->last_refusal = body;
 	const std::string name = body.is_object() ? body.value("error", std::string("internal")) : std::string("internal");
 	const EError kind = ErrorOf(name).value_or(EError::Internal);
 	return Fail(kind, body.is_object() ? body.value("detail", std::string()) : std::string());
--- a/Loomreachctl/OperatorClient.h
+++ b/Loomreachctl/OperatorClient.h
@@ -1,4 +1,4 @@
-// Calls to an entry host's operators' listener, one after another.
+// Synchronous client for the listener of an entry host for operators.
 
 #pragma once
 
@@ -10,20 +10,20 @@
 namespace Loomreach
 {
 
-/// The client of one entry host.
+/// Client of one entry host. Each call waits for its answer.
 class OperatorClient
 {
 public:
 	OperatorClient(Address inServer, std::string inToken) : server(std::move(inServer)), token(std::move(inToken)) {}
 
-	/// Reads; nothing, with the server's reason, when it refuses.
+	/// GET of a JSON document; nothing, with the reason that the server gives, when it refuses.
 	std::optional<nlohmann::json> Get(const std::string &inPath);
-	/// Asks for a change; nothing, with the server's reason, when it is not accepted.
+	/// POST of a change; nothing, with the reason that the server gives, when it is not accepted.
 	std::optional<nlohmann::json> Post(const std::string &inPath, std::string inBody = {});
-	/// Reads plain text.
+	/// GET of plain text.
 	std::optional<std::string> GetText(const std::string &inPath);
-	/// The body of the last answer that was refused.
-	const nlohmann::json &LastRefusal() const { return this->refusal; }
+	/// Body of the last refusal.
+	const nlohmann::json &LastRefusal() const { return this->last_refusal; }
 
 private:
 	HttpResult Call(const std::string &inMethod, const std::string &inPath, std::string inBody);
@@ -32,7 +32,7 @@
 	Address server;
 	std::string token;
 	HttpClient http;
-	nlohmann::json refusal;
+	nlohmann::json last_refusal;
 };
 
 } // namespace Loomreach
--- a/Loomreachd/Main.cpp
+++ b/Loomreachd/Main.cpp
@@ -1,4 +1,4 @@
-// loomreachd: one entry host. Reads its configuration, starts, and stops as planned on SIGTERM.
+// loomreachd: the daemon of an entry host. Reads its configuration, starts, and shuts down gracefully on SIGTERM or SIGINT.
 
 #include <Loomreach/Loomreach.h>
 
@@ -25,7 +25,7 @@
 
 using namespace Loomreach;
 
-/// The running process.
+/// The running entry host.
 struct Program
 {
 	EntryHost *host = nullptr;
@@ -42,7 +42,7 @@
 gboolean OnSignal(gpointer inProgram)
 {
 	Program *program = static_cast<Program *>(inProgram);
-	// A second signal forces the stop
+	// A second signal ends the process at once
 	if (program->stopping)
 	{
 		LogPlain(ELogLevel::Warning, "stop_forced");
@@ -53,7 +53,7 @@
 	return G_SOURCE_CONTINUE;
 }
 
-/// The running process when it takes jobs on the platform.
+/// The running host of jobs on the platform.
 struct JobProgram
 {
 	Jobs::JobHost<Jobs::Platform::PlatformHub> *host = nullptr;
@@ -71,7 +71,7 @@
 	return G_SOURCE_CONTINUE;
 }
 
-/// The settings hold nothing that can change under a running process; what the platform adds is read at the next start.
+/// SIGHUP changes nothing: no setting can change while the process runs, and what the platform adds is read at the next start.
 gboolean OnJobReload(gpointer)
 {
 	LogPlain(ELogLevel::Info, "reload");
@@ -145,7 +145,7 @@
 		return 0;
 	}
 	StartLogging(argv[0]);
-	// A caller that goes away must not end the process
+	// Writing to a connection that its caller has closed must not end the process
 	std::signal(SIGPIPE, SIG_IGN);
 	EntryHost host(std::move(*config));
 	if (!host.Start())
