--- a/Loomreach/Entry/ControlLoop.cpp
+++ b/Loomreach/Entry/ControlLoop.cpp
@@ -14,7 +14,7 @@
 namespace Loomreach
 {
 
-/// Every how many rounds a heartbeat goes to other zones as well.
+/// Heartbeats go to other zones once in this many rounds.
 static constexpr Millis cRemoteHeartbeatEvery = 4;
 /// Missed heartbeats after which a member of another zone is suspected.
 static constexpr Millis cRemoteHeartbeatsToSuspect = 3;
@@ -22,8 +22,9 @@
 static constexpr Millis cUpdateDelayMs = 20;
 static constexpr Millis cHostListIntervalMs = 2000;
 static constexpr Millis cPeerRequestTimeoutMs = 1000;
-/// How often the log is polled by an entry host that learns of new records from its zone's reader, and by that reader.
+/// Poll interval of the log for an entry host that learns of new records from the reader of its zone.
 static constexpr Millis cFollowerPollIntervalMs = 5000;
+/// Poll interval of the log for the reader of a zone.
 static constexpr Millis cReaderPollIntervalMs = 500;
 /// Age after which pools are planned again although no input has changed.
 static constexpr Millis cMaxPlanAgeMs = 2000;
@@ -360,7 +361,7 @@
 		if (inPicker.SilentZones().count(host.spec.availability_zone) != 0)
 			unresponsive_hosts.insert(name);
 	std::set<std::string> backed_off_jobs = this->backoff.Waiting(state, inNow);
-	// A plan depends on these inputs alone. It is still made again after a while, since planning assignments move between entry hosts
+	// A plan is made again when its inputs have changed, or after a while, since planning assignments move between entry hosts
 	PlanInputs inputs{state.next_offset, std::move(unresponsive_hosts), std::move(backed_off_jobs)};
 	if (inputs == this->last_plan_inputs && inNow - this->last_plan_time < cMaxPlanAgeMs)
 		return;
--- a/Loomreach/Entry/Exchange.cpp
+++ b/Loomreach/Entry/Exchange.cpp
@@ -52,7 +52,7 @@
 void Exchange::OnFinished(SoupServerMessage *, gpointer inSelf)
 {
 	Exchange *self = static_cast<Exchange *>(inSelf);
-	// A message that finishes before its answer is complete has lost its caller
+	// If the message finishes before its answer is complete, the caller has disconnected
 	if (!self->answered || self->streaming)
 		return self->HandleDisconnect();
 	self->NotifyWritten();
