--- a/Loomreach/Entry/CellSeat.h
+++ b/Loomreach/Entry/CellSeat.h
@@ -1,4 +1,5 @@
-// The seat of an owner: drives one cell. Reads its inbox, writes its log, sends its orders, and checks the lease before each of them.
+// Drives the cell that this host owns: reads the cell's inbox, appends to its log and sends its orders to workers.
+// Rule: the ownership lease is checked before each decision and each order, so that two owners never act at the same time.
 
 #pragma once
 
@@ -13,7 +14,7 @@
 namespace Loomreach::Jobs
 {
 
-/// What a seat shares with its host.
+/// Dependencies that a driver gets from its host.
 struct SeatContext
 {
 	const JobHostConfig &config;
@@ -21,58 +22,58 @@
 	OwnLease &lease;
 	OwnerTable &owners;
 	HostProcess process;
-	/// Sends an order to a worker, by whatever way. Pools' owners only.
+	/// Sends an order to a worker, directly or through a forwarder. Only set for cells of pools.
 	std::function<void(const Order &, std::function<void(const OrderAnswer &)>)> send_order = {};
-	/// Asks the fleet's owner, this host or another. Pools' owners only.
+	/// Asks the owner of the fleet cell, which may be this host. Only set for cells of pools.
 	std::function<void(PeerQuestion, PeerQuery::OnAnswer)> ask_fleet = {};
-	/// Tells the hosts that keep replicas of ends. Pools' owners only.
-	std::function<void(const EndsUpdate &)> tell_ends = {};
+	/// Sends run ends to the hosts that keep replicas of them. Only set for cells of pools.
+	std::function<void(const EndsUpdate &)> replicate_ends = {};
 };
 
-/// A worker's agent as a seat needs it.
+/// What a driver requires of a client for worker agents.
 template <class T>
 concept WorkerAgent = requires(T &ioAgent, const Order &inOrder)
 {
 	ioAgent.Send(inOrder, [](const OrderAnswer &) {});
 };
 
-/// An adviser as a seat needs it.
+/// What a driver requires of an adviser client.
 template <class T>
 concept Adviser = requires(T &ioAdviser, const AdviceQuestion &inQuestion)
 {
 	ioAdviser.Ask(inQuestion, [](const AdviceAnswer &) {});
 };
 
-/// See the head of the file.
+/// Drives one cell. `Hub` is the platform, see JobHost.
 template <class Hub>
 class CellSeat : private Guarded
 {
 public:
-	/// Called once when the claim is settled, and when the seat is lost.
-	using OnSeat = std::function<void(bool inHeld)>;
+	/// Called once with the outcome of the claim, and with false when the cell is lost later.
+	using OnOwnership = std::function<void(bool inHeld)>;
 
 	CellSeat(Hub &inHub, const SeatContext &inContext, uint32 inCell);
 
-	/// `inBeatNumber`: of the host's newest heartbeat.
-	void Claim(uint64 inBeatNumber, const OnSeat &inDone);
-	/// Whether the claim has been won and nothing has been lost since.
+	/// `inHeartbeatNumber`: number of the host's newest heartbeat.
+	void Claim(uint64 inHeartbeatNumber, const OnOwnership &inDone);
+	/// Whether the claim was won and the cell has not been lost since.
 	bool IsHeld() const { return this->held; }
 	uint64 Epoch() const { return this->log.Epoch(); }
 	void SetCatalogue(std::shared_ptr<const Catalogue> inCatalogue) { this->cell.SetCatalogue(std::move(inCatalogue)); }
-	/// See Cell.
+	/// Sets the availability zones in which nothing may be started.
 	void SetEvacuated(const std::set<std::string> &inZones) { this->cell.SetEvacuated(inZones, NowMillis()); }
 	void SetWorkers(const std::vector<WorkerEntry> &inWorkers, Millis inTrustUntil);
 	PeerAnswer Answer(const PeerQuestion &inQuestion);
-	/// Decides and acts soon, or at once when nothing happened for a while.
+	/// Lets the cell plan, then sends its orders and writes its log. Called by a timer, and shortly after each update.
 	void Step();
 	CellFigures Figures() const { return this->cell.Figures(); }
-	/// Whether work waits for room: new workers are of use at once.
+	/// Whether the last planning found no capacity for some tasks, so that new workers are of use immediately.
 	bool IsShort() const { return this->cell.IsShort(); }
-	/// See Cell.
+	/// Run ends that workers have listed and the log does not contain yet.
 	std::vector<EndReport> UnloggedEnds() const { return this->cell.UnloggedEnds(); }
-	/// A planned stop begins: nothing new is promised.
+	/// Prepares a planned hand-over: no further drain grants are given.
 	void Retire() { this->cell.Retire(); }
-	/// Whether a successor may begin at once: nothing is on its way to the log, and the cell depends on nothing that only this seat knows.
+	/// Whether a successor may start immediately: no append is in flight, the log contains every run end, and no grant is still relied on.
 	bool IsQuiet() const { return !this->log.IsBusy() && this->cell.CanHandOver(NowMillis()); }
 
 private:
@@ -81,14 +82,14 @@
 	void Begin(const typename OwnedLog<Store>::Records &inRecords);
 	void ReadInbox();
 	void OnInbox(ReadAnswer inAnswer);
-	void Soon(Millis inDelayMs);
+	void ScheduleStep(Millis inDelayMs);
 	void Write();
 	void SendOrders();
-	/// Tells other hosts of the ends that only this one knows.
-	void TellEnds();
-	/// Lets the cell start nothing while its inbox cannot be read.
-	void WatchInbox(Millis inNow);
-	/// Asks for the teams' shares when it is time to.
+	/// Sends run ends that are not in the log yet to the hosts that keep replicas.
+	void ReplicateEnds();
+	/// Stops the cell from starting tasks while its inbox cannot be read.
+	void CheckInboxFreshness(Millis inNow);
+	/// Asks the owner of the fleet cell for the teams' shares when they are due.
 	void AskShares(Millis inNow);
 
 	Hub &hub;
@@ -96,19 +97,19 @@
 	uint32 number;
 	OwnedLog<Store> log;
 	Cell cell;
-	OnSeat on_seat;
+	OnOwnership on_ownership;
 	bool held = false;
-	Millis held_at = -1;       ///< When the claim was won.
-	Millis inbox_read_at = -1; ///< When the newest answered read of the inbox was sent.
-	bool inbox_fresh = true;   ///< Whether that is lately.
-	bool asking_shares = false;
-	Timer soon;
+	Millis claimed_at = -1;    ///< When the claim was won.
+	Millis inbox_read_at = -1; ///< Send time of the newest read that reached the end of the inbox; -1: none yet.
+	bool inbox_fresh = true;   ///< Whether `inbox_read_at` is within `cInboxStaleMs`.
+	bool awaiting_shares = false;
+	Timer step_timer;
 	Timer tick;
-	Timer inbox_again;
+	Timer inbox_retry_timer;
 };
 
-/// The times and limits of a cell from the host's configuration.
-CellTuning TuningOf(const JobHostConfig &inConfig);
+/// Timeouts and limits of a cell, from the host's configuration.
+CellTuning CellTuningOf(const JobHostConfig &inConfig);
 
 } // namespace Loomreach::Jobs
 
--- a/Loomreach/Entry/CellSeat.inl
+++ b/Loomreach/Entry/CellSeat.inl
@@ -1,24 +1,25 @@
-// Drives a cell.
+// Driver of one cell: claim, inbox, planning, log and orders.
 
 #include <Loomreach/State/Codec.h>
 
 namespace Loomreach::Jobs
 {
 
-inline constexpr Millis cStepGapMs = 20;     ///< News that comes together is decided on together.
-inline constexpr Millis cTickMs = 50;        ///< Timers of the cell are this coarse.
-inline constexpr Millis cAppendGapMs = 35;   ///< Between two appends: each is a call that is paid for.
-inline constexpr double cSlowStepMs = 200.0; ///< A step that takes longer is told of: half of what a lease leaves between two heartbeats.
-inline constexpr Millis cInboxWaitMs = 1000; ///< A read of the inbox waits this long; bounds how old "no such job" can be.
-inline constexpr Millis cInboxAgainMs = 150;
-/// An owner that has not read its inbox for this long starts nothing: a cancel must count within 3 s (users' shortest bound), and one lost
-/// read is made up for within it.
+inline constexpr Millis cStepDelayMs = 20;      ///< Batches updates that arrive together into one planning step.
+inline constexpr Millis cTickMs = 50;           ///< Resolution of the cell's timers.
+inline constexpr Millis cAppendIntervalMs = 35; ///< Minimum time between two appends: each append is a call that is charged for.
+inline constexpr double cSlowStepMs = 200.0;    ///< Slower steps are logged: half of the time that a lease leaves between heartbeats.
+/// Long-poll time of inbox reads. Bounds the age of the information behind a "no such job" answer.
+inline constexpr Millis cInboxReadWaitMs = 1000;
+inline constexpr Millis cInboxRetryMs = 150;
+/// Nothing is started when the inbox has not been read for this long: a cancellation must take effect within 3 s (the users' strictest
+/// limit). Leaves time to repeat one lost read.
 inline constexpr Millis cInboxStaleMs = 2500;
 
-/// Time of day, ms since 1970.
+/// Wall clock, ms since 1970.
 inline int64 WallMillis() { return g_get_real_time() / 1000; }
 
-inline CellTuning TuningOf(const JobHostConfig &inConfig)
+inline CellTuning CellTuningOf(const JobHostConfig &inConfig)
 {
 	CellTuning tuning;
 	tuning.lease_ms = inConfig.worker_lease_ms;
@@ -33,16 +34,16 @@
 CellSeat<Hub>::CellSeat(Hub &inHub, const SeatContext &inContext, uint32 inCell)
 	: hub(inHub), context(inContext), number(inCell),
 	  log(inHub.store, CellLog(inCell, static_cast<uint32>(inContext.config.log_parts)), inContext.process),
-	  cell(TuningOf(inContext.config))
+	  cell(CellTuningOf(inContext.config))
 {
 }
 
 template <class Hub>
-void CellSeat<Hub>::Claim(uint64 inBeatNumber, const OnSeat &inDone)
+void CellSeat<Hub>::Claim(uint64 inHeartbeatNumber, const OnOwnership &inDone)
 {
-	this->on_seat = inDone;
+	this->on_ownership = inDone;
 	this->log.Claim(
-		inBeatNumber,
+		inHeartbeatNumber,
 		[this](const ClaimRecord &inSeen)
 		{
 			const Millis now = NowMillis();
@@ -55,8 +56,8 @@
 			{
 				if (inWon)
 					this->Begin(inRecords);
-				// The seat may be destroyed by the call
-				const OnSeat done = this->on_seat;
+				// The callback may destroy this object
+				const OnOwnership done = this->on_ownership;
 				done(inWon);
 			}));
 }
@@ -69,7 +70,7 @@
 		damaged += this->cell.Restore(key, value) ? 0 : 1;
 	this->cell.Begin(this->log.Epoch(), NowMillis(), this->number);
 	this->held = true;
-	this->held_at = NowMillis();
+	this->claimed_at = NowMillis();
 	const CellFigures figures = this->cell.Figures();
 	LogEvent(ELogLevel::Info, "cell_owned")
 		.Field("cell", this->number)
@@ -86,12 +87,12 @@
 template <class Hub>
 void CellSeat<Hub>::SetWorkers(const std::vector<WorkerEntry> &inWorkers, Millis inTrustUntil)
 {
-	std::vector<WorkerEntry> mine;
+	std::vector<WorkerEntry> own_workers;
 	for (const WorkerEntry &worker : inWorkers)
 		if (CellOf(worker.pool, static_cast<uint32>(this->context.config.log_parts)) == this->number)
-			mine.push_back(worker);
-	this->cell.SetWorkers(mine, NowMillis(), inTrustUntil);
-	this->Soon(cStepGapMs);
+			own_workers.push_back(worker);
+	this->cell.SetWorkers(own_workers, NowMillis(), inTrustUntil);
+	this->ScheduleStep(cStepDelayMs);
 }
 
 template <class Hub>
@@ -99,14 +100,15 @@
 {
 	const Millis sent_at = NowMillis();
 	const LogName inbox = InboxLog(this->number, static_cast<uint32>(this->context.config.log_parts));
-	this->hub.store.Read(inbox, false, this->cell.InboxNext(), cInboxWaitMs,
+	this->hub.store.Read(inbox, false, this->cell.InboxNext(), cInboxReadWaitMs,
 						 this->Guard(
 							 [this, sent_at](ReadAnswer inAnswer)
 							 {
-								 // One answer holds 1 MB at most: what waited while nobody owned the cell may be more
+								 // One read returns at most 1 MB; more than that may have accumulated while the cell had no owner
 								 if (inAnswer.result == ERead::Done && inAnswer.next >= inAnswer.end)
-									 // An empty answer was kept back for the whole wait
-									 this->inbox_read_at = std::min(NowMillis(), sent_at + (inAnswer.records.empty() ? cInboxWaitMs : 0));
+									 // An empty answer was held back for the whole long-poll time
+									 this->inbox_read_at =
+										 std::min(NowMillis(), sent_at + (inAnswer.records.empty() ? cInboxReadWaitMs : 0));
 								 this->OnInbox(std::move(inAnswer));
 							 }));
 }
@@ -115,7 +117,7 @@
 void CellSeat<Hub>::OnInbox(ReadAnswer inAnswer)
 {
 	if (inAnswer.result == ERead::Failed)
-		return this->inbox_again.Once(cInboxAgainMs, [this] { this->ReadInbox(); });
+		return this->inbox_retry_timer.Once(cInboxRetryMs, [this] { this->ReadInbox(); });
 	const Millis now = NowMillis();
 	for (const LogRecord &record : inAnswer.records)
 	{
@@ -133,31 +135,31 @@
 		this->cell.SkipInbox(inAnswer.first);
 	}
 	if (!inAnswer.records.empty())
-		this->Soon(cStepGapMs);
+		this->ScheduleStep(cStepDelayMs);
 	this->ReadInbox();
 }
 
 template <class Hub>
-void CellSeat<Hub>::Soon(Millis inDelayMs)
+void CellSeat<Hub>::ScheduleStep(Millis inDelayMs)
 {
-	if (!this->soon.IsRunning())
-		this->soon.Once(inDelayMs, [this] { this->Step(); });
+	if (!this->step_timer.IsRunning())
+		this->step_timer.Once(inDelayMs, [this] { this->Step(); });
 }
 
 template <class Hub>
 void CellSeat<Hub>::Step()
 {
 	const Millis now = NowMillis();
-	// Without the lease nothing is decided: another owner may be at work
+	// Without the lease another owner may already be acting on this cell
 	if (!this->held || !this->context.lease.MayAct(now))
 		return;
-	this->WatchInbox(now);
+	this->CheckInboxFreshness(now);
 	const double began = NowMillisExact();
 	this->cell.Plan(now, WallMillis());
 	const double planned = NowMillisExact();
 	this->context.metrics.Time(ETiming::Plan, planned - began);
 	this->SendOrders();
-	this->TellEnds();
+	this->ReplicateEnds();
 	this->AskShares(now);
 	const double sent = NowMillisExact();
 	this->Write();
@@ -173,19 +175,19 @@
 											[this, question](const AdviceAnswer &inAnswer)
 											{
 												this->cell.OnAdvice(question, inAnswer, NowMillis());
-												this->Soon(cStepGapMs);
+												this->ScheduleStep(cStepDelayMs);
 											}));
 }
 
 template <class Hub>
-void CellSeat<Hub>::WatchInbox(Millis inNow)
+void CellSeat<Hub>::CheckInboxFreshness(Millis inNow)
 {
-	// Appends may pass while reads do not
-	const bool fresh = inNow - std::max(this->inbox_read_at, this->held_at) < cInboxStaleMs;
+	// Checked separately from appends: the store may accept appends while reads fail
+	const bool fresh = inNow - std::max(this->inbox_read_at, this->claimed_at) < cInboxStaleMs;
 	if (fresh != this->inbox_fresh)
 		LogEvent(ELogLevel::Warning, fresh ? "inbox_read_again" : "inbox_unread")
 			.Field("cell", this->number)
-			.Field("read_ms_ago", inNow - std::max(this->inbox_read_at, this->held_at));
+			.Field("read_ms_ago", inNow - std::max(this->inbox_read_at, this->claimed_at));
 	this->inbox_fresh = fresh;
 	this->cell.SetInboxFresh(fresh);
 }
@@ -193,7 +195,7 @@
 template <class Hub>
 void CellSeat<Hub>::AskShares(Millis inNow)
 {
-	if (this->asking_shares || inNow < this->cell.NextSharesAt())
+	if (this->awaiting_shares || inNow < this->cell.NextSharesAt())
 		return;
 	std::optional<ShareQuestion> shares = this->cell.AskShares(inNow, WallMillis());
 	if (!shares.has_value())
@@ -202,15 +204,15 @@
 	question.kind = EQuestion::Shares;
 	question.cell = cFleetCell;
 	question.shares = std::move(*shares);
-	this->asking_shares = true;
+	this->awaiting_shares = true;
 	this->context.ask_fleet(std::move(question), this->Guard(
 													 [this](const std::optional<PeerAnswer> &inAnswer)
 													 {
-														 this->asking_shares = false;
+														 this->awaiting_shares = false;
 														 if (!inAnswer.has_value() || !inAnswer->owner)
 															 return;
 														 this->cell.OnShares(inAnswer->shares, NowMillis());
-														 this->Soon(cStepGapMs);
+														 this->ScheduleStep(cStepDelayMs);
 													 }));
 }
 
@@ -220,29 +222,29 @@
 	if (this->log.IsBusy() || !this->cell.HasNews())
 		return;
 	const Millis since = NowMillis() - this->log.LastSentAt();
-	if (since < cAppendGapMs)
-		return this->Soon(cAppendGapMs - since);
+	if (since < cAppendIntervalMs)
+		return this->ScheduleStep(cAppendIntervalMs - since);
 	std::vector<LogRecord> records;
 	for (KeyedRecord &record : this->cell.TakeBatch(WallMillis()))
 		records.push_back({std::move(record.key), std::move(record.value), 0});
 	if (records.empty())
 		return this->SendOrders();
-	this->log.Append(
-		std::move(records),
-		this->Guard(
-			[this](bool inDone)
-			{
-				if (!inDone)
-				{
-					LogEvent(ELogLevel::Warning, "cell_lost").Field("cell", this->number).Field("why", "another owner's epoch");
-					this->held = false;
-					const OnSeat lost = this->on_seat;
-					return lost(false);
-				}
-				this->cell.OnAppended(NowMillis());
-				this->SendOrders();
-				this->Soon(cStepGapMs);
-			}));
+	this->log.Append(std::move(records), this->Guard(
+											 [this](bool inDone)
+											 {
+												 if (!inDone)
+												 {
+													 LogEvent(ELogLevel::Warning, "cell_lost")
+														 .Field("cell", this->number)
+														 .Field("why", "another host has claimed the cell with a higher epoch");
+													 this->held = false;
+													 const OnOwnership on_lost = this->on_ownership;
+													 return on_lost(false);
+												 }
+												 this->cell.OnAppended(NowMillis());
+												 this->SendOrders();
+												 this->ScheduleStep(cStepDelayMs);
+											 }));
 }
 
 template <class Hub>
@@ -251,7 +253,7 @@
 	for (Order &order : this->cell.TakeOrders(NowMillis()))
 	{
 		order.not_after = this->context.lease.Until();
-		// The clock is looked at before each order: the process may have stood still since the last
+		// The lease is checked again before each order: the process may have been paused since the previous one
 		const Millis sent_at = NowMillis();
 		if (!this->held || !this->context.lease.MayAct(sent_at))
 		{
@@ -265,18 +267,18 @@
 											{
 												this->context.metrics.Count(ECounter::Orders, NameOf(cOrderResultNames, inAnswer.result));
 												this->cell.OnAnswer(order, inAnswer, sent_at, NowMillis());
-												this->TellEnds();
-												this->Soon(cStepGapMs);
+												this->ReplicateEnds();
+												this->ScheduleStep(cStepDelayMs);
 											}));
 	}
 }
 
 template <class Hub>
-void CellSeat<Hub>::TellEnds()
+void CellSeat<Hub>::ReplicateEnds()
 {
 	while (const std::optional<EndsUpdate> update = this->cell.TakeEndsUpdate(NowMillis()))
-		if (this->context.tell_ends)
-			this->context.tell_ends(*update);
+		if (this->context.replicate_ends)
+			this->context.replicate_ends(*update);
 }
 
 template <class Hub>
@@ -287,7 +289,7 @@
 	answer.owner = this->held && this->context.lease.MayAct(now);
 	if (!answer.owner)
 		return answer;
-	answer.sure = this->inbox_read_at >= 0 && now - this->inbox_read_at < 2 * cInboxWaitMs;
+	answer.sure = this->inbox_read_at >= 0 && now - this->inbox_read_at < 2 * cInboxReadWaitMs;
 	switch (inQuestion.kind)
 	{
 	case EQuestion::Show:
@@ -303,8 +305,8 @@
 		this->cell.NoteLeft(inQuestion.left, now);
 		answer.demand = this->cell.Demand(inQuestion.id, inQuestion.count, inQuestion.for_ms, now, WallMillis());
 		break;
-	case EQuestion::Shares: // The fleet's matter
-	case EQuestion::Enter:  // The host's own matters: any host may enter a record
+	case EQuestion::Shares: // Answered by the fleet driver
+	case EQuestion::Enter:  // Answered by the host itself; any host may append to an inbox
 	case EQuestion::Reach:
 	case EQuestion::Owners:
 	case EQuestion::Forward: break;
