--- a/Loomreach/Entry/FleetSeat.inl
+++ b/Loomreach/Entry/FleetSeat.inl
@@ -1,22 +1,23 @@
-// Drives waves of maintenance.
+// Driver of the fleet cell: maintenance waves, moves of hosts and teams' shares.
 
 namespace Loomreach::Jobs
 {
 
 inline constexpr Millis cFleetTickMs = 100;
-inline constexpr Millis cListEveryMs = 400; ///< While a wave is open; the service takes tens of reads a second.
-inline constexpr Millis cAskOwnerMs = 400;
-inline constexpr Millis cDemandsEveryMs = 200; ///< Pools' needs are asked for this often; a move takes 1.5 s.
-inline constexpr uint32 cMostSpared = 40;      ///< Names of workers that fit one datagram.
-inline constexpr Millis cTellLeftMs = 900;     ///< A pool's owner is told this long who has left: some questions may be lost.
-inline constexpr size_t cMostLeft = 100;       ///< In one question: their names fit a datagram.
-inline constexpr Millis cDutyGoodMs =
-	1200; ///< An order to a host leaves within this, or not at all; one that needs an empty host sooner, see HostDuty::not_after.
+inline constexpr Millis cListIntervalMs = 400; ///< Interval between host lists; the machine service takes tens of reads per second.
+inline constexpr Millis cAskOwnerTimeoutMs = 400;
+inline constexpr Millis cDemandsIntervalMs = 200; ///< Interval between questions for a pool's demand; a move takes 1.5 s.
+inline constexpr uint32 cMaxSparedWorkers = 40;   ///< Limit of spared workers in one answer: their names must fit into a datagram.
+/// A pool's owner is told of a departed worker for this long, since some questions may be lost.
+inline constexpr Millis cReportDepartedMs = 900;
+inline constexpr size_t cMaxDeparted = 100; ///< Limit of departed workers in one question: their names must fit into a datagram.
+/// An order to a host is sent within this time or not at all. One that needs a drained host may be valid for less, see HostDuty::not_after.
+inline constexpr Millis cDutyValidMs = 1200;
 inline constexpr char cWaveKey = 'w';
 inline constexpr char cDutyKey = 'd';
 
-/// The balancer's figures from the host's configuration.
-inline BalanceTuning BalanceOf(const JobHostConfig &inConfig)
+/// Parameters of the balancer, from the host's configuration.
+inline BalanceTuning BalanceTuningOf(const JobHostConfig &inConfig)
 {
 	BalanceTuning tuning;
 	tuning.headroom_percent = inConfig.balance_headroom_percent;
@@ -28,16 +29,16 @@
 template <class Hub>
 FleetSeat<Hub>::FleetSeat(Hub &inHub, const SeatContext &inContext, AskOwner inAsk)
 	: hub(inHub), context(inContext), ask(std::move(inAsk)), log(inHub.store, CellLog(cFleetCell, 1), inContext.process),
-	  planner(UpkeepTuning{inContext.config.maintenance_ms}), balancer(BalanceOf(inContext.config))
+	  planner(UpkeepTuning{inContext.config.maintenance_ms}), balancer(BalanceTuningOf(inContext.config))
 {
 }
 
 template <class Hub>
-void FleetSeat<Hub>::Claim(uint64 inBeatNumber, const OnSeat &inDone)
+void FleetSeat<Hub>::Claim(uint64 inHeartbeatNumber, const OnOwnership &inDone)
 {
-	this->on_seat = inDone;
+	this->on_ownership = inDone;
 	this->log.Claim(
-		inBeatNumber,
+		inHeartbeatNumber,
 		[this](const ClaimRecord &inSeen)
 		{
 			const Millis now = NowMillis();
@@ -54,16 +55,16 @@
 					{
 						const std::optional<std::set<std::string>> done = DecodeValue<std::set<std::string>>(value);
 						if (key.size() > 1 && key[0] == cWaveKey && done.has_value())
-							this->logged[std::strtoll(key.c_str() + 1, nullptr, 10)] = *done;
+							this->logged_hosts[std::strtoll(key.c_str() + 1, nullptr, 10)] = *done;
 					}
 					this->held = true;
 					this->shares.emplace(this->log.Epoch(), NowMillis(), LongestLease(this->context.config.worker_lease_ms));
 					if (this->catalogue != nullptr)
 						this->SetCatalogue(this->catalogue);
-					LogEvent(ELogLevel::Info, "fleet_owned").Field("epoch", this->log.Epoch()).Field("waves", this->logged.size());
+					LogEvent(ELogLevel::Info, "fleet_owned").Field("epoch", this->log.Epoch()).Field("waves", this->logged_hosts.size());
 					this->tick.Every(cFleetTickMs, [this] { this->Step(); });
 				}
-				const OnSeat done = this->on_seat;
+				const OnOwnership done = this->on_ownership;
 				done(inWon);
 			}));
 }
@@ -105,7 +106,7 @@
 {
 	for (const auto &[number, wave] : inWaves)
 		if (!this->planner.HasWave(number))
-			this->planner.AddWave(wave, this->logged[number], NowMillis());
+			this->planner.AddWave(wave, this->logged_hosts[number], NowMillis());
 }
 
 template <class Hub>
@@ -117,10 +118,10 @@
 	for (int64 wave : this->planner.Waves())
 		this->WriteStatus(wave, this->planner.IsCompleted(wave));
 	const bool has_machines = this->context.config.machines.has_value();
-	if (has_machines && !this->listing && now - this->listed_at >= cListEveryMs)
+	if (has_machines && !this->listing && now - this->listed_at >= cListIntervalMs)
 		this->ListHosts();
-	this->AskToEmpty(now);
-	this->AskDemands(now);
+	this->RequestDrains(now);
+	this->RequestDemands(now);
 	this->Write(now);
 }
 
@@ -144,17 +145,17 @@
 }
 
 template <class Hub>
-void FleetSeat<Hub>::AskToEmpty(Millis inNow)
+void FleetSeat<Hub>::RequestDrains(Millis inNow)
 {
 	this->planner.SetTight(this->balancer.Tight(inNow));
 	this->planner.SetMoving(this->balancer.Moving());
 	std::vector<HostEntry> hosts = this->planner.ToEmpty(inNow);
-	// A move whose outcome is unknown may be carried out late: its worker stays empty until then
+	// A move with an unknown outcome may still be carried out, so its worker must stay drained until then
 	for (HostEntry &host : this->balancer.InDoubt())
 		hosts.push_back(std::move(host));
 	for (const HostEntry &host : hosts)
 	{
-		if (!this->asking.insert(host.name).second)
+		if (!this->awaiting_drain.insert(host.name).second)
 			continue;
 		PeerQuestion question;
 		question.kind = EQuestion::Empty;
@@ -164,7 +165,7 @@
 				  this->Guard(
 					  [this, name = host.name, asked_at = inNow](const std::optional<PeerAnswer> &inAnswer)
 					  {
-						  this->asking.erase(name);
+						  this->awaiting_drain.erase(name);
 						  if (inAnswer.has_value() && inAnswer->owner && inAnswer->empty)
 							  this->planner.OnEmpty(name, asked_at, NowMillis());
 					  }));
@@ -172,26 +173,26 @@
 }
 
 template <class Hub>
-void FleetSeat<Hub>::AskDemands(Millis inNow)
+void FleetSeat<Hub>::RequestDemands(Millis inNow)
 {
-	if (inNow - this->demands_at < cDemandsEveryMs)
+	if (inNow - this->demands_asked_at < cDemandsIntervalMs)
 		return;
-	this->demands_at = inNow;
+	this->demands_asked_at = inNow;
 	for (const auto &[pool, spare] : this->balancer.ToAsk(inNow))
 	{
-		if (!this->asking_pools.insert(pool).second)
+		if (!this->awaiting_demand.insert(pool).second)
 			continue;
 		PeerQuestion question;
 		question.kind = EQuestion::Demand;
 		question.id = pool;
-		question.count = std::min(spare, cMostSpared);
+		question.count = std::min(spare, cMaxSparedWorkers);
 		question.for_ms = cEmptyForMs;
-		question.left = this->LeftOf(pool, inNow);
+		question.left = this->RecentlyDeparted(pool, inNow);
 		this->ask(pool, question,
 				  this->Guard(
 					  [this, name = pool, asked_at = inNow](const std::optional<PeerAnswer> &inAnswer)
 					  {
-						  this->asking_pools.erase(name);
+						  this->awaiting_demand.erase(name);
 						  if (inAnswer.has_value() && inAnswer->owner)
 							  this->balancer.OnDemand(name, inAnswer->demand, asked_at);
 					  }));
@@ -199,13 +200,13 @@
 }
 
 template <class Hub>
-std::vector<std::string> FleetSeat<Hub>::LeftOf(const std::string &inPool, Millis inNow)
+std::vector<std::string> FleetSeat<Hub>::RecentlyDeparted(const std::string &inPool, Millis inNow)
 {
 	std::vector<std::string> workers;
-	std::map<std::string, Millis> &gone = this->left[inPool];
-	std::erase_if(gone, [inNow](const auto &inLeft) { return inNow - inLeft.second > cTellLeftMs; });
-	for (const auto &[worker, at] : gone)
-		if (workers.size() < cMostLeft)
+	std::map<std::string, Millis> &departed_at = this->departed[inPool];
+	std::erase_if(departed_at, [inNow](const auto &inLeft) { return inNow - inLeft.second > cReportDepartedMs; });
+	for (const auto &[worker, at] : departed_at)
+		if (workers.size() < cMaxDeparted)
 			workers.push_back(worker);
 	return workers;
 }
@@ -213,26 +214,26 @@
 template <class Hub>
 void FleetSeat<Hub>::SendDuty(const HostDuty &inDuty)
 {
-	const auto tell = [this, duty = inDuty](EDutyResult inResult)
+	const auto report = [this, duty = inDuty](EDutyResult inResult)
 	{
 		this->context.metrics.Count(ECounter::Duties, NameOf(cDutyResultNames, inResult));
 		if (inResult == EDutyResult::Done && !duty.worker.empty())
-			this->left[duty.from][duty.worker] = NowMillis();
+			this->departed[duty.from][duty.worker] = NowMillis();
 		if (duty.kind == EDuty::Move)
 			this->balancer.OnMove(duty, inResult, NowMillis());
 		else
 			this->planner.OnDuty(duty, inResult, NowMillis());
 	};
 	if (!this->held || !this->context.lease.MayAct(NowMillis()))
-		return tell(EDutyResult::Refused);
-	++this->duties_under_way;
+		return report(EDutyResult::Refused);
+	++this->duties_in_flight;
 	this->hub.machines.Send(inDuty, this->Guard(
-										[this, tell](EDutyResult inResult)
+										[this, report](EDutyResult inResult)
 										{
-											--this->duties_under_way;
+											--this->duties_in_flight;
 											if (inResult == EDutyResult::Unknown)
-												this->doubt_at = NowMillis();
-											tell(inResult);
+												this->last_unknown_at = NowMillis();
+											report(inResult);
 										}));
 }
 
@@ -245,13 +246,13 @@
 	for (int64 wave : this->planner.Waves())
 	{
 		std::set<std::string> done = this->planner.DoneOf(wave);
-		if (done == this->logged[wave])
+		if (done == this->logged_hosts[wave])
 			continue;
 		records.push_back({cWaveKey + std::to_string(wave), EncodeValue(done), 0});
-		this->logged[wave] = std::move(done);
+		this->logged_hosts[wave] = std::move(done);
 	}
 	std::vector<HostDuty> duties = this->retiring ? std::vector<HostDuty>() : this->planner.TakeDuties(inNow);
-	// What the waves have chosen since the last list is not to be moved
+	// Hosts that a wave has chosen since the last host list must not be moved
 	this->balancer.SetBusy(this->planner.Busy());
 	if (!this->retiring)
 		for (HostDuty &move : this->balancer.TakeMoves(inNow))
@@ -260,13 +261,13 @@
 	{
 		duty.holder = this->context.config.name;
 		duty.token = this->log.Epoch();
-		const Millis good_until = duty.not_after > 0 ? std::min(duty.not_after, inNow + cDutyGoodMs) : inNow + cDutyGoodMs;
-		duty.not_after = std::min(this->context.lease.Until(), good_until);
+		const Millis valid_until = duty.not_after > 0 ? std::min(duty.not_after, inNow + cDutyValidMs) : inNow + cDutyValidMs;
+		duty.not_after = std::min(this->context.lease.Until(), valid_until);
 		records.push_back({cDutyKey + duty.host, duty.pool, 0});
 	}
 	if (records.empty())
 		return;
-	// The platform does not check tokens here: an append that comes through proves that nobody else has claimed the fleet
+	// The platform does not check fencing tokens here: a successful append proves that no other host has claimed the fleet cell
 	this->log.Append(std::move(records), this->Guard(
 											 [this, duties](bool inDone)
 											 {
@@ -277,17 +278,17 @@
 												 if (inDone)
 													 return;
 												 LogPlain(ELogLevel::Warning, "fleet_lost");
-												 const OnSeat lost = this->on_seat;
-												 lost(false);
+												 const OnOwnership on_lost = this->on_ownership;
+												 on_lost(false);
 											 }));
 }
 
 template <class Hub>
 void FleetSeat<Hub>::WriteStatus(int64 inWave, bool inCompleted)
 {
-	auto told = this->told.find(inWave);
-	const bool stands = told != this->told.end() && told->second == inCompleted;
-	if (stands || !this->telling.insert(inWave).second)
+	auto reported = this->reported.find(inWave);
+	const bool up_to_date = reported != this->reported.end() && reported->second == inCompleted;
+	if (up_to_date || !this->reporting.insert(inWave).second)
 		return;
 	AppendCall call;
 	call.log = Hub::StatusLog();
@@ -297,10 +298,10 @@
 						   this->Guard(
 							   [this, inWave, inCompleted](const AppendAnswer &inAnswer)
 							   {
-								   this->telling.erase(inWave);
+								   this->reporting.erase(inWave);
 								   if (inAnswer.result != EAppend::Done)
 									   return;
-								   this->told[inWave] = inCompleted;
+								   this->reported[inWave] = inCompleted;
 								   LogEvent(ELogLevel::Info, "wave_state").Field("wave", inWave).Field("completed", inCompleted ? 1 : 0);
 							   }));
 }
--- a/Loomreach/Entry/JobHost.h
+++ b/Loomreach/Entry/JobHost.h
@@ -1,4 +1,5 @@
-// An entry host that takes jobs: its door to callers, its share of the cells, and what it reads of the platform to do both.
+// An entry host that accepts jobs. It answers callers, owns a share of the cells, and follows the platform's logs that both need: the
+// operator's records, the workers' entries and the heartbeats of the other hosts.
 
 #pragma once
 
@@ -17,16 +18,17 @@
 namespace Loomreach::Jobs
 {
 
-/// See the head of the file. `Hub` is the platform: a log, workers' agents, the machine service, the adviser, a door, and decoders.
+/// One entry host. `Hub` is the platform: the store (replicated logs), the workers' agents, the machine service, the adviser, the listener
+/// for callers (`Door`), and the decoders of the platform's records.
 template <class Hub>
 class JobHost final : public JobCalls
 {
 public:
 	explicit JobHost(JobHostConfig inConfig);
 
-	/// Opens the listeners and begins to read; false with the reason.
+	/// Opens the listeners and starts to read the logs. Returns false if a listener cannot be opened; the reason is left as the last error.
 	bool Start();
-	/// Gives back the cells, answers what is under way, then calls back.
+	/// Releases the cells, answers the requests in progress, then calls back.
 	void Stop(std::function<void()> inDone);
 
 	// JobCalls
@@ -40,119 +42,120 @@
 
 private:
 	static constexpr Millis cPercent = 100;
-	/// A caller's request on its way into an inbox.
-	struct Entering
+	/// A caller's request that is being appended to a cell's inbox.
+	struct PendingRequest
 	{
 		InboxRecord record;
 		uint32 cell = 0;
 		Millis give_up_at = 0;
-		uint64 key_hash = 0;       ///< See Admission.
-		bool in_doubt = false;     ///< Whether an earlier try may have been appended.
-		bool helped = false;       ///< Whether helpers have been asked.
-		bool owner_silent = false; ///< Whether the first helper asked, as a rule the cell's owner, gave no answer.
+		uint64 key_hash = 0;             ///< Hash of the caller's key, see Admission.
+		bool maybe_appended = false;     ///< Whether an earlier attempt may have been appended: its outcome is unknown.
+		bool helpers_asked = false;      ///< Whether helpers have been asked to append it.
+		bool owner_unresponsive = false; ///< Whether the first helper, normally the cell's owner, did not answer.
 		JobReply reply;
 	};
 
-	uint32 Parts() const { return static_cast<uint32>(this->config.log_parts); }
-	// The operator's and the workers' records
+	uint32 PartitionCount() const { return static_cast<uint32>(this->config.log_parts); }
+	// The operator's records and the workers' entries
 	void LoadOperator();
-	/// How long to leave between two reads of the operator's records; 0: a read that waits follows at once.
-	Millis OperatorGap(Millis inNow) const;
-	void FollowOperatorSoon(uint64 inFrom);
-	void FollowOperator(uint64 inFrom, Millis inWaitMs);
+	/// Delay between two reads of the operator's records; 0: long polls follow each other without a delay.
+	Millis OperatorReadDelay(Millis inNow) const;
+	void ScheduleOperatorRead(uint64 inFrom);
+	void ReadOperator(uint64 inFrom, Millis inWaitMs);
 	void OnOperatorRecord(const LogRecord &inRecord);
 	void OnCatalogue(const LogRecord &inRecord);
 	void OnZoneOrder(const LogRecord &inRecord);
-	/// Drops the orders of zones that a whole reading of the operator's newest records does not name.
-	void KeepZoneOrders(const NewestAnswer &inAnswer);
-	void TellZones();
+	/// Drops the zone orders whose records are missing from a complete read of the operator's newest records.
+	void RemoveUnnamedZoneOrders(const NewestAnswer &inAnswer);
+	void UpdateZones();
 	void LoadWorkers();
-	void FollowWorkers(uint64 inFrom, uint64 inReading);
+	void ScheduleWorkersRead(uint64 inFrom, uint64 inLoad);
 	void OnWorkerRecord(const LogRecord &inRecord);
-	void TellWorkers();
+	void UpdateWorkers();
 	// Ownership
 	void LoadHosts();
-	/// One round of calls to all partitions of the heartbeats.
+	/// One round of reads over all partitions of the heartbeat log.
 	struct HostsRound
 	{
-		uint32 open = 0;      ///< Calls without an answer yet.
-		bool all = true;      ///< Whether every answer so far was good.
-		bool gone = false;    ///< Whether a partition's older records have been removed.
-		bool in_turn = false; ///< Whether each call waits for the one before.
+		uint32 open = 0;        ///< Reads without an answer yet.
+		bool all = true;        ///< Whether all answers so far were good.
+		bool truncated = false; ///< Whether a partition no longer has the records from which it was to be read.
+		bool in_turn = false;   ///< Whether each read waits for the one before.
 	};
 	void LoadHostPart(const std::shared_ptr<HostsRound> &inRound, uint32 inPart);
-	void FollowHosts();
-	/// Whether this host reads all heartbeats as often as owners do.
+	void ScheduleHostsRead();
+	/// Whether this host reads all heartbeats as often as owners do: it owns a cell or is a candidate successor.
 	bool IsWellInformed(Millis inNow) const { return this->Owned() > 0 || this->owners.IsHeir(inNow); }
-	/// Asks a host that is well informed who owns what, if this one is not.
+	/// Asks a well-informed host which hosts own which cells, unless this host is well informed itself.
 	void AskOwners(Millis inNow);
-	/// Percent of a pause after which this host acts: hosts that started together must not go on together.
-	Millis DrawPausePercent();
-	/// A pause of this mean.
-	Millis DrawPause(Millis inMean) { return inMean * this->DrawPausePercent() / cPercent; }
-	/// How soon to read the heartbeats again.
-	Millis HostsGap(Millis inNow);
-	/// How soon to look again while a cell seems free.
-	Millis FreeCellGap(Millis inNow) const;
+	/// Random percentage by which a delay is scaled, so that hosts that started together do not stay in step.
+	Millis RandomDelayPercent();
+	/// A random delay with this mean.
+	Millis RandomizeDelay(Millis inMean) { return inMean * this->RandomDelayPercent() / cPercent; }
+	/// Delay until the next read of the heartbeats.
+	Millis HostsReadDelay(Millis inNow);
+	/// Delay until the next read of the heartbeats while a cell seems free.
+	Millis FreeCellReadDelay(Millis inNow) const;
 	void ReadHosts();
 	void ReadHostPart(const std::shared_ptr<HostsRound> &inRound, uint32 inPart);
 	void OnHostRecords(const std::vector<LogRecord> &inRecords);
 	void OnHostsRead(bool inAll);
-	uint32 HostParts() const { return std::min(cHostParts, this->Parts()); }
-	Millis BeatInterval(Millis inNow) const;
-	/// `inAtOnce`: also while others are under way.
-	void Beat(bool inAtOnce = false);
-	/// How soon to look for news of workers.
-	Millis WorkersInterval() const;
-	/// The lease that a heartbeat should renew now.
-	Millis LeaseFor(Millis inNow) const;
-	/// Whether this process has lately not run when it should have.
-	bool IsShortOfTime(Millis inNow) const;
-	/// What the next heartbeat says.
-	HostBeat NewBeat(Millis inNow);
-	/// Tells other hosts by datagram that this one has let its cells go: while the store is away its heartbeats can't. `inFleetCell`: the
-	/// fleet, if an order to a host is under way.
-	void TellLetGo(const std::optional<OwnedCell> &inFleetCell);
-	/// Another host told of its heartbeat, or of ends.
-	void OnNews(EPeerNews inKind, const std::string &inNews);
-	void OnEndsUpdate(const std::string &inNews);
-	/// Hands in what owners that are gone had told this host.
-	void HandInOrphans(Millis inNow);
-	void OnBeatAnswer(const AppendAnswer &inAnswer, Millis inSentAt, Millis inLeaseMs);
-	void DropSuperseded();
+	uint32 HeartbeatPartitionCount() const { return std::min(cHostParts, this->PartitionCount()); }
+	Millis HeartbeatInterval(Millis inNow) const;
+	/// Appends a heartbeat. `inForce`: even while earlier ones have no answer yet.
+	void SendHeartbeat(bool inForce = false);
+	/// Delay until the next read of the workers' entries.
+	Millis WorkersReadDelay() const;
+	/// Length of the lease that a heartbeat sent now renews.
+	Millis HeartbeatLease(Millis inNow) const;
+	/// Whether this process has recently not been scheduled in time.
+	bool IsCpuStarved(Millis inNow) const;
+	/// Builds the next heartbeat.
+	HostBeat NewHeartbeat(Millis inNow);
+	/// Tells other hosts by datagram that this host has released its cells, since its heartbeats cannot say so while it does not reach the
+	/// store. `inFleetCell`: the fleet cell, if an order to a host is in flight.
+	void AnnounceRelease(const std::optional<OwnedCell> &inFleetCell);
+	/// Handles a heartbeat or replicated run ends that another host sent by datagram.
+	void OnPeerMessage(EPeerNews inKind, const std::string &inMessage);
+	void OnEndsUpdate(const std::string &inMessage);
+	/// Submits replicated run ends to the inboxes of cells whose owners have stopped acting.
+	void SubmitOrphanedEnds(Millis inNow);
+	void OnHeartbeatAnswer(const AppendAnswer &inAnswer, Millis inSentAt, Millis inLeaseMs);
+	void MarkSupersededCells();
 	void ConsiderClaims();
 	void ClaimCell(uint32 inCell);
 	void ClaimFleet();
-	void DropSeats(std::string_view inWhy);
-	/// Gives a cell to another host by plan, where that one can carry it far better.
-	void GiveOn(Millis inNow);
-	/// Removes the heartbeats of hosts that are gone: whoever starts anew would take them for news, and wait for their leases.
-	void SweepHosts(Millis inNow);
+	void AbandonCells(std::string_view inWhy);
+	/// Hands a cell over to another host that is far less loaded for its size.
+	void RebalanceCells(Millis inNow);
+	/// Removes the heartbeats of lost hosts. A host that starts later would read them as current and wait for the leases to expire.
+	void RemoveLostHosts(Millis inNow);
 	void Tick();
 	size_t Owned() const;
-	SeatContext ContextOfSeat(uint32 inCell);
-	/// Lets a cell go, but not the ends that only its seat knows.
-	void DropSeat(uint32 inCell);
-	void DropAllSeats();
-	/// A worker's answer to a look of the owner with this epoch came, perhaps after its seat has gone: ends that it lists are then handed
-	/// in.
-	void SaveEnds(uint32 inCell, uint64 inEpoch, const std::string &inWorker, const std::vector<EndedRow> &inEnded);
-	/// Whether ends may still have to be handed in: a look is under way, or a report is.
-	bool OwesEnds() const { return this->looks_under_way > 0 || this->ends_hand_in.UnderWay() > 0; }
+	SeatContext DriverContextFor(uint32 inCell);
+	/// Releases a cell. Run ends that only its driver knows are submitted to the inbox.
+	void ReleaseCell(uint32 inCell);
+	void ReleaseAllCells();
+	/// Handles a worker's answer to a poll sent by the owner with this epoch. If that owner's driver no longer exists, the ends that the
+	/// answer lists are submitted to the inbox.
+	void SubmitLateEnds(uint32 inCell, uint64 inEpoch, const std::string &inWorker, const std::vector<EndedRow> &inEnded);
+	/// Whether run ends may still have to be submitted: a poll or a submission is in flight.
+	bool HasEndsToSubmit() const { return this->polls_in_flight > 0 || this->ends_submitter.UnderWay() > 0; }
 	// Callers
-	void Enter(std::shared_ptr<Entering> inEntering);
-	void OnEnterAnswer(const std::shared_ptr<Entering> &inEntering, const AppendAnswer &inAnswer, Millis inSentAt);
+	void AppendToInbox(std::shared_ptr<PendingRequest> inRequest);
+	void OnAppendAnswer(const std::shared_ptr<PendingRequest> &inRequest, const AppendAnswer &inAnswer, Millis inSentAt);
 	InboxWriter<decltype(Hub::store)> &WriterOf(uint32 inCell);
-	/// Whether the store is slow to take what this host appends to a cell's inbox, and another host could do it better.
+	/// Whether the store is slow in taking this host's appends to a cell's inbox, so that the cell's owner should append instead.
 	bool IsSlowFor(uint32 inCell);
-	/// Why a configuration newer than that of the host which asks does not allow a record; None: it does, or it is not newer.
+	/// Why this host's configuration does not allow a record. None: it is allowed, or the configuration is not newer than that of the
+	/// asking host.
 	EError RefusalOf(const InboxRecord &inRecord, const PeerQuestion &inQuestion) const;
-	/// Another host's newer configuration does not allow it.
-	void RefuseByNewer(const std::shared_ptr<Entering> &inEntering, EError inRefusal);
-	void EnterByHelper(const std::shared_ptr<Entering> &inEntering, size_t inHelper);
-	/// Hosts that may put a record into a cell's inbox for this one, the best first.
+	/// Refuses a request because another host's newer configuration does not allow it.
+	void RefuseByNewerConfig(const std::shared_ptr<PendingRequest> &inRequest, EError inRefusal);
+	void AppendByHelper(const std::shared_ptr<PendingRequest> &inRequest, size_t inHelper);
+	/// Hosts that may append to a cell's inbox on behalf of this one, in order of preference.
 	std::vector<Address> HelpersFor(uint32 inCell) const;
-	void EnterAgainOrRefuse(const std::shared_ptr<Entering> &inEntering);
+	void RetryOrRefuse(const std::shared_ptr<PendingRequest> &inRequest);
 	/// Asks other hosts whether they reach the store.
 	void SearchHelpers(Millis inNow);
 	void OnQuestion(const PeerQuestion &inQuestion, std::function<void(PeerAnswer)> inReply);
@@ -167,51 +170,52 @@
 	LeaseTuning lease_tuning;
 	OwnLease lease;
 	OwnerTable owners;
-	uint64 life;
-	Random random; ///< Keeps hosts from asking at one moment.
+	uint64 incarnation;
+	Random random; ///< Spreads the reads and questions of hosts that started together.
 	Hub hub;
 	typename Hub::Door door;
 	PeerQuery peers;
 	OrderSender<decltype(Hub::workers)> orders;
 	std::shared_ptr<const Catalogue> catalogue;
-	size_t catalogue_bytes = 0; ///< Of its record.
+	size_t catalogue_bytes = 0; ///< Size of the configuration's record.
 	std::map<int64, UpkeepWave> waves;
 	ZoneEvacuations evacuations;
 	std::map<std::string, WorkerEntry> workers;
-	std::map<uint32, std::unique_ptr<CellSeat<Hub>>> seats;
-	std::unique_ptr<FleetSeat<Hub>> fleet;
-	std::map<uint32, std::unique_ptr<InboxWriter<decltype(Hub::store)>>> writers; ///< Of the cells' inboxes.
-	EndsHandIn<decltype(Hub::store)> ends_hand_in;
-	EndReplicas end_replicas;                    ///< Of other hosts' cells.
-	size_t looks_under_way = 0;                  ///< At workers, for cells of this host.
-	std::vector<uint32> lost_seats;              ///< Dropped at the next tick, not within their own calls.
-	std::array<uint64, cHostParts> hosts_next{}; ///< Where to read on, by partition.
-	uint64 start = 0;                            ///< See HostBeat; 0: the heartbeats have not been read yet.
-	uint32 beats_under_way = 0;
-	double beat_answer_ms = 0.0; ///< How long heartbeats take, a mean that forgets.
-	uint32 beat_shift = 0;       ///< Partitions passed over because they did not take a heartbeat.
-	bool cells_free = false;     ///< Whether any cell seemed free at the last look.
-	uint32 entries_refused = 0;  ///< Workers' entries that could not be read since the last line about them.
-	Millis entries_refused_told_at = std::numeric_limits<Millis>::min() / 2;
-	uint64 workers_reading = 0; ///< Which reading of the workers' entries is the one in force.
-	uint64 beat_number = 0;
-	Millis beat_sent_at = 0;
-	Millis beat_percent = cPercent; ///< Of its interval after which a host without cells sends its next heartbeat.
-	Millis owners_asked_at = 0;     ///< When another host was last asked who owns what.
+	std::map<uint32, std::unique_ptr<CellSeat<Hub>>> drivers;
+	std::unique_ptr<FleetSeat<Hub>> fleet_driver;
+	std::map<uint32, std::unique_ptr<InboxWriter<decltype(Hub::store)>>> writers; ///< Writers of the cells' inboxes, by cell.
+	EndsHandIn<decltype(Hub::store)> ends_submitter;
+	EndReplicas end_replicas;       ///< Run ends replicated for other hosts' cells.
+	size_t polls_in_flight = 0;     ///< Polls to workers without an answer yet, for cells of this host.
+	std::vector<uint32> lost_cells; ///< Cells to release at the next tick: a driver must not be destroyed within its own callback.
+	std::array<uint64, cHostParts> hosts_next{}; ///< Offsets of the next reads, by partition.
+	uint64 start = 0; ///< Number of this start of the host, see HostBeat; 0: the heartbeats have not been read yet.
+	uint32 heartbeats_in_flight = 0;
+	double heartbeat_latency_ms = 0.0;    ///< Decaying mean of the time in which heartbeats are acknowledged.
+	uint32 heartbeat_partition_shift = 0; ///< Partitions to skip because they did not accept a heartbeat.
+	bool any_cell_free = false;           ///< Whether any cell seemed free when the heartbeats were last read.
+	uint32 entries_refused = 0;           ///< Workers' entries that could not be decoded since the last log line about them.
+	Millis entries_refused_logged_at = std::numeric_limits<Millis>::min() / 2;
+	uint64 workers_load = 0; ///< Number of the current load of the workers' entries; answers to earlier loads are ignored.
+	uint64 heartbeat_number = 0;
+	Millis heartbeat_sent_at = 0;
+	Millis heartbeat_delay_percent = cPercent; ///< Percentage of its interval after which a host without cells sends its next heartbeat.
+	Millis owners_asked_at = 0;                ///< When another host was last asked which hosts own which cells.
 	Millis started_at = 0;
-	Millis swept_at = 0; ///< When hosts that are gone were last looked for.
-	Millis tick_at = 0;  ///< Of the last tick.
-	Millis ticked_late_at = std::numeric_limits<Millis>::min() / 2;
-	Millis store_heard_at = -1; ///< When the store last answered a read or took a caller's record.
-	Millis store_read_ms = 0;   ///< How long it took to.
-	TurnedAwayWatch turned_away;
-	std::optional<uint32> giving_on; ///< The cell that is being given on,
-	Millis giving_since = 0;         ///< and since when.
-	bool store_heard = true;
-	Millis operator_heard_at = std::numeric_limits<Millis>::min() / 2; ///< When the operator's newest records were last known to be read.
-	StoreWatch store_watch;                                            ///< Of calls that are answered at once.
-	HelperSearch helper_search;                                        ///< While the store is late.
-	Millis store_back_at = std::numeric_limits<Millis>::min() / 2;     ///< When it was last heard again after a silence.
+	Millis lost_hosts_checked_at = 0; ///< When lost hosts were last looked for.
+	Millis ticked_at = 0;             ///< Time of the last tick.
+	Millis late_tick_at = std::numeric_limits<Millis>::min() / 2;
+	Millis store_answered_at = -1;    ///< When the store last answered a read or acknowledged a caller's record; -1: never.
+	Millis store_read_latency_ms = 0; ///< Time that the latest read of heartbeats took.
+	TurnedAwayWatch store_isolation;
+	std::optional<uint32> handover_cell; ///< Cell that is being handed over to balance the load.
+	Millis handover_since = 0;           ///< When that hand-over began.
+	bool store_responsive = true;
+	Millis operator_read_at = std::numeric_limits<Millis>::min() / 2; ///< When the operator's newest records were last read successfully.
+	StoreWatch store_watch;                                           ///< Watches the calls that the store answers without waiting.
+	HelperSearch helper_search;                                       ///< Used while the store's answers are late.
+	/// When the store last answered again after it had been unresponsive.
+	Millis store_recovered_at = std::numeric_limits<Millis>::min() / 2;
 	bool stopping = false;
 	Millis stop_at = 0;
 	std::function<void()> on_stopped;
--- a/Loomreach/Entry/JobHost.inl
+++ b/Loomreach/Entry/JobHost.inl
@@ -1,67 +1,81 @@
-// Wires an entry host together: start, what is done at times, stop. Its share of the cells is in JobHostOwnership.inl, what it reads in
-// JobHostFeeds.inl, what callers ask in JobHostCallers.inl.
+// Start, periodic work and stop of an entry host. Ownership of cells is in JobHostOwnership.inl, reads of the platform's logs in
+// JobHostFeeds.inl, callers' requests in JobHostCallers.inl.
 
 namespace Loomreach::Jobs
 {
 
-inline constexpr Millis cOperatorWaitMs =
-	900; ///< A read of the operator's records waits this long: with its timeout it bounds the lag under 2 s.
-/// Unheard for this long, the operator's records may have changed unread: two reads have failed to come back.
+/// Long-poll time for the operator's records: together with the call's timeout it keeps the lag below 2 s.
+inline constexpr Millis cOperatorReadWaitMs = 900;
+/// When two reads in a row have failed, the operator's records may have changed without this host's knowledge.
 inline constexpr Millis cOperatorStaleMs = 2000;
-/// Hosts that spread their reads of a change come to know of it within two of these at the latest.
-inline constexpr Millis cMostOperatorGapMs = 2000;
-inline constexpr Millis cFollowAgainMs = 200;
-inline constexpr Millis cWorkersEveryMs = 400;         ///< An owner looks for news of workers this often: drains count within 2 s.
-inline constexpr Millis cWorkersShortMs = 150;         ///< And at most this often while something waits for room,
-inline constexpr Millis cWorkersEachMs = 3;            ///< as far as so long for each worker allows.
-inline constexpr Millis cEntriesRefusedEveryMs = 1000; ///< Entries that cannot be read are told of at most this often.
-inline constexpr Millis cBeatsOfLease = 4;             ///< Heartbeats, and reads of the others', in one lease: three may be lost.
-/// A cell that nobody has owned is claimed this long after it was first seen free: all machines start within 0.3 s (users' figure), the
-/// smallest need half a second to begin, and are heard of at the next look. Sooner, the first few hosts to start own everything.
-inline constexpr Millis cFirstClaimMs = 3000;
-inline constexpr Millis cSlowBeatMs = 200;     ///< An owner's heartbeat that takes longer is told of.
-inline constexpr Millis cSlowStoreMs = 100;    ///< A store that answers later than this is slow: 4 ms is usual, 240 ms the users' slow one.
-inline constexpr Millis cIdleSlowTimes = 4;    ///< Hosts without cells then beat this many times as seldom.
-inline constexpr Millis cBeatTimeoutMs = 1600; ///< Later than an owner's lease a heartbeat's answer is of no use.
-inline constexpr Millis cBeatLeastPatienceMs = 500; ///< Another heartbeat leaves this long after one without an answer,
-inline constexpr double cBeatPatience = 2.0;        ///< or after this many times the time that answers take.
-inline constexpr uint32 cMostBeats = 3;             ///< So many under way at once.
-inline constexpr Millis cLeastPausePercent = 50;    ///< Pauses of hosts without cells differ from this
-inline constexpr Millis cMostPausePercent = 150;    ///< to this part of their mean.
-inline constexpr Millis cOwnersLeastMs = 1000;      ///< Who owns what is asked for this often by hosts that read it seldom,
-inline constexpr Millis cOwnersEachMs = 2;  ///< or once in so many ms for each host there is: the few that answer are as many in any fleet.
-inline constexpr Millis cAskOwnersMs = 300; ///< One without an answer is followed by the next in its time.
-inline constexpr Millis cSweepEveryMs = 2000;   ///< Hosts that are gone are looked for this often,
-inline constexpr Millis cHostGoneMs = 12000;    ///< and are gone after this: six leases, and longer than the users' cuts of a zone.
-inline constexpr Millis cTellAgainMs = 60;      ///< What must not be lost with a datagram is told twice.
-inline constexpr double cBeatAnswerShare = 0.4; ///< Weight of a sooner answer in the time that answers take.
-inline constexpr Millis cHostsClaimMs = 120;    ///< While a cell seems free.
+/// Hosts that spread their reads learn of a change within two of these delays.
+inline constexpr Millis cMaxOperatorReadDelayMs = 2000;
+inline constexpr Millis cReadRetryMs = 200;
+/// Longest delay between an owner's reads of the workers' entries: drains must take effect within 2 s.
+inline constexpr Millis cMaxWorkersReadDelayMs = 400;
+inline constexpr Millis cMinWorkersReadDelayMs = 150; ///< Shortest such delay, used while tasks wait for capacity.
+/// While tasks wait the delay is this much per worker, between the limits above: after each read the owner goes through all workers.
+inline constexpr Millis cReadDelayPerWorkerMs = 3;
+inline constexpr Millis cEntriesRefusedLogMs = 1000; ///< Entries that cannot be decoded are logged at most once in this time.
+/// Heartbeats sent, and reads of other hosts' heartbeats, during one lease: three may be lost.
+inline constexpr Millis cHeartbeatsPerLease = 4;
+/// Delay before a cell that never had an owner is claimed. All hosts start within 0.3 s (figure given by the users), the smallest need
+/// 0.5 s to get ready, and their heartbeats are seen at the next read. With a shorter delay the first few hosts to start would own all
+/// cells.
+inline constexpr Millis cFirstClaimDelayMs = 3000;
+inline constexpr Millis cSlowHeartbeatMs = 200; ///< Slower heartbeats of an owner are logged.
+/// A store with a higher latency counts as slow: it usually answers in 4 ms, the users' slow store in 240 ms.
+inline constexpr Millis cSlowStoreMs = 100;
+/// Factor by which hosts without cells stretch their heartbeat interval while the store is slow.
+inline constexpr Millis cIdleSlowFactor = 4;
+inline constexpr Millis cHeartbeatTimeoutMs = 1600;    ///< A later acknowledgement would be of no use: the owner's lease is over.
+inline constexpr Millis cMinHeartbeatOverlapMs = 500;  ///< Another heartbeat may be sent this long after one that has no answer yet,
+inline constexpr double cHeartbeatOverlapFactor = 2.0; ///< or after this many times the usual latency, if that is longer.
+inline constexpr uint32 cMaxHeartbeatsInFlight = 3;    ///< Limit of heartbeats without an answer.
+inline constexpr Millis cMinDelayPercent = 50;         ///< Random delays of hosts without cells: shortest, percentage of the mean,
+inline constexpr Millis cMaxDelayPercent = 150;        ///< and longest.
+/// Hosts that seldom read the heartbeats ask which hosts own which cells at this interval.
+inline constexpr Millis cMinAskOwnersIntervalMs = 1000;
+/// The interval is at least this much per host, so that the load on the few hosts that answer does not grow with the fleet.
+inline constexpr Millis cAskOwnersPerHostMs = 2;
+inline constexpr Millis cAskOwnersTimeoutMs = 300; ///< Without an answer the next question follows at its regular time.
+inline constexpr Millis cLostHostsCheckMs = 2000;  ///< Interval at which lost hosts are looked for.
+/// A host without heartbeats for this long is lost: six leases, and longer than the network partitions of a zone that the users expect.
+inline constexpr Millis cHostLostMs = 12000;
+inline constexpr Millis cReleaseRepeatMs = 60;         ///< The release of cells is announced twice since datagrams may be lost.
+inline constexpr double cHeartbeatLatencyWeight = 0.4; ///< Weight of a faster answer in the mean latency; a slower one counts in full.
+inline constexpr Millis cFreeCellReadMs = 120;         ///< Interval between reads of the heartbeats while a cell seems free.
 inline constexpr Millis cHostTickMs = 50;
-inline constexpr Millis cLateTickMs = 200;    ///< A later tick shows a host short of processor time: four ticks have passed,
-inline constexpr Millis cSlowHostMs = 10000;  ///< and for this long it counts as such.
-inline constexpr Millis cStoodStillMs = 400;  ///< A later tick is told of: the process was frozen, or out of processor time.
-inline constexpr Millis cEnterAgainMs = 60;   ///< A submission without an answer is appended again after this; one id stays one job.
-inline constexpr Millis cEnterMarginMs = 150; ///< Before the caller's deadline the last word is said.
-inline constexpr Millis cEnterTimeoutMs = 700;
-inline constexpr Millis cEnterLeastMs =
-	200; ///< An append is never given up sooner: a caller with little time left is better answered late than in doubt.
+inline constexpr Millis cLateTickMs = 200;     ///< A later tick means that the host lacks processor time: four ticks were missed.
+inline constexpr Millis cCpuStarvedMs = 10000; ///< The host counts as starved for this long after a late tick.
+inline constexpr Millis cProcessPauseMs = 400; ///< A later tick is logged: the process was paused or starved of processor time.
+/// A submission whose outcome is unknown is appended again after this; its id keeps it one job.
+inline constexpr Millis cAppendRetryMs = 60;
+inline constexpr Millis cAnswerMarginMs = 150; ///< Callers get their final answer this long before their deadline.
+inline constexpr Millis cMaxAppendTimeoutMs = 700;
+/// Lower bound for the timeout of an append: a late answer serves a caller better than an unknown outcome.
+inline constexpr Millis cMinAppendTimeoutMs = 200;
 inline constexpr Millis cAskTimeoutMs = 700;
-inline constexpr Millis cAskSharesMs = 300;   ///< A question for teams' shares is asked anew with newer figures after this.
-inline constexpr size_t cMostHelpers = 2;     ///< Hosts asked to put a record into an inbox for this one.
-inline constexpr Millis cReachMs = 200;       ///< A host that does not say within this that it reaches the store is no helper.
-inline constexpr Millis cHelperMs = 500;      ///< Each of them has this long,
-inline constexpr Millis cHelperSlowMs = 1200; ///< and this long while the store is slow: its own call takes half a second.
-/// An order to a host that is under way when the fleet is let go has arrived after this, or never will: its call is given up in this time.
-inline constexpr Millis cOrderUnderWayMs = 1000;
-inline constexpr Millis cStoreSilentMs = 1800; ///< Without an answer of the store for this long, callers are sent elsewhere.
-inline constexpr Millis cLooksUntilSilent = 2; ///< Where reads come at times, so many must have failed as well.
-inline constexpr Millis cRelistedMs = 2000;    ///< Workers whose entries lapsed with the store are listed again this soon (users' figure).
-/// A planned stop waits this long for appends under way, and for promises of empty workers to run out: those last 1.5 s (cEmptyForMs).
-inline constexpr Millis cStopGiveBackMs = cEmptyForMs + 100;
-inline constexpr Millis cStopServeMs = 3200; ///< And goes on answering this long: the balancer needs two missed questions, a second apart.
-
-/// And hands in ends for this long at most: the users give a stop 6 s.
-inline constexpr Millis cStopHandInMs = 5000;
+inline constexpr Millis cAskSharesTimeoutMs = 300; ///< Timeout of a question for the teams' shares; the next one carries newer data.
+inline constexpr size_t cMaxHelpers = 2;           ///< Hosts that are asked in turn to append a record for this one.
+/// A host that does not confirm within this time that it reaches the store is not used as a helper.
+inline constexpr Millis cReachTimeoutMs = 200;
+inline constexpr Millis cHelperTimeoutMs = 500;      ///< Time that each helper has to append a record.
+inline constexpr Millis cSlowHelperTimeoutMs = 1200; ///< The same while the store is slow and the helper's own append takes half a second.
+/// An order to a host that was in flight when the fleet cell was released has arrived or failed after this: its call has timed out.
+inline constexpr Millis cOrderInFlightMs = 1000;
+inline constexpr Millis cStoreUnresponsiveMs = 1800; ///< The store counts as unresponsive after this long without an answer.
+/// This many delays between reads of the operator's records are added; the delay is 0 for long polls.
+inline constexpr Millis cReadsUntilUnresponsive = 2;
+/// Workers whose entries expired while the store was down are listed again within this time (figure given by the users).
+inline constexpr Millis cRelistedMs = 2000;
+/// A planned stop waits this long for appends in flight and for drain grants to expire, which last 1.5 s (cEmptyForMs).
+inline constexpr Millis cStopReleaseMs = cEmptyForMs + 100;
+/// A stopping host keeps answering this long: the load balancer notices after two failed checks, one second apart.
+inline constexpr Millis cStopServeMs = 3200;
+
+/// Limit for submitting run ends during a stop: the users allow 6 s for a stop.
+inline constexpr Millis cStopSubmitEndsMs = 5000;
 
 inline constexpr int64 cKbPerMb = 1000;
 
@@ -70,8 +84,8 @@
 	LeaseTuning tuning;
 	tuning.lease_ms = inConfig.owner_lease_ms;
 	tuning.slack_ms = inConfig.owner_slack_ms;
-	tuning.beat_ms = inConfig.owner_short_lease_ms / cBeatsOfLease;
-	tuning.first_claim_ms = cFirstClaimMs;
+	tuning.beat_ms = inConfig.owner_short_lease_ms / cHeartbeatsPerLease;
+	tuning.first_claim_ms = cFirstClaimDelayMs;
 	return tuning;
 }
 
@@ -86,14 +100,15 @@
 JobHost<Hub>::JobHost(JobHostConfig inConfig)
 	: config(std::move(inConfig)), budget(StoreLimits{config.store_reads_per_s, config.store_read_mb_per_s * cKbPerMb}),
 	  lease_tuning(LeaseTuningOf(config)), lease(lease_tuning), owners(config.name, lease_tuning),
-	  life(HashBytes(config.name, static_cast<uint64>(g_get_real_time()) ^ (static_cast<uint64>(g_random_int()) << 32))), random(life),
-	  hub(config), door(*this), peers(
-									config.peers, metrics,
-									[this](const PeerQuestion &inQuestion, std::function<void(PeerAnswer)> inReply)
-									{ this->OnQuestion(inQuestion, std::move(inReply)); },
-									[this](EPeerNews inKind, const std::string &inNews) { this->OnNews(inKind, inNews); }),
+	  incarnation(HashBytes(config.name, static_cast<uint64>(g_get_real_time()) ^ (static_cast<uint64>(g_random_int()) << 32))),
+	  random(incarnation), hub(config), door(*this),
+	  peers(
+		  config.peers, metrics,
+		  [this](const PeerQuestion &inQuestion, std::function<void(PeerAnswer)> inReply)
+		  { this->OnQuestion(inQuestion, std::move(inReply)); },
+		  [this](EPeerNews inKind, const std::string &inMessage) { this->OnPeerMessage(inKind, inMessage); }),
 	  orders(hub.workers, peers, ForwardTuningOf(config)),
-	  ends_hand_in([this](uint32 inCell) -> InboxWriter<decltype(Hub::store)> & { return this->WriterOf(inCell); })
+	  ends_submitter([this](uint32 inCell) -> InboxWriter<decltype(Hub::store)> & { return this->WriterOf(inCell); })
 {
 }
 
@@ -105,85 +120,85 @@
 	LogEvent(ELogLevel::Info, "started")
 		.Field("host", this->config.name)
 		.Field("zone", this->config.availability_zone)
-		.Field("life", this->life)
+		.Field("life", this->incarnation)
 		.Field("worker_lease_ms", this->config.worker_lease_ms)
 		.Field("owner_lease_ms", this->config.owner_lease_ms);
 	this->LoadOperator();
 	this->LoadHosts();
 	this->started_at = NowMillis();
-	this->tick_at = this->started_at;
+	this->ticked_at = this->started_at;
 	this->tick.Every(cHostTickMs, [this] { this->Tick(); });
 	return true;
 }
 
-// ---- Work at times ----
+// ---- Periodic work ----
 
 template <class Hub>
 void JobHost<Hub>::Tick()
 {
 	const Millis now = NowMillis();
-	if (now - this->tick_at > cStoodStillMs)
-		LogEvent(ELogLevel::Warning, "stood_still").Field("ms", now - this->tick_at).Field("cells", this->Owned());
-	if (now - this->tick_at > cLateTickMs)
-		this->ticked_late_at = now;
-	this->tick_at = now;
-	for (uint32 cell : std::exchange(this->lost_seats, {}))
+	if (now - this->ticked_at > cProcessPauseMs)
+		LogEvent(ELogLevel::Warning, "stood_still").Field("ms", now - this->ticked_at).Field("cells", this->Owned());
+	if (now - this->ticked_at > cLateTickMs)
+		this->late_tick_at = now;
+	this->ticked_at = now;
+	for (uint32 cell : std::exchange(this->lost_cells, {}))
 	{
 		if (cell == cFleetCell)
-			this->fleet.reset();
+			this->fleet_driver.reset();
 		else
-			this->DropSeat(cell);
+			this->ReleaseCell(cell);
 	}
 	if (this->Owned() > 0 && !this->lease.MayAct(now))
-		this->DropSeats("lease over");
-	const bool others_reach = !this->helper_search.Known(now).empty();
-	if (this->turned_away.Note(this->store_watch.IsSilent(now), others_reach, now) && this->Owned() > 0)
-		this->DropSeats("the store answers others, not this host");
-	// Also without cells: a host that is heard of may take over at once
-	const Millis beat_percent = this->Owned() > 0 ? cPercent : this->beat_percent;
-	if (now - this->beat_sent_at >= this->BeatInterval(now) * beat_percent / cPercent)
-		this->Beat();
-	const Millis silent_after = cStoreSilentMs + cLooksUntilSilent * this->OperatorGap(now);
-	const bool heard = this->store_heard_at >= 0 && now - this->store_heard_at <= silent_after;
-	if (heard != this->store_heard)
+		this->AbandonCells("ownership lease expired");
+	const bool others_reach_store = !this->helper_search.Known(now).empty();
+	if (this->store_isolation.Note(this->store_watch.IsSilent(now), others_reach_store, now) && this->Owned() > 0)
+		this->AbandonCells("the store answers other hosts but not this one");
+	// Hosts without cells send heartbeats too: a host that is known to be alive may take over immediately
+	const Millis heartbeat_delay_percent = this->Owned() > 0 ? cPercent : this->heartbeat_delay_percent;
+	if (now - this->heartbeat_sent_at >= this->HeartbeatInterval(now) * heartbeat_delay_percent / cPercent)
+		this->SendHeartbeat();
+	const Millis response_timeout = cStoreUnresponsiveMs + cReadsUntilUnresponsive * this->OperatorReadDelay(now);
+	const bool responsive = this->store_answered_at >= 0 && now - this->store_answered_at <= response_timeout;
+	if (responsive != this->store_responsive)
 	{
-		this->store_heard = heard;
-		if (heard)
-			this->store_back_at = now;
-		LogEvent(ELogLevel::Warning, heard ? "store_back" : "store_silent").Field("heard_ms_ago", now - this->store_heard_at);
+		this->store_responsive = responsive;
+		if (responsive)
+			this->store_recovered_at = now;
+		LogEvent(ELogLevel::Warning, responsive ? "store_back" : "store_silent").Field("heard_ms_ago", now - this->store_answered_at);
 	}
 	this->SearchHelpers(now);
 	this->AskOwners(now);
-	this->HandInOrphans(now);
+	this->SubmitOrphanedEnds(now);
 	if (!this->stopping)
-		this->GiveOn(now);
-	if (this->fleet != nullptr && now - this->swept_at >= cSweepEveryMs)
-		this->SweepHosts(now);
+		this->RebalanceCells(now);
+	if (this->fleet_driver != nullptr && now - this->lost_hosts_checked_at >= cLostHostsCheckMs)
+		this->RemoveLostHosts(now);
 	if (this->stopping)
 		this->FinishStop();
 }
 
 template <class Hub>
-void JobHost<Hub>::SweepHosts(Millis inNow)
+void JobHost<Hub>::RemoveLostHosts(Millis inNow)
 {
-	this->swept_at = inNow;
-	// While the store was away nobody could be heard of
-	const bool sure = this->fleet->IsHeld() && this->lease.MayAct(inNow) && this->store_heard &&
-					  inNow - std::max(this->store_back_at, this->started_at) > cHostGoneMs;
-	if (!sure)
+	this->lost_hosts_checked_at = inNow;
+	// While the store was down no host could send heartbeats
+	const bool reliable = this->fleet_driver->IsHeld() && this->lease.MayAct(inNow) && this->store_responsive &&
+						  inNow - std::max(this->store_recovered_at, this->started_at) > cHostLostMs;
+	if (!reliable)
 		return;
-	for (const std::string &host : this->owners.SilentFor(cHostGoneMs, inNow))
+	for (const std::string &host : this->owners.SilentFor(cHostLostMs, inNow))
 	{
-		LogEvent(ELogLevel::Info, "host_gone").Field("host", host).Field("silent_for_ms_at_least", cHostGoneMs);
+		LogEvent(ELogLevel::Info, "host_gone").Field("host", host).Field("silent_for_ms_at_least", cHostLostMs);
 		this->owners.Forget(host);
-		for (uint32 part = 0; part < this->HostParts(); ++part)
+		for (uint32 part = 0; part < this->HeartbeatPartitionCount(); ++part)
 		{
 			AppendCall call;
 			call.log = HostsLog(part);
 			call.keyed = true;
 			call.records.push_back({host, "", 0});
-			call.timeout_ms = cBeatTimeoutMs;
-			// What fails is done again by the next owner that starts, or does no harm
+			call.timeout_ms = cHeartbeatTimeoutMs;
+			// A failed removal is harmless and is repeated by the next owner of the fleet cell
 			this->hub.store.Append(call, [](const AppendAnswer &) {});
 		}
 	}
@@ -198,7 +213,7 @@
 	{
 		PeerQuestion question;
 		question.kind = EQuestion::Reach;
-		this->peers.Ask(host, std::move(question), cReachMs,
+		this->peers.Ask(host, std::move(question), cReachTimeoutMs,
 						[this, host](const std::optional<PeerAnswer> &inAnswer)
 						{ this->helper_search.OnAnswer(host, inAnswer.has_value() && inAnswer->reaches, NowMillis()); });
 	}
@@ -219,23 +234,23 @@
 void JobHost<Hub>::FinishStop()
 {
 	const Millis since = NowMillis() - this->stop_at;
-	if (this->fleet != nullptr)
-		this->fleet->Retire();
-	bool quiet = this->fleet == nullptr || this->fleet->IsQuiet();
-	for (const auto &[cell, seat] : this->seats)
+	if (this->fleet_driver != nullptr)
+		this->fleet_driver->Retire();
+	bool quiet = this->fleet_driver == nullptr || this->fleet_driver->IsQuiet();
+	for (const auto &[cell, driver] : this->drivers)
 	{
-		// One may have been claimed since the stop began
-		seat->Retire();
-		quiet = quiet && seat->IsQuiet();
+		// A cell may have been claimed after the stop began
+		driver->Retire();
+		quiet = quiet && driver->IsQuiet();
 	}
-	// A heartbeat without cells gives them back at once: successors need not wait for the lease
-	if (this->Owned() > 0 && (quiet || since >= cStopGiveBackMs))
+	// A heartbeat without cells releases them immediately: successors need not wait for the lease to expire
+	if (this->Owned() > 0 && (quiet || since >= cStopReleaseMs))
 	{
-		this->DropAllSeats();
-		this->Beat(true);
+		this->ReleaseAllCells();
+		this->SendHeartbeat(true);
 	}
-	const bool owes = this->OwesEnds() && since < cStopHandInMs;
-	if (since < cStopServeMs || owes || this->door.UnderWay() > 0 || this->on_stopped == nullptr)
+	const bool ends_pending = this->HasEndsToSubmit() && since < cStopSubmitEndsMs;
+	if (since < cStopServeMs || ends_pending || this->door.UnderWay() > 0 || this->on_stopped == nullptr)
 		return;
 	LogEvent(ELogLevel::Info, "stopped").Field("after_ms", since);
 	const std::function<void()> done = std::exchange(this->on_stopped, nullptr);
--- a/Loomreach/Entry/JobHostCallers.inl
+++ b/Loomreach/Entry/JobHostCallers.inl
@@ -1,4 +1,4 @@
-// What callers ask of an entry host, and what other entry hosts ask on their behalf.
+// Callers' requests, and questions that other entry hosts ask on behalf of callers or cells.
 
 namespace Loomreach::Jobs
 {
@@ -15,8 +15,8 @@
 		admission = this->catalogue->Admit(inHost, inPath, inKey);
 		outError = admission.has_value() ? EError::None : LastReason().kind;
 	}
-	// A key that came with a version not read yet is no stranger's: the caller is sent on, not turned away for good
-	const bool may_be_behind = NowMillis() - this->operator_heard_at > cOperatorStaleMs;
+	// The key may belong to a configuration that this host has not read yet: the caller should try another host, not get a final refusal
+	const bool may_be_behind = NowMillis() - this->operator_read_at > cOperatorStaleMs;
 	if (outError == EError::UnknownKey && may_be_behind)
 		outError = EError::NotReady;
 	if (!admission.has_value())
@@ -25,7 +25,7 @@
 		LogEvent(ELogLevel::Info, "call_refused")
 			.Field("path", inPath)
 			.Field("version", this->catalogue == nullptr ? -1 : this->catalogue->version)
-			.Field("operator_heard_ms_ago", NowMillis() - this->operator_heard_at)
+			.Field("operator_heard_ms_ago", NowMillis() - this->operator_read_at)
 			.Field("outcome", AnswerOf(outError).name);
 	}
 	return admission;
@@ -41,10 +41,10 @@
 	inReply(inOutcome);
 }
 
-/// When the last word is said to a caller: a little before its own deadline.
+/// When a caller gets its final answer: shortly before its own deadline.
 inline Millis GiveUpAt(const JobCall &inCall)
 {
-	return NowMillis() + inCall.deadline_ms - std::min(cEnterMarginMs, inCall.deadline_ms / 4);
+	return NowMillis() + inCall.deadline_ms - std::min(cAnswerMarginMs, inCall.deadline_ms / 4);
 }
 
 template <class Hub>
@@ -60,54 +60,56 @@
 	inSpec.target_ms = queue.target_ms;
 	inSpec.advised = queue.advice.has_value();
 	inSpec.accepted_wall_ms = WallMillis();
-	auto entering = std::make_shared<Entering>();
-	entering->record = {EInbox::Submit, std::move(inSpec)};
-	entering->cell = CellOf(queue.pool, this->Parts());
-	entering->key_hash = inCall.admission.key_hash;
-	entering->give_up_at = GiveUpAt(inCall);
-	entering->reply = std::move(inReply);
-	this->Enter(std::move(entering));
+	auto request = std::make_shared<PendingRequest>();
+	request->record = {EInbox::Submit, std::move(inSpec)};
+	request->cell = CellOf(queue.pool, this->PartitionCount());
+	request->key_hash = inCall.admission.key_hash;
+	request->give_up_at = GiveUpAt(inCall);
+	request->reply = std::move(inReply);
+	this->AppendToInbox(std::move(request));
 }
 
 template <class Hub>
 void JobHost<Hub>::Cancel(const JobCall &inCall, JobReply inReply)
 {
-	auto entering = std::make_shared<Entering>();
-	entering->record.kind = EInbox::Cancel;
-	entering->record.spec.id = inCall.id;
-	entering->record.spec.queue = inCall.admission.queue.name;
-	entering->record.spec.pool = inCall.admission.queue.pool;
-	entering->record.spec.team = inCall.admission.team;
-	entering->cell = CellOf(inCall.admission.queue.pool, this->Parts());
-	entering->key_hash = inCall.admission.key_hash;
-	entering->give_up_at = GiveUpAt(inCall);
-	entering->reply = std::move(inReply);
-	this->Enter(std::move(entering));
+	auto request = std::make_shared<PendingRequest>();
+	request->record.kind = EInbox::Cancel;
+	request->record.spec.id = inCall.id;
+	request->record.spec.queue = inCall.admission.queue.name;
+	request->record.spec.pool = inCall.admission.queue.pool;
+	request->record.spec.team = inCall.admission.team;
+	request->cell = CellOf(inCall.admission.queue.pool, this->PartitionCount());
+	request->key_hash = inCall.admission.key_hash;
+	request->give_up_at = GiveUpAt(inCall);
+	request->reply = std::move(inReply);
+	this->AppendToInbox(std::move(request));
 }
 
 template <class Hub>
-void JobHost<Hub>::Enter(std::shared_ptr<Entering> inEntering)
+void JobHost<Hub>::AppendToInbox(std::shared_ptr<PendingRequest> inRequest)
 {
-	// One host that appends for all waits for the store once; all in turn wait for each other
-	if (this->IsSlowFor(inEntering->cell) && !inEntering->owner_silent && this->owners.LastOwnerOf(inEntering->cell).has_value())
-		return this->EnterByHelper(inEntering, 0);
+	// The store handles appends to an inbox one by one. While it is slow, one host that appends for all waits for it once; hosts that
+	// append separately wait for each other
+	if (this->IsSlowFor(inRequest->cell) && !inRequest->owner_unresponsive && this->owners.LastOwnerOf(inRequest->cell).has_value())
+		return this->AppendByHelper(inRequest, 0);
 	const Millis sent_at = NowMillis();
-	// What is sent into a silent store ends in doubt; another host may reach it, and if none does, the caller is told at once
+	// The outcome of an append to an unresponsive store would be unknown. Another host may reach the store; if none does, the caller is
+	// refused immediately
 	if (this->store_watch.IsSilent(sent_at))
-		return this->EnterByHelper(inEntering, 0);
+		return this->AppendByHelper(inRequest, 0);
 	this->store_watch.OnSent(sent_at);
-	const Millis time_left = std::clamp<Millis>(inEntering->give_up_at - sent_at, cEnterLeastMs, cEnterTimeoutMs);
-	InboxWriter<decltype(Hub::store)> &writer = this->WriterOf(inEntering->cell);
-	std::string record = EncodeValue(inEntering->record);
+	const Millis time_left = std::clamp<Millis>(inRequest->give_up_at - sent_at, cMinAppendTimeoutMs, cMaxAppendTimeoutMs);
+	InboxWriter<decltype(Hub::store)> &writer = this->WriterOf(inRequest->cell);
+	std::string record = EncodeValue(inRequest->record);
 	writer.Enter(std::move(record), time_left,
-				 [this, entering = std::move(inEntering), sent_at](const AppendAnswer &inAnswer)
-				 { this->OnEnterAnswer(entering, inAnswer, sent_at); });
+				 [this, request = std::move(inRequest), sent_at](const AppendAnswer &inAnswer)
+				 { this->OnAppendAnswer(request, inAnswer, sent_at); });
 }
 
 template <class Hub>
 bool JobHost<Hub>::IsSlowFor(uint32 inCell)
 {
-	return !this->seats.contains(inCell) && (this->store_read_ms > cSlowStoreMs || this->WriterOf(inCell).IsSlow());
+	return !this->drivers.contains(inCell) && (this->store_read_latency_ms > cSlowStoreMs || this->WriterOf(inCell).IsSlow());
 }
 
 template <class Hub>
@@ -115,32 +117,32 @@
 {
 	std::unique_ptr<InboxWriter<decltype(Hub::store)>> &writer = this->writers[inCell];
 	if (writer == nullptr)
-		writer = std::make_unique<InboxWriter<decltype(Hub::store)>>(this->hub.store, InboxLog(inCell, this->Parts()));
+		writer = std::make_unique<InboxWriter<decltype(Hub::store)>>(this->hub.store, InboxLog(inCell, this->PartitionCount()));
 	return *writer;
 }
 
 template <class Hub>
-void JobHost<Hub>::OnEnterAnswer(const std::shared_ptr<Entering> &inEntering, const AppendAnswer &inAnswer, Millis inSentAt)
+void JobHost<Hub>::OnAppendAnswer(const std::shared_ptr<PendingRequest> &inRequest, const AppendAnswer &inAnswer, Millis inSentAt)
 {
 	if (inAnswer.result == EAppend::Done)
 	{
-		this->store_heard_at = NowMillis();
-		this->store_watch.OnAnswered(inSentAt, this->store_heard_at);
-		const bool is_cancel = inEntering->record.kind == EInbox::Cancel;
+		this->store_answered_at = NowMillis();
+		this->store_watch.OnAnswered(inSentAt, this->store_answered_at);
+		const bool is_cancel = inRequest->record.kind == EInbox::Cancel;
 		LogEvent(ELogLevel::Info, is_cancel ? "cancel_accepted" : "job_accepted")
-			.Field("request", inEntering->record.spec.id)
-			.Field("queue", inEntering->record.spec.queue)
+			.Field("request", inRequest->record.spec.id)
+			.Field("queue", inRequest->record.spec.queue)
 			.Field("version", this->catalogue->version)
-			.Field("cell", inEntering->cell)
+			.Field("cell", inRequest->cell)
 			.Field("offset", inAnswer.offset);
-		return this->Answer(inEntering->reply, JobOutcome{});
+		return this->Answer(inRequest->reply, JobOutcome{});
 	}
-	inEntering->in_doubt = inEntering->in_doubt || inAnswer.result == EAppend::Unknown;
-	// A store that answers this host but not this call is lossy or behind: another host's call would only make its queue longer
-	const bool answers_others = inAnswer.result == EAppend::Unknown && this->store_heard_at >= inSentAt;
-	if (answers_others || std::exchange(inEntering->helped, true))
-		return this->EnterAgainOrRefuse(inEntering);
-	this->EnterByHelper(inEntering, 0);
+	inRequest->maybe_appended = inRequest->maybe_appended || inAnswer.result == EAppend::Unknown;
+	// The store answers other calls of this host, so it loses or delays some: an append by another host would only lengthen its queue
+	const bool answers_others = inAnswer.result == EAppend::Unknown && this->store_answered_at >= inSentAt;
+	if (answers_others || std::exchange(inRequest->helpers_asked, true))
+		return this->RetryOrRefuse(inRequest);
+	this->AppendByHelper(inRequest, 0);
 }
 
 template <class Hub>
@@ -151,71 +153,72 @@
 }
 
 template <class Hub>
-void JobHost<Hub>::EnterByHelper(const std::shared_ptr<Entering> &inEntering, size_t inHelper)
+void JobHost<Hub>::AppendByHelper(const std::shared_ptr<PendingRequest> &inRequest, size_t inHelper)
 {
-	const std::vector<Address> helpers = this->HelpersFor(inEntering->cell);
-	const Millis left = inEntering->give_up_at - NowMillis();
-	const bool slow = this->IsSlowFor(inEntering->cell);
-	const Millis patience = slow ? cHelperSlowMs : cHelperMs;
-	if (inHelper >= std::min(helpers.size(), slow ? 1 : cMostHelpers) || left < cHelperMs / 2)
-		return this->EnterAgainOrRefuse(inEntering);
-	// The store may turn away this host alone
+	const std::vector<Address> helpers = this->HelpersFor(inRequest->cell);
+	const Millis left = inRequest->give_up_at - NowMillis();
+	const bool slow = this->IsSlowFor(inRequest->cell);
+	const Millis wait_ms = slow ? cSlowHelperTimeoutMs : cHelperTimeoutMs;
+	if (inHelper >= std::min(helpers.size(), slow ? 1 : cMaxHelpers) || left < cHelperTimeoutMs / 2)
+		return this->RetryOrRefuse(inRequest);
+	// The store may be unreachable for this host alone
 	PeerQuestion question;
 	question.kind = EQuestion::Enter;
-	question.cell = inEntering->cell;
-	question.record = EncodeValue(inEntering->record);
+	question.cell = inRequest->cell;
+	question.record = EncodeValue(inRequest->record);
 	question.version = this->catalogue->version;
-	question.key_hash = inEntering->key_hash;
-	question.for_ms = std::min(left, patience);
-	this->peers.Ask(helpers[inHelper], std::move(question), std::min(left, patience),
-					[this, inEntering, inHelper](const std::optional<PeerAnswer> &inAnswer)
+	question.key_hash = inRequest->key_hash;
+	question.for_ms = std::min(left, wait_ms);
+	this->peers.Ask(helpers[inHelper], std::move(question), std::min(left, wait_ms),
+					[this, inRequest, inHelper](const std::optional<PeerAnswer> &inAnswer)
 					{
 						const bool entered = inAnswer.has_value() && inAnswer->entered;
-						inEntering->owner_silent = inEntering->owner_silent || (inHelper == 0 && !inAnswer.has_value());
-						inEntering->in_doubt = inEntering->in_doubt || !inAnswer.has_value() || (!entered && !inAnswer->not_entered);
+						inRequest->owner_unresponsive = inRequest->owner_unresponsive || (inHelper == 0 && !inAnswer.has_value());
+						inRequest->maybe_appended =
+							inRequest->maybe_appended || !inAnswer.has_value() || (!entered && !inAnswer->not_entered);
 						const EError refusal = inAnswer.has_value() ? inAnswer->refusal : EError::None;
-						if (refusal != EError::None && !inEntering->in_doubt)
-							return this->RefuseByNewer(inEntering, refusal);
+						if (refusal != EError::None && !inRequest->maybe_appended)
+							return this->RefuseByNewerConfig(inRequest, refusal);
 						if (!entered)
-							return this->EnterByHelper(inEntering, inHelper + 1);
+							return this->AppendByHelper(inRequest, inHelper + 1);
 						LogEvent(ELogLevel::Info, "job_accepted")
-							.Field("request", inEntering->record.spec.id)
-							.Field("queue", inEntering->record.spec.queue)
-							.Field("cell", inEntering->cell)
+							.Field("request", inRequest->record.spec.id)
+							.Field("queue", inRequest->record.spec.queue)
+							.Field("cell", inRequest->cell)
 							.Field("helper", inHelper);
-						this->Answer(inEntering->reply, JobOutcome{});
+						this->Answer(inRequest->reply, JobOutcome{});
 					});
 }
 
 template <class Hub>
-void JobHost<Hub>::EnterAgainOrRefuse(const std::shared_ptr<Entering> &inEntering)
+void JobHost<Hub>::RetryOrRefuse(const std::shared_ptr<PendingRequest> &inRequest)
 {
-	const bool is_cancel = inEntering->record.kind == EInbox::Cancel;
+	const bool is_cancel = inRequest->record.kind == EInbox::Cancel;
 	const Millis now = NowMillis();
-	// Nobody who reaches the store is known: the caller finds another way sooner than this host does
-	const bool hopeless = this->store_watch.IsSilent(now) && this->helper_search.Known(now).empty();
-	// What may have been appended is appended again: the id makes it one job, and only then is the answer known
-	const bool time_left = now + cEnterAgainMs < inEntering->give_up_at;
-	if ((inEntering->in_doubt || is_cancel) && time_left && !hopeless)
+	// No host is known that reaches the store: the caller finds another way sooner than this host does
+	const bool store_unreachable = this->store_watch.IsSilent(now) && this->helper_search.Known(now).empty();
+	// A record that may have been appended is appended again: its id keeps it one job, and only a confirmed append settles the outcome
+	const bool time_left = now + cAppendRetryMs < inRequest->give_up_at;
+	if ((inRequest->maybe_appended || is_cancel) && time_left && !store_unreachable)
 	{
-		return After(cEnterAgainMs, [this, inEntering] { this->Enter(inEntering); });
+		return After(cAppendRetryMs, [this, inRequest] { this->AppendToInbox(inRequest); });
 	}
 	JobOutcome outcome;
-	outcome.error = inEntering->in_doubt ? EError::VerdictLost : EError::PlatformDown;
+	outcome.error = inRequest->maybe_appended ? EError::VerdictLost : EError::PlatformDown;
 	LogEvent(ELogLevel::Warning, "job_not_accepted")
-		.Field("request", inEntering->record.spec.id)
-		.Field("queue", inEntering->record.spec.queue)
+		.Field("request", inRequest->record.spec.id)
+		.Field("queue", inRequest->record.spec.queue)
 		.Field("outcome", AnswerOf(outcome.error).name)
-		.Field("store_heard_ms_ago", now - this->store_heard_at)
+		.Field("store_heard_ms_ago", now - this->store_answered_at)
 		.Field("store_silent", this->store_watch.IsSilent(now) ? 1 : 0)
 		.Field("helpers", this->helper_search.Known(now).size());
-	this->Answer(inEntering->reply, outcome);
+	this->Answer(inRequest->reply, outcome);
 }
 
 template <class Hub>
 EError JobHost<Hub>::RefusalOf(const InboxRecord &inRecord, const PeerQuestion &inQuestion) const
 {
-	// Who asks may know less, being turned away by the store; who knows less than it has nothing to say
+	// The asking host may have an old configuration because it does not reach the store. Only a newer one than its own can add a refusal
 	if (this->catalogue == nullptr || this->catalogue->version <= inQuestion.version)
 		return EError::None;
 	const JobSpec &spec = inRecord.spec;
@@ -223,27 +226,27 @@
 }
 
 template <class Hub>
-void JobHost<Hub>::RefuseByNewer(const std::shared_ptr<Entering> &inEntering, EError inRefusal)
+void JobHost<Hub>::RefuseByNewerConfig(const std::shared_ptr<PendingRequest> &inRequest, EError inRefusal)
 {
 	LogEvent(ELogLevel::Info, "job_not_accepted")
-		.Field("request", inEntering->record.spec.id)
-		.Field("queue", inEntering->record.spec.queue)
+		.Field("request", inRequest->record.spec.id)
+		.Field("queue", inRequest->record.spec.queue)
 		.Field("version", this->catalogue->version)
 		.Field("why", "another host has a newer configuration")
 		.Field("outcome", AnswerOf(inRefusal).name);
 	JobOutcome outcome;
 	outcome.error = inRefusal;
-	this->Answer(inEntering->reply, outcome);
+	this->Answer(inRequest->reply, outcome);
 }
 
 template <class Hub>
 void JobHost<Hub>::OnQuestion(const PeerQuestion &inQuestion, std::function<void(PeerAnswer)> inReply)
 {
 	if (inQuestion.kind == EQuestion::Forward)
-		return this->orders.SendFor(inQuestion, this->life, std::move(inReply));
+		return this->orders.SendFor(inQuestion, this->incarnation, std::move(inReply));
 	if (inQuestion.kind != EQuestion::Enter)
 		return inReply(this->AnswerPeer(inQuestion));
-	// Only what decodes is passed on, only what the newest known configuration allows, and only to a store that answers
+	// Appends only records that can be decoded and that the newest configuration known here allows, and only while the store answers
 	const std::optional<InboxRecord> record = DecodeValue<InboxRecord>(inQuestion.record);
 	const EError refusal = record.has_value() ? this->RefusalOf(*record, inQuestion) : EError::Corrupt;
 	if (refusal != EError::None || this->store_watch.IsSilent(NowMillis()))
@@ -254,7 +257,7 @@
 		return inReply(answer);
 	}
 	this->WriterOf(inQuestion.cell)
-		.Enter(inQuestion.record, std::clamp(inQuestion.for_ms, cEnterLeastMs, cHelperSlowMs),
+		.Enter(inQuestion.record, std::clamp(inQuestion.for_ms, cMinAppendTimeoutMs, cSlowHelperTimeoutMs),
 			   [reply = std::move(inReply)](const AppendAnswer &inAnswer)
 			   {
 				   PeerAnswer answer;
@@ -278,10 +281,10 @@
 		owner->address, inQuestion, inTimeoutMs,
 		[this, inQuestion, inTimeoutMs, done = std::move(inDone), asked = owner->address](const std::optional<PeerAnswer> &inAnswer)
 		{
-			// What this host knows of owners may be old; whoever was asked may know better
-			const bool elsewhere =
+			// This host's view of the owners may be stale; the host that was asked may know the current one
+			const bool redirected =
 				inAnswer.has_value() && !inAnswer->owner && inAnswer->owner_address.port != 0 && inAnswer->owner_address != asked;
-			if (!elsewhere)
+			if (!redirected)
 				return done(inAnswer);
 			this->peers.Ask(inAnswer->owner_address, inQuestion, inTimeoutMs, done);
 		});
@@ -290,12 +293,12 @@
 template <class Hub>
 PeerAnswer JobHost<Hub>::AnswerPeer(const PeerQuestion &inQuestion)
 {
-	auto seat = this->seats.find(inQuestion.cell);
+	auto driver = this->drivers.find(inQuestion.cell);
 	PeerAnswer answer;
-	if (seat != this->seats.end())
-		answer = seat->second->Answer(inQuestion);
-	if (inQuestion.cell == cFleetCell && this->fleet != nullptr)
-		answer = this->fleet->Answer(inQuestion);
+	if (driver != this->drivers.end())
+		answer = driver->second->Answer(inQuestion);
+	if (inQuestion.cell == cFleetCell && this->fleet_driver != nullptr)
+		answer = this->fleet_driver->Answer(inQuestion);
 	answer.reaches = !this->stopping && !this->store_watch.IsSilent(NowMillis());
 	if (inQuestion.kind == EQuestion::Owners && this->IsWellInformed(NowMillis()))
 		answer.record = EncodeValue(this->owners.OwnersBeats(NowMillis()));
@@ -313,12 +316,12 @@
 	question.queue = inCall.admission.queue.name;
 	question.id = inCall.id;
 	question.team = inCall.admission.team;
-	const uint32 cell = CellOf(inCall.admission.queue.pool, this->Parts());
+	const uint32 cell = CellOf(inCall.admission.queue.pool, this->PartitionCount());
 	this->AskCell(cell, question, std::min(cAskTimeoutMs, inCall.deadline_ms / 2),
 				  [this, reply = std::move(inReply), id = inCall.id](const std::optional<PeerAnswer> &inAnswer)
 				  {
 					  JobOutcome outcome;
-					  // Without an owner that has read all, nobody can say that there is no such job
+					  // Only an owner that has read its whole inbox can tell that a job does not exist
 					  if (!inAnswer.has_value() || !inAnswer->owner || (!inAnswer->known && !inAnswer->sure))
 						  outcome.error = EError::NotReady;
 					  else if (!inAnswer->known)
@@ -341,7 +344,7 @@
 	PeerQuestion question;
 	question.kind = EQuestion::Count;
 	question.queue = inCall.admission.queue.name;
-	this->AskCell(CellOf(inCall.admission.queue.pool, this->Parts()), question, std::min(cAskTimeoutMs, inCall.deadline_ms / 2),
+	this->AskCell(CellOf(inCall.admission.queue.pool, this->PartitionCount()), question, std::min(cAskTimeoutMs, inCall.deadline_ms / 2),
 				  [this, reply = std::move(inReply)](const std::optional<PeerAnswer> &inAnswer)
 				  {
 					  JobOutcome outcome;
@@ -362,9 +365,9 @@
 template <class Hub>
 std::string JobHost<Hub>::MetricsText()
 {
-	for (const auto &[cell, seat] : this->seats)
+	for (const auto &[cell, driver] : this->drivers)
 	{
-		const CellFigures figures = seat->Figures();
+		const CellFigures figures = driver->Figures();
 		const std::string name = "loomreach_cell" + std::to_string(cell);
 		this->metrics.Gauge(name + "_jobs", static_cast<double>(figures.jobs));
 		this->metrics.Gauge(name + "_active", static_cast<double>(figures.active));
--- a/Loomreach/Entry/JobHostFeeds.inl
+++ b/Loomreach/Entry/JobHostFeeds.inl
@@ -1,4 +1,4 @@
-// What an entry host reads of the platform: the operator's records and the workers' entries.
+// What an entry host reads from the platform: the operator's records and the workers' entries.
 
 namespace Loomreach::Jobs
 {
@@ -12,39 +12,39 @@
 						   [this](const NewestAnswer &inAnswer)
 						   {
 							   if (!inAnswer.good)
-								   return this->operator_timer.Once(cFollowAgainMs, [this] { this->LoadOperator(); });
-							   this->store_heard_at = NowMillis();
-							   this->operator_heard_at = this->store_heard_at;
+								   return this->operator_timer.Once(cReadRetryMs, [this] { this->LoadOperator(); });
+							   this->store_answered_at = NowMillis();
+							   this->operator_read_at = this->store_answered_at;
 							   for (const LogRecord &record : inAnswer.records)
 								   this->OnOperatorRecord(record);
-							   this->KeepZoneOrders(inAnswer);
-							   this->FollowOperatorSoon(inAnswer.end);
+							   this->RemoveUnnamedZoneOrders(inAnswer);
+							   this->ScheduleOperatorRead(inAnswer.end);
 						   });
 }
 
 template <class Hub>
-Millis JobHost<Hub>::OperatorGap(Millis inNow) const
+Millis JobHost<Hub>::OperatorReadDelay(Millis inNow) const
 {
-	// Owners decide by it, and are few
+	// Owners base their decisions on these records, and there are few of them
 	if (this->Owned() > 0)
 		return 0;
 	const Millis spread = this->budget.Spread(this->owners.HostsAtWork(inNow), this->catalogue_bytes);
-	// Looking more often than reads that wait come back would cost more calls than it saves
-	return spread < cOperatorWaitMs ? 0 : std::min(spread, cMostOperatorGapMs);
+	// Reading more often than a long poll returns would cost more calls than it saves
+	return spread < cOperatorReadWaitMs ? 0 : std::min(spread, cMaxOperatorReadDelayMs);
 }
 
 template <class Hub>
-void JobHost<Hub>::FollowOperatorSoon(uint64 inFrom)
+void JobHost<Hub>::ScheduleOperatorRead(uint64 inFrom)
 {
-	const Millis gap = this->OperatorGap(NowMillis());
+	const Millis gap = this->OperatorReadDelay(NowMillis());
 	if (gap == 0)
-		return this->FollowOperator(inFrom, cOperatorWaitMs);
-	// Reads that wait are all answered at the moment of a change. Each host looks by itself instead, some sooner and some later
-	this->operator_timer.Once(this->DrawPause(gap), [this, inFrom] { this->FollowOperator(inFrom, 0); });
+		return this->ReadOperator(inFrom, cOperatorReadWaitMs);
+	// Long polls of all hosts would be answered at the same moment, when a record changes. Random delays spread the reads
+	this->operator_timer.Once(this->RandomizeDelay(gap), [this, inFrom] { this->ReadOperator(inFrom, 0); });
 }
 
 template <class Hub>
-void JobHost<Hub>::FollowOperator(uint64 inFrom, Millis inWaitMs)
+void JobHost<Hub>::ReadOperator(uint64 inFrom, Millis inWaitMs)
 {
 	this->hub.store.Read(Hub::OperatorLog(), true, inFrom, inWaitMs,
 						 [this, inFrom](const ReadAnswer &inAnswer)
@@ -52,12 +52,12 @@
 							 if (inAnswer.result == ERead::Gone)
 								 return this->LoadOperator();
 							 if (inAnswer.result == ERead::Failed)
-								 return this->operator_timer.Once(cFollowAgainMs, [this, inFrom] { this->FollowOperator(inFrom, 0); });
-							 this->store_heard_at = NowMillis();
-							 this->operator_heard_at = this->store_heard_at;
+								 return this->operator_timer.Once(cReadRetryMs, [this, inFrom] { this->ReadOperator(inFrom, 0); });
+							 this->store_answered_at = NowMillis();
+							 this->operator_read_at = this->store_answered_at;
 							 for (const LogRecord &record : inAnswer.records)
 								 this->OnOperatorRecord(record);
-							 this->FollowOperatorSoon(inAnswer.next);
+							 this->ScheduleOperatorRead(inAnswer.next);
 						 });
 }
 
@@ -72,8 +72,8 @@
 	if (!wave.has_value())
 		return;
 	this->waves[wave->number] = *wave;
-	if (this->fleet != nullptr && this->fleet->IsHeld())
-		this->fleet->SetWaves(this->waves);
+	if (this->fleet_driver != nullptr && this->fleet_driver->IsHeld())
+		this->fleet_driver->SetWaves(this->waves);
 }
 
 template <class Hub>
@@ -85,7 +85,7 @@
 		LogEvent(ELogLevel::Error, "configuration_refused").Field("why", LastReasonText());
 		return;
 	}
-	// Never back: pages and records may overlap
+	// Versions never go back: a complete read and the reads that follow it may overlap
 	if (this->catalogue != nullptr && read->version <= this->catalogue->version)
 		return;
 	LogEvent(ELogLevel::Info, "configuration")
@@ -95,10 +95,10 @@
 		.Field("teams", read->teams.has_value() ? static_cast<int64>(read->teams->size()) : -1);
 	this->catalogue_bytes = inRecord.value.size();
 	this->catalogue = std::make_shared<const Catalogue>(std::move(*read));
-	for (auto &[cell, seat] : this->seats)
-		seat->SetCatalogue(this->catalogue);
-	if (this->fleet != nullptr)
-		this->fleet->SetCatalogue(this->catalogue);
+	for (auto &[cell, driver] : this->drivers)
+		driver->SetCatalogue(this->catalogue);
+	if (this->fleet_driver != nullptr)
+		this->fleet_driver->SetCatalogue(this->catalogue);
 }
 
 template <class Hub>
@@ -116,11 +116,11 @@
 		.Field("zone", order->availability_zone)
 		.Field("offset", inRecord.offset)
 		.Field("cells", this->Owned());
-	this->TellZones();
+	this->UpdateZones();
 }
 
 template <class Hub>
-void JobHost<Hub>::KeepZoneOrders(const NewestAnswer &inAnswer)
+void JobHost<Hub>::RemoveUnnamedZoneOrders(const NewestAnswer &inAnswer)
 {
 	std::set<std::string> named;
 	for (const LogRecord &record : inAnswer.records)
@@ -130,16 +130,16 @@
 	if (!this->evacuations.Keep(named, inAnswer.end))
 		return;
 	LogEvent(ELogLevel::Info, "zone_taken_back").Field("evacuated", this->evacuations.Zones().size()).Field("offset", inAnswer.end);
-	this->TellZones();
+	this->UpdateZones();
 }
 
 template <class Hub>
-void JobHost<Hub>::TellZones()
+void JobHost<Hub>::UpdateZones()
 {
-	for (auto &[cell, seat] : this->seats)
-		seat->SetEvacuated(this->evacuations.Zones());
-	if (this->fleet != nullptr)
-		this->fleet->SetEvacuated(this->evacuations.Zones());
+	for (auto &[cell, driver] : this->drivers)
+		driver->SetEvacuated(this->evacuations.Zones());
+	if (this->fleet_driver != nullptr)
+		this->fleet_driver->SetEvacuated(this->evacuations.Zones());
 }
 
 // ---- The workers' entries ----
@@ -147,64 +147,65 @@
 template <class Hub>
 void JobHost<Hub>::LoadWorkers()
 {
-	// Only owners need the workers, and one reading at a time is enough
-	const uint64 reading = ++this->workers_reading;
+	// Only owners need the workers, and one load at a time is enough: a newer one replaces it
+	const uint64 load = ++this->workers_load;
 	this->hub.store.Newest(Hub::WorkersLog(),
-						   [this, reading](const NewestAnswer &inAnswer)
+						   [this, load](const NewestAnswer &inAnswer)
 						   {
-							   if (reading != this->workers_reading)
+							   if (load != this->workers_load)
 								   return;
 							   if (!inAnswer.good)
-								   return this->workers_timer.Once(cFollowAgainMs, [this] { this->LoadWorkers(); });
+								   return this->workers_timer.Once(cReadRetryMs, [this] { this->LoadWorkers(); });
 							   this->workers.clear();
 							   for (const LogRecord &record : inAnswer.records)
 								   this->OnWorkerRecord(record);
-							   this->TellWorkers();
-							   this->FollowWorkers(inAnswer.end, reading);
+							   this->UpdateWorkers();
+							   this->ScheduleWorkersRead(inAnswer.end, load);
 						   });
 }
 
 template <class Hub>
-void JobHost<Hub>::FollowWorkers(uint64 inFrom, uint64 inReading)
+void JobHost<Hub>::ScheduleWorkersRead(uint64 inFrom, uint64 inLoad)
 {
-	const auto on_read = [this, inFrom, inReading](const ReadAnswer &inAnswer)
+	const auto on_read = [this, inFrom, inLoad](const ReadAnswer &inAnswer)
 	{
-		if (inReading != this->workers_reading || this->seats.empty())
+		if (inLoad != this->workers_load || this->drivers.empty())
 			return;
 		if (inAnswer.result == ERead::Gone)
 			return this->LoadWorkers();
 		for (const LogRecord &record : inAnswer.records)
 			this->OnWorkerRecord(record);
 		if (!inAnswer.records.empty())
-			this->TellWorkers();
-		this->FollowWorkers(inAnswer.result == ERead::Done ? inAnswer.next : inFrom, inReading);
+			this->UpdateWorkers();
+		this->ScheduleWorkersRead(inAnswer.result == ERead::Done ? inAnswer.next : inFrom, inLoad);
 	};
-	this->workers_timer.Once(this->WorkersInterval(),
+	this->workers_timer.Once(this->WorkersReadDelay(),
 							 [this, inFrom, on_read] { this->hub.store.Read(Hub::WorkersLog(), true, inFrom, 0, on_read); });
 }
 
 template <class Hub>
-Millis JobHost<Hub>::WorkersInterval() const
+Millis JobHost<Hub>::WorkersReadDelay() const
 {
-	// A host that has moved is of use once its worker is seen; but going through all of them costs the busiest owners most
+	// A host that was moved into a pool is of use as soon as its worker is seen; but going through all workers costs the busiest owners
+	// most
 	bool is_short = false;
-	for (const auto &[cell, seat] : this->seats)
-		is_short = is_short || seat->IsShort();
-	const Millis spread = static_cast<Millis>(this->workers.size()) * cWorkersEachMs;
-	return is_short ? std::clamp(spread, cWorkersShortMs, cWorkersEveryMs) : cWorkersEveryMs;
+	for (const auto &[cell, driver] : this->drivers)
+		is_short = is_short || driver->IsShort();
+	const Millis spread = static_cast<Millis>(this->workers.size()) * cReadDelayPerWorkerMs;
+	return is_short ? std::clamp(spread, cMinWorkersReadDelayMs, cMaxWorkersReadDelayMs) : cMaxWorkersReadDelayMs;
 }
 
 template <class Hub>
 void JobHost<Hub>::OnWorkerRecord(const LogRecord &inRecord)
 {
-	// An empty record takes the worker off the list
+	// An empty record removes the worker from the list
 	if (inRecord.value.empty())
 	{
 		this->workers.erase(inRecord.key);
 		return;
 	}
 	std::optional<WorkerEntry> entry = Hub::DecodeWorker(inRecord.key, inRecord.value);
-	// Entries of two lives may be written in any order
+	// Entries of two incarnations may be written in any order
 	auto known = this->workers.find(inRecord.key);
 	if (entry.has_value() && known != this->workers.end() && IsBornAfter(known->second.born_ms, entry->born_ms))
 		return;
@@ -213,13 +214,13 @@
 		this->workers[inRecord.key] = std::move(*entry);
 		return;
 	}
-	// It names no worker to use, until the worker itself writes the next
+	// The worker cannot be used until it writes an entry that can be decoded
 	this->workers.erase(inRecord.key);
 	++this->entries_refused;
 	const Millis now = NowMillis();
-	if (now - this->entries_refused_told_at < cEntriesRefusedEveryMs)
+	if (now - this->entries_refused_logged_at < cEntriesRefusedLogMs)
 		return;
-	this->entries_refused_told_at = now;
+	this->entries_refused_logged_at = now;
 	LogEvent(ELogLevel::Warning, "worker_entries_refused")
 		.Field("count", std::exchange(this->entries_refused, 0))
 		.Field("worker", inRecord.key)
@@ -227,16 +228,16 @@
 }
 
 template <class Hub>
-void JobHost<Hub>::TellWorkers()
+void JobHost<Hub>::UpdateWorkers()
 {
-	if (this->seats.empty())
+	if (this->drivers.empty())
 		return;
 	std::vector<WorkerEntry> all;
 	for (const auto &[id, entry] : this->workers)
 		all.push_back(entry);
-	for (auto &[cell, seat] : this->seats)
-		if (seat->IsHeld())
-			seat->SetWorkers(all, this->store_back_at + cRelistedMs);
+	for (auto &[cell, driver] : this->drivers)
+		if (driver->IsHeld())
+			driver->SetWorkers(all, this->store_recovered_at + cRelistedMs);
 }
 
 } // namespace Loomreach::Jobs
--- a/Loomreach/Entry/JobHostOwnership.inl
+++ b/Loomreach/Entry/JobHostOwnership.inl
@@ -1,4 +1,4 @@
-// Which cells an entry host owns: the hosts' heartbeats, claims, its own lease, and letting cells go.
+// Which cells an entry host owns: heartbeats of the hosts, claims, this host's own lease, and the release of cells.
 
 namespace Loomreach::Jobs
 {
@@ -6,14 +6,14 @@
 template <class Hub>
 size_t JobHost<Hub>::Owned() const
 {
-	return this->seats.size() + (this->fleet == nullptr ? 0 : 1);
+	return this->drivers.size() + (this->fleet_driver == nullptr ? 0 : 1);
 }
 
 template <class Hub>
 void JobHost<Hub>::LoadHosts()
 {
 	auto round = std::make_shared<HostsRound>();
-	round->open = this->HostParts();
+	round->open = this->HeartbeatPartitionCount();
 	round->in_turn = true;
 	this->LoadHostPart(round, 0);
 }
@@ -31,42 +31,42 @@
 							   if (--round->open > 0)
 								   return this->LoadHostPart(round, part + 1);
 							   if (!round->all)
-								   return this->hosts_timer.Once(cHostsClaimMs, [this] { this->LoadHosts(); });
-							   // Whatever earlier starts of this host left behind is known now
+								   return this->hosts_timer.Once(cFreeCellReadMs, [this] { this->LoadHosts(); });
+							   // All heartbeats of earlier starts of this host have been read now
 							   if (this->start == 0)
 								   this->start = this->owners.StartsOf(this->config.name) + 1;
 							   this->OnHostsRead(true);
-							   this->FollowHosts();
+							   this->ScheduleHostsRead();
 						   });
 }
 
 template <class Hub>
-void JobHost<Hub>::FollowHosts()
+void JobHost<Hub>::ScheduleHostsRead()
 {
-	this->hosts_timer.Once(this->HostsGap(NowMillis()), [this] { this->ReadHosts(); });
+	this->hosts_timer.Once(this->HostsReadDelay(NowMillis()), [this] { this->ReadHosts(); });
 }
 
 template <class Hub>
-Millis JobHost<Hub>::HostsGap(Millis inNow)
+Millis JobHost<Hub>::HostsReadDelay(Millis inNow)
 {
-	if (this->cells_free)
-		return this->FreeCellGap(inNow);
+	if (this->any_cell_free)
+		return this->FreeCellReadDelay(inNow);
 	const Millis mean = this->owners.ReadInterval(this->Owned() > 0, inNow);
-	// What all hosts read at one moment, because they started at one, takes all that the store can give
-	return this->IsWellInformed(inNow) ? mean : this->DrawPause(mean);
+	// Hosts that started together would all read at the same moment and use up the read capacity of the store
+	return this->IsWellInformed(inNow) ? mean : this->RandomizeDelay(mean);
 }
 
 template <class Hub>
-Millis JobHost<Hub>::DrawPausePercent()
+Millis JobHost<Hub>::RandomDelayPercent()
 {
-	return cLeastPausePercent + static_cast<Millis>(this->random.Below(static_cast<uint64>(cMostPausePercent - cLeastPausePercent + 1)));
+	return cMinDelayPercent + static_cast<Millis>(this->random.Below(static_cast<uint64>(cMaxDelayPercent - cMinDelayPercent + 1)));
 }
 
 template <class Hub>
 void JobHost<Hub>::AskOwners(Millis inNow)
 {
-	const Millis every = std::max(cOwnersLeastMs, static_cast<Millis>(this->owners.HostsAtWork(inNow)) * cOwnersEachMs);
-	if (inNow - this->owners_asked_at < every || this->stopping || this->IsWellInformed(inNow))
+	const Millis interval = std::max(cMinAskOwnersIntervalMs, static_cast<Millis>(this->owners.HostsAtWork(inNow)) * cAskOwnersPerHostMs);
+	if (inNow - this->owners_asked_at < interval || this->stopping || this->IsWellInformed(inNow))
 		return;
 	this->owners_asked_at = inNow;
 	const std::vector<Address> informed = this->owners.WellInformed(inNow);
@@ -74,7 +74,7 @@
 		return;
 	PeerQuestion question;
 	question.kind = EQuestion::Owners;
-	this->peers.Ask(informed[this->random.Below(informed.size())], std::move(question), cAskOwnersMs,
+	this->peers.Ask(informed[this->random.Below(informed.size())], std::move(question), cAskOwnersTimeoutMs,
 					[this](const std::optional<PeerAnswer> &inAnswer)
 					{
 						if (!inAnswer.has_value() || inAnswer->record.empty())
@@ -87,22 +87,23 @@
 }
 
 template <class Hub>
-Millis JobHost<Hub>::FreeCellGap(Millis inNow) const
+Millis JobHost<Hub>::FreeCellReadDelay(Millis inNow) const
 {
-	// The first in line take a free cell; the others only need to see that they do
-	return this->IsWellInformed(inNow) ? cHostsClaimMs
-									   : std::max(cHostsClaimMs, this->budget.RoundGap(this->owners.HostsAtWork(inNow), this->HostParts()));
+	// Candidate successors claim a free cell; other hosts only need to learn the outcome
+	return this->IsWellInformed(inNow)
+			   ? cFreeCellReadMs
+			   : std::max(cFreeCellReadMs, this->budget.RoundGap(this->owners.HostsAtWork(inNow), this->HeartbeatPartitionCount()));
 }
 
 template <class Hub>
 void JobHost<Hub>::ReadHosts()
 {
 	auto round = std::make_shared<HostsRound>();
-	round->open = this->HostParts();
-	// At the start one after the other, over one connection: hosts that all start at once would overrun the store's queue of new ones.
-	// Later all at once: one read without an answer must not hold up the others, and with them a cell's next owner
+	round->open = this->HeartbeatPartitionCount();
+	// At the start one read after the other, over one connection: hosts that all start together would overrun the store's queue of new
+	// connections. Later all reads in parallel: one without an answer must not delay the others, and with them the cell's next owner
 	round->in_turn = this->catalogue == nullptr;
-	for (uint32 part = 0; part < (round->in_turn ? 1 : this->HostParts()); ++part)
+	for (uint32 part = 0; part < (round->in_turn ? 1 : this->HeartbeatPartitionCount()); ++part)
 		this->ReadHostPart(round, part);
 }
 
@@ -115,8 +116,8 @@
 						 [this, round = inRound, part = inPart, sent_at](const ReadAnswer &inAnswer)
 						 {
 							 round->all = round->all && inAnswer.result == ERead::Done;
-							 this->store_read_ms = NowMillis() - sent_at;
-							 round->gone = round->gone || inAnswer.result == ERead::Gone;
+							 this->store_read_latency_ms = NowMillis() - sent_at;
+							 round->truncated = round->truncated || inAnswer.result == ERead::Gone;
 							 if (inAnswer.result == ERead::Done)
 							 {
 								 this->store_watch.OnAnswered(sent_at, NowMillis());
@@ -129,10 +130,10 @@
 									 this->ReadHostPart(round, part + 1);
 								 return;
 							 }
-							 if (round->gone)
+							 if (round->truncated)
 								 return this->LoadHosts();
 							 this->OnHostsRead(round->all);
-							 this->FollowHosts();
+							 this->ScheduleHostsRead();
 						 });
 }
 
@@ -140,7 +141,7 @@
 void JobHost<Hub>::OnHostRecords(const std::vector<LogRecord> &inRecords)
 {
 	const Millis now = NowMillis();
-	this->store_heard_at = now;
+	this->store_answered_at = now;
 	for (const LogRecord &record : inRecords)
 	{
 		const std::optional<HostBeat> beat = DecodeValue<HostBeat>(record.value);
@@ -152,31 +153,31 @@
 template <class Hub>
 void JobHost<Hub>::OnHostsRead(bool inAll)
 {
-	this->DropSuperseded();
-	if (!this->seats.empty())
+	this->MarkSupersededCells();
+	if (!this->drivers.empty())
 		this->orders.SetHosts(this->owners.IdleHosts(NowMillis()));
-	// In a partition that was not read there may be the heartbeat of an owner at work
+	// A partition that was not read may contain the heartbeat of an active owner
 	if (inAll)
 		this->ConsiderClaims();
 }
 
 template <class Hub>
-void JobHost<Hub>::DropSuperseded()
+void JobHost<Hub>::MarkSupersededCells()
 {
-	for (const auto &[cell, seat] : this->seats)
-		if (seat->IsHeld() && this->owners.IsSuperseded(cell, seat->Epoch()))
-			this->lost_seats.push_back(cell);
-	if (this->fleet != nullptr && this->fleet->IsHeld() && this->owners.IsSuperseded(cFleetCell, this->fleet->Epoch()))
-		this->lost_seats.push_back(cFleetCell);
-	for (uint32 cell : this->lost_seats)
+	for (const auto &[cell, driver] : this->drivers)
+		if (driver->IsHeld() && this->owners.IsSuperseded(cell, driver->Epoch()))
+			this->lost_cells.push_back(cell);
+	if (this->fleet_driver != nullptr && this->fleet_driver->IsHeld() && this->owners.IsSuperseded(cFleetCell, this->fleet_driver->Epoch()))
+		this->lost_cells.push_back(cFleetCell);
+	for (uint32 cell : this->lost_cells)
 		LogEvent(ELogLevel::Warning, "cell_superseded").Field("cell", cell);
 }
 
 template <class Hub>
 void JobHost<Hub>::ConsiderClaims()
 {
-	// Before the first configuration any cell may be free: all hosts should know each other when it comes
-	this->cells_free = this->catalogue == nullptr && !this->stopping;
+	// Before the first configuration any cell may be free, and all hosts should know each other when the configuration arrives
+	this->any_cell_free = this->catalogue == nullptr && !this->stopping;
 	if (this->catalogue == nullptr || this->stopping)
 		return;
 	const Millis now = NowMillis();
@@ -184,16 +185,18 @@
 	if (this->config.machines.has_value() || this->catalogue->teams.has_value())
 		cells.insert(cFleetCell);
 	for (const auto &[name, pool] : this->catalogue->pools)
-		cells.insert(CellOf(name, this->Parts()));
-	std::erase_if(cells, [this](uint32 inCell) { return inCell == cFleetCell ? this->fleet != nullptr : this->seats.contains(inCell); });
+		cells.insert(CellOf(name, this->PartitionCount()));
+	std::erase_if(cells,
+				  [this](uint32 inCell) { return inCell == cFleetCell ? this->fleet_driver != nullptr : this->drivers.contains(inCell); });
 	for (uint32 cell : cells)
-		this->cells_free = this->cells_free || this->owners.IsFree(cell, now);
+		this->any_cell_free = this->any_cell_free || this->owners.IsFree(cell, now);
 	const std::vector<uint32> claims = this->owners.ToClaim(cells, now, this->Owned());
 	if (claims.empty())
 		return;
-	// A lease of one's own comes first: hosts without cells beat less often than a lease lasts, and a free cell must not wait for the next
+	// The own lease must be valid first. Hosts without cells send heartbeats less often than a lease lasts, and a free cell must not wait
+	// for the next regular one
 	if (!this->lease.MayAct(now))
-		return this->Beat();
+		return this->SendHeartbeat();
 	LogEvent(ELogLevel::Info, "cells_claimed")
 		.Field("claims", this->owners.ClaimText())
 		.Field("owned", this->Owned())
@@ -209,107 +212,107 @@
 }
 
 template <class Hub>
-SeatContext JobHost<Hub>::ContextOfSeat(uint32 inCell)
+SeatContext JobHost<Hub>::DriverContextFor(uint32 inCell)
 {
 	const auto send = [this, inCell](const Order &inOrder, std::function<void(const OrderAnswer &)> inDone)
 	{
-		// Only looks list ends
+		// Only answers to polls list run ends
 		if (inOrder.kind != EOrder::Hold)
 			return this->orders.Send(inOrder, std::move(inDone));
-		++this->looks_under_way;
+		++this->polls_in_flight;
 		this->orders.Send(
 			inOrder,
 			[this, inCell, worker = inOrder.worker, epoch = EpochOf(inOrder.token), done = std::move(inDone)](const OrderAnswer &inAnswer)
 			{
-				--this->looks_under_way;
+				--this->polls_in_flight;
 				done(inAnswer);
-				this->SaveEnds(inCell, epoch, worker, inAnswer.ended);
+				this->SubmitLateEnds(inCell, epoch, worker, inAnswer.ended);
 			});
 	};
 	const auto ask_fleet = [this](PeerQuestion inQuestion, PeerQuery::OnAnswer inDone)
-	{ this->AskCell(cFleetCell, std::move(inQuestion), cAskSharesMs, std::move(inDone)); };
-	const auto tell_ends = [this](const EndsUpdate &inUpdate)
+	{ this->AskCell(cFleetCell, std::move(inQuestion), cAskSharesTimeoutMs, std::move(inDone)); };
+	const auto replicate_ends = [this](const EndsUpdate &inUpdate)
 	{ this->peers.Tell(this->owners.ReplicaHosts(NowMillis()), EPeerNews::Ends, EncodeValue(inUpdate)); };
-	return {this->config, this->metrics, this->lease, this->owners, {this->config.name, this->life, this->start},
-			send,         ask_fleet,     tell_ends};
+	return {this->config, this->metrics, this->lease,   this->owners, {this->config.name, this->incarnation, this->start},
+			send,         ask_fleet,     replicate_ends};
 }
 
 template <class Hub>
-void JobHost<Hub>::SaveEnds(uint32 inCell, uint64 inEpoch, const std::string &inWorker, const std::vector<EndedRow> &inEnded)
+void JobHost<Hub>::SubmitLateEnds(uint32 inCell, uint64 inEpoch, const std::string &inWorker, const std::vector<EndedRow> &inEnded)
 {
 	if (inEnded.empty())
 		return;
-	auto seat = this->seats.find(inCell);
-	const bool heard = seat != this->seats.end() && seat->second->Epoch() == inEpoch;
-	// Read after the lease was over, because this process stood still or the cell was given on, it is the last that anybody hears of a
-	// worker that leaves
-	if (!heard)
-		this->ends_hand_in.HandIn(inCell, {inWorker, inEpoch, inEnded});
+	auto driver = this->drivers.find(inCell);
+	const bool received = driver != this->drivers.end() && driver->second->Epoch() == inEpoch;
+	// The answer came after the lease was over, because the process was paused or the cell was handed over. If the worker is shutting down,
+	// nobody else will receive these ends
+	if (!received)
+		this->ends_submitter.HandIn(inCell, {inWorker, inEpoch, inEnded});
 }
 
 template <class Hub>
-void JobHost<Hub>::OnEndsUpdate(const std::string &inNews)
+void JobHost<Hub>::OnEndsUpdate(const std::string &inMessage)
 {
-	std::optional<EndsUpdate> update = DecodeValue<EndsUpdate>(inNews);
+	std::optional<EndsUpdate> update = DecodeValue<EndsUpdate>(inMessage);
 	if (!update.has_value())
 		return this->metrics.Count(ECounter::PeerRejects, "corrupt");
 	this->end_replicas.OnUpdate(std::move(*update), NowMillis());
 }
 
 template <class Hub>
-void JobHost<Hub>::HandInOrphans(Millis inNow)
+void JobHost<Hub>::SubmitOrphanedEnds(Millis inNow)
 {
-	const auto is_gone = [this, inNow](uint32 inCell, uint64 inEpoch)
+	const auto has_stopped = [this, inNow](uint32 inCell, uint64 inEpoch)
 	{
-		auto seat = this->seats.find(inCell);
-		const bool succeeds = seat != this->seats.end() && seat->second->IsHeld() && seat->second->Epoch() > inEpoch;
-		return succeeds || this->owners.IsSuperseded(inCell, inEpoch) || this->owners.IsFree(inCell, inNow);
+		auto driver = this->drivers.find(inCell);
+		const bool is_successor = driver != this->drivers.end() && driver->second->IsHeld() && driver->second->Epoch() > inEpoch;
+		return is_successor || this->owners.IsSuperseded(inCell, inEpoch) || this->owners.IsFree(inCell, inNow);
 	};
-	for (OrphanedEnds &orphan : this->end_replicas.TakeOrphans(is_gone, inNow))
+	for (OrphanedEnds &orphan : this->end_replicas.TakeOrphans(has_stopped, inNow))
 	{
 		LogEvent(ELogLevel::Info, "ends_of_lost_owner")
 			.Field("worker", orphan.report.worker)
 			.Field("count", orphan.report.ended.size())
 			.Field("cell", orphan.cell)
 			.Field("epoch", orphan.report.epoch);
-		this->ends_hand_in.HandIn(orphan.cell, std::move(orphan.report));
+		this->ends_submitter.HandIn(orphan.cell, std::move(orphan.report));
 	}
 }
 
 template <class Hub>
-void JobHost<Hub>::DropSeat(uint32 inCell)
+void JobHost<Hub>::ReleaseCell(uint32 inCell)
 {
-	auto seat = this->seats.find(inCell);
-	if (seat == this->seats.end())
+	auto driver = this->drivers.find(inCell);
+	if (driver == this->drivers.end())
 		return;
-	for (EndReport &report : seat->second->UnloggedEnds())
-		this->ends_hand_in.HandIn(inCell, std::move(report));
-	this->seats.erase(seat);
+	for (EndReport &report : driver->second->UnloggedEnds())
+		this->ends_submitter.HandIn(inCell, std::move(report));
+	this->drivers.erase(driver);
 }
 
 template <class Hub>
-void JobHost<Hub>::DropAllSeats()
+void JobHost<Hub>::ReleaseAllCells()
 {
-	while (!this->seats.empty())
-		this->DropSeat(this->seats.begin()->first);
-	this->fleet.reset();
+	while (!this->drivers.empty())
+		this->ReleaseCell(this->drivers.begin()->first);
+	this->fleet_driver.reset();
 }
 
 template <class Hub>
 void JobHost<Hub>::ClaimCell(uint32 inCell)
 {
-	auto seat = std::make_unique<CellSeat<Hub>>(this->hub, this->ContextOfSeat(inCell), inCell);
-	seat->SetCatalogue(this->catalogue);
-	seat->SetEvacuated(this->evacuations.Zones());
-	CellSeat<Hub> *claimed = seat.get();
-	this->seats[inCell] = std::move(seat);
-	claimed->Claim(this->beat_number,
+	auto driver = std::make_unique<CellSeat<Hub>>(this->hub, this->DriverContextFor(inCell), inCell);
+	driver->SetCatalogue(this->catalogue);
+	driver->SetEvacuated(this->evacuations.Zones());
+	CellSeat<Hub> *claimed = driver.get();
+	this->drivers[inCell] = std::move(driver);
+	claimed->Claim(this->heartbeat_number,
 				   [this, inCell](bool inHeld)
 				   {
 					   this->metrics.Count(ECounter::Claims, inHeld ? "won" : "lost");
 					   if (!inHeld)
-						   return this->lost_seats.push_back(inCell);
-					   this->Beat();
+						   return this->lost_cells.push_back(inCell);
+					   this->SendHeartbeat();
 					   this->LoadWorkers();
 				   });
 }
@@ -317,181 +320,188 @@
 template <class Hub>
 void JobHost<Hub>::ClaimFleet()
 {
-	this->fleet = std::make_unique<FleetSeat<Hub>>(this->hub, this->ContextOfSeat(cFleetCell),
-												   [this](const std::string &inPool, PeerQuestion inQuestion, PeerQuery::OnAnswer inDone)
-												   {
-													   const uint32 cell = CellOf(inPool, this->Parts());
-													   inQuestion.cell = cell;
-													   this->AskCell(cell, inQuestion, cAskOwnerMs, std::move(inDone));
-												   });
-	this->fleet->SetCatalogue(this->catalogue);
-	this->fleet->SetEvacuated(this->evacuations.Zones());
-	this->fleet->Claim(this->beat_number,
-					   [this](bool inHeld)
-					   {
-						   this->metrics.Count(ECounter::Claims, inHeld ? "won" : "lost");
-						   if (!inHeld)
-							   return this->lost_seats.push_back(cFleetCell);
-						   this->Beat();
-						   this->fleet->SetWaves(this->waves);
-					   });
-}
-
-template <class Hub>
-Millis JobHost<Hub>::BeatInterval(Millis inNow) const
+	this->fleet_driver =
+		std::make_unique<FleetSeat<Hub>>(this->hub, this->DriverContextFor(cFleetCell),
+										 [this](const std::string &inPool, PeerQuestion inQuestion, PeerQuery::OnAnswer inDone)
+										 {
+											 const uint32 cell = CellOf(inPool, this->PartitionCount());
+											 inQuestion.cell = cell;
+											 this->AskCell(cell, inQuestion, cAskOwnerTimeoutMs, std::move(inDone));
+										 });
+	this->fleet_driver->SetCatalogue(this->catalogue);
+	this->fleet_driver->SetEvacuated(this->evacuations.Zones());
+	this->fleet_driver->Claim(this->heartbeat_number,
+							  [this](bool inHeld)
+							  {
+								  this->metrics.Count(ECounter::Claims, inHeld ? "won" : "lost");
+								  if (!inHeld)
+									  return this->lost_cells.push_back(cFleetCell);
+								  this->SendHeartbeat();
+								  this->fleet_driver->SetWaves(this->waves);
+							  });
+}
+
+template <class Hub>
+Millis JobHost<Hub>::HeartbeatInterval(Millis inNow) const
 {
 	if (this->Owned() > 0)
 		return this->lease_tuning.beat_ms;
-	// What hosts without cells append, owners wait for while the store is slow
-	const bool slow = this->beat_answer_ms > cSlowStoreMs;
-	return this->owners.IdleInterval(inNow) * (slow ? cIdleSlowTimes : 1);
+	// A slow store handles appends one by one: owners' heartbeats would wait behind those of hosts without cells
+	const bool slow = this->heartbeat_latency_ms > cSlowStoreMs;
+	return this->owners.IdleInterval(inNow) * (slow ? cIdleSlowFactor : 1);
 }
 
 template <class Hub>
-Millis JobHost<Hub>::LeaseFor(Millis inNow) const
+Millis JobHost<Hub>::HeartbeatLease(Millis inNow) const
 {
-	// While the store is slow heartbeats wait for each other: a short lease would be over before the next one is acknowledged
-	const bool slow_store = this->beat_answer_ms > cSlowStoreMs || this->store_read_ms > cSlowStoreMs || this->store_watch.IsLate(inNow);
-	// And a host that is short of processor time sends its own late
-	return slow_store || this->IsShortOfTime(inNow) ? this->config.owner_lease_ms : this->config.owner_short_lease_ms;
+	// Heartbeats queue up while the store is slow: a short lease would expire before the next one is acknowledged
+	const bool slow_store =
+		this->heartbeat_latency_ms > cSlowStoreMs || this->store_read_latency_ms > cSlowStoreMs || this->store_watch.IsLate(inNow);
+	// A host without enough processor time sends its heartbeats late
+	return slow_store || this->IsCpuStarved(inNow) ? this->config.owner_lease_ms : this->config.owner_short_lease_ms;
 }
 
 template <class Hub>
-bool JobHost<Hub>::IsShortOfTime(Millis inNow) const
+bool JobHost<Hub>::IsCpuStarved(Millis inNow) const
 {
-	return inNow - this->ticked_late_at < cSlowHostMs;
+	return inNow - this->late_tick_at < cCpuStarvedMs;
 }
 
 template <class Hub>
-HostBeat JobHost<Hub>::NewBeat(Millis inNow)
+HostBeat JobHost<Hub>::NewHeartbeat(Millis inNow)
 {
 	HostBeat beat;
 	beat.host = this->config.name;
-	beat.life = this->life;
+	beat.life = this->incarnation;
 	beat.start = this->start;
-	beat.number = ++this->beat_number;
+	beat.number = ++this->heartbeat_number;
 	beat.address = this->config.peers;
 	beat.weight = static_cast<uint32>(this->config.processor_milli);
 	beat.claims = !this->stopping;
-	beat.short_of_time = this->IsShortOfTime(inNow);
+	beat.short_of_time = this->IsCpuStarved(inNow);
 	beat.availability_zone = this->config.availability_zone;
-	beat.every_ms = this->BeatInterval(inNow);
-	beat.lease_ms = this->LeaseFor(inNow);
-	// Also in a planned stop: what is not told of counts as given back, and others begin on it
-	for (const auto &[cell, seat] : this->seats)
-		beat.cells.push_back({cell, seat->Epoch(), seat->IsHeld()});
-	if (this->fleet != nullptr)
-		beat.cells.push_back({cFleetCell, this->fleet->Epoch(), this->fleet->IsHeld()});
+	beat.every_ms = this->HeartbeatInterval(inNow);
+	beat.lease_ms = this->HeartbeatLease(inNow);
+	// Also during a planned stop: a cell that the heartbeat does not list counts as released, and other hosts claim it
+	for (const auto &[cell, driver] : this->drivers)
+		beat.cells.push_back({cell, driver->Epoch(), driver->IsHeld()});
+	if (this->fleet_driver != nullptr)
+		beat.cells.push_back({cFleetCell, this->fleet_driver->Epoch(), this->fleet_driver->IsHeld()});
 	return beat;
 }
 
 template <class Hub>
-void JobHost<Hub>::OnNews(EPeerNews inKind, const std::string &inNews)
+void JobHost<Hub>::OnPeerMessage(EPeerNews inKind, const std::string &inMessage)
 {
 	if (inKind == EPeerNews::Ends)
-		return this->OnEndsUpdate(inNews);
-	const std::optional<HostBeat> beat = DecodeValue<HostBeat>(inNews);
+		return this->OnEndsUpdate(inMessage);
+	const std::optional<HostBeat> beat = DecodeValue<HostBeat>(inMessage);
 	if (!beat.has_value() || beat->host == this->config.name)
 		return this->metrics.Count(ECounter::PeerRejects, "corrupt");
-	// A lease that is counted from here begins no earlier than its owner's, which counts from the sending
+	// The lease counted here starts at reception and the owner's own at sending, so the owner's ends first
 	this->owners.OnBeat(*beat, NowMillis());
 }
 
 template <class Hub>
-void JobHost<Hub>::Beat(bool inAtOnce)
+void JobHost<Hub>::SendHeartbeat(bool inForce)
 {
 	const Millis sent_at = NowMillis();
-	// One after the other, so that a slow store is not asked for more than it takes; but one lost answer must not cost the lease
-	const Millis patience = std::clamp(static_cast<Millis>(this->beat_answer_ms * cBeatPatience), cBeatLeastPatienceMs, cBeatTimeoutMs);
-	const bool may = this->beats_under_way == 0 || (this->beats_under_way < cMostBeats && sent_at - this->beat_sent_at >= patience);
-	if (this->start == 0 || (!may && !inAtOnce))
+	// One heartbeat at a time, so that a slow store is not overloaded; but one lost answer must not cost the lease
+	const Millis wait_ms =
+		std::clamp(static_cast<Millis>(this->heartbeat_latency_ms * cHeartbeatOverlapFactor), cMinHeartbeatOverlapMs, cHeartbeatTimeoutMs);
+	const bool may_send = this->heartbeats_in_flight == 0 ||
+						  (this->heartbeats_in_flight < cMaxHeartbeatsInFlight && sent_at - this->heartbeat_sent_at >= wait_ms);
+	if (this->start == 0 || (!may_send && !inForce))
 		return;
-	const HostBeat beat = this->NewBeat(sent_at);
+	const HostBeat beat = this->NewHeartbeat(sent_at);
 	AppendCall call;
-	const uint32 part = this->owners.BeatPart(this->HostParts(), this->Owned() > 0, sent_at) + this->beat_shift;
-	call.log = HostsLog(part % this->HostParts());
+	const uint32 part =
+		this->owners.BeatPart(this->HeartbeatPartitionCount(), this->Owned() > 0, sent_at) + this->heartbeat_partition_shift;
+	call.log = HostsLog(part % this->HeartbeatPartitionCount());
 	call.keyed = true;
 	call.records.push_back({beat.host, EncodeValue(beat), 0});
-	call.timeout_ms = cBeatTimeoutMs;
-	this->beat_sent_at = sent_at;
-	this->beat_percent = this->DrawPausePercent();
-	++this->beats_under_way;
+	call.timeout_ms = cHeartbeatTimeoutMs;
+	this->heartbeat_sent_at = sent_at;
+	this->heartbeat_delay_percent = this->RandomDelayPercent();
+	++this->heartbeats_in_flight;
 	this->store_watch.OnSent(sent_at);
 	this->lease.OnSent(sent_at, beat.lease_ms);
 	this->hub.store.Append(call, [this, sent_at, lease_ms = beat.lease_ms](const AppendAnswer &inAnswer)
-						   { this->OnBeatAnswer(inAnswer, sent_at, lease_ms); });
+						   { this->OnHeartbeatAnswer(inAnswer, sent_at, lease_ms); });
 }
 
 template <class Hub>
-void JobHost<Hub>::OnBeatAnswer(const AppendAnswer &inAnswer, Millis inSentAt, Millis inLeaseMs)
+void JobHost<Hub>::OnHeartbeatAnswer(const AppendAnswer &inAnswer, Millis inSentAt, Millis inLeaseMs)
 {
-	--this->beats_under_way;
+	--this->heartbeats_in_flight;
 	const Millis now = NowMillis();
 	const Millis took = now - inSentAt;
-	// Up at once, down slowly: a second heartbeat sent too soon makes a slow store's queue longer
-	const double fallen = this->beat_answer_ms + cBeatAnswerShare * (static_cast<double>(took) - this->beat_answer_ms);
-	this->beat_answer_ms = inAnswer.result == EAppend::Unknown ? this->beat_answer_ms : std::max(fallen, static_cast<double>(took));
-	if (took > cSlowBeatMs && this->Owned() > 0)
+	// Rises immediately and falls slowly: a second heartbeat sent too soon lengthens the queue of a slow store
+	const double decayed = this->heartbeat_latency_ms + cHeartbeatLatencyWeight * (static_cast<double>(took) - this->heartbeat_latency_ms);
+	this->heartbeat_latency_ms =
+		inAnswer.result == EAppend::Unknown ? this->heartbeat_latency_ms : std::max(decayed, static_cast<double>(took));
+	if (took > cSlowHeartbeatMs && this->Owned() > 0)
 		LogEvent(ELogLevel::Warning, "heartbeat_slow").Field("ms", took).Field("result", NameOf(cAppendNames, inAnswer.result));
 	if (inAnswer.result != EAppend::Done)
 	{
-		// A partition that is away, and not only behind, is passed over; what owners wait for is no way out for others
-		this->beat_shift += this->Owned() > 0 || took < cSlowStoreMs ? 1 : 0;
+		// After a failure owners use the next partition. Hosts without cells do so only after a quick failure (the partition is down, not
+		// slow), so that they do not slow down the partitions that owners wait for
+		this->heartbeat_partition_shift += this->Owned() > 0 || took < cSlowStoreMs ? 1 : 0;
 		return;
 	}
 	this->store_watch.OnAnswered(inSentAt, now);
 	const bool kept = this->lease.OnAcknowledged(inSentAt, inLeaseMs, now);
 	if (!kept && this->Owned() > 0)
-		this->DropSeats("heartbeat acknowledged too late");
+		this->AbandonCells("heartbeat acknowledged too late");
 }
 
 template <class Hub>
-void JobHost<Hub>::DropSeats(std::string_view inWhy)
+void JobHost<Hub>::AbandonCells(std::string_view inWhy)
 {
 	LogEvent(ELogLevel::Warning, "cells_dropped").Field("count", this->Owned()).Field("why", inWhy);
-	// While an order to a host is under way, the next owner must wait: not every platform checks its token
+	// While an order to a host is in flight the next owner must wait: not every platform checks fencing tokens
 	std::optional<OwnedCell> fleet_cell;
-	if (this->fleet != nullptr && this->fleet->HasOrdersUnderWay())
-		fleet_cell = OwnedCell{cFleetCell, this->fleet->Epoch(), this->fleet->IsHeld()};
-	this->DropAllSeats();
-	this->lost_seats.clear();
-	this->TellLetGo(fleet_cell);
+	if (this->fleet_driver != nullptr && this->fleet_driver->HasOrdersUnderWay())
+		fleet_cell = OwnedCell{cFleetCell, this->fleet_driver->Epoch(), this->fleet_driver->IsHeld()};
+	this->ReleaseAllCells();
+	this->lost_cells.clear();
+	this->AnnounceRelease(fleet_cell);
 }
 
 template <class Hub>
-void JobHost<Hub>::GiveOn(Millis inNow)
+void JobHost<Hub>::RebalanceCells(Millis inNow)
 {
-	if (!this->giving_on.has_value())
+	if (!this->handover_cell.has_value())
 	{
-		if (!this->owners.ShouldGiveOn(this->Owned(), inNow) || this->seats.empty() || !this->seats.begin()->second->IsHeld())
+		if (!this->owners.ShouldGiveOn(this->Owned(), inNow) || this->drivers.empty() || !this->drivers.begin()->second->IsHeld())
 			return;
-		this->giving_on = this->seats.begin()->first;
-		this->giving_since = inNow;
-		this->seats.begin()->second->Retire();
-		LogEvent(ELogLevel::Info, "cell_given_on").Field("cell", *this->giving_on).Field("owned", this->Owned());
+		this->handover_cell = this->drivers.begin()->first;
+		this->handover_since = inNow;
+		this->drivers.begin()->second->Retire();
+		LogEvent(ELogLevel::Info, "cell_given_on").Field("cell", *this->handover_cell).Field("owned", this->Owned());
 		return;
 	}
-	auto seat = this->seats.find(*this->giving_on);
-	// As in a planned stop: its successor begins at once
-	if (seat != this->seats.end() && !seat->second->IsQuiet() && inNow - this->giving_since < cStopGiveBackMs)
+	auto driver = this->drivers.find(*this->handover_cell);
+	// As in a planned stop, the successor starts immediately
+	if (driver != this->drivers.end() && !driver->second->IsQuiet() && inNow - this->handover_since < cStopReleaseMs)
 		return;
-	this->giving_on.reset();
-	if (seat == this->seats.end())
+	this->handover_cell.reset();
+	if (driver == this->drivers.end())
 		return;
-	this->DropSeat(seat->first);
-	this->Beat(true);
+	this->ReleaseCell(driver->first);
+	this->SendHeartbeat(true);
 }
 
 template <class Hub>
-void JobHost<Hub>::TellLetGo(const std::optional<OwnedCell> &inFleetCell)
+void JobHost<Hub>::AnnounceRelease(const std::optional<OwnedCell> &inFleetCell)
 {
 	if (this->start == 0)
 		return;
-	// Nothing more is done on these claims: successors need not wait for a lease that begins when they read of it
-	const HostBeat beat = LetGoBeat(this->NewBeat(NowMillis()), inFleetCell, cOrderUnderWayMs);
-	const std::string news = EncodeValue(beat);
-	this->peers.Tell(this->owners.Others(), EPeerNews::Beat, news);
-	After(cTellAgainMs, [this, news] { this->peers.Tell(this->owners.Others(), EPeerNews::Beat, news); });
+	// Nothing more is done under these claims, so successors need not wait for a lease counted from when they read of them
+	const HostBeat beat = LetGoBeat(this->NewHeartbeat(NowMillis()), inFleetCell, cOrderInFlightMs);
+	const std::string message = EncodeValue(beat);
+	this->peers.Tell(this->owners.Others(), EPeerNews::Beat, message);
+	After(cReleaseRepeatMs, [this, message] { this->peers.Tell(this->owners.Others(), EPeerNews::Beat, message); });
 }
 
 } // namespace Loomreach::Jobs
