--- a/Loomreach/Entry/EndsHandIn.h
+++ b/Loomreach/Entry/EndsHandIn.h
@@ -1,5 +1,5 @@
-// Hands ends in: what workers listed to an owner that has lost its cell, and the cell's log does not hold, goes into the cell's inbox,
-// where the next owner reads it. The worker may have left meanwhile; nobody else knows that its tasks are done, and they would be done
+// Submits run ends to a cell's inbox: a host that has lost the cell passes on ends that workers listed to it and the cell's log does not
+// contain. The cell's next owner reads them there. The workers may have shut down in the meantime; without these ends the tasks would run
 // again.
 
 #pragma once
@@ -10,7 +10,8 @@
 namespace Loomreach::Jobs
 {
 
-/// See the head of the file. An end may be handed in twice, or be known already: it counts once.
+/// Submits run ends to cells' inboxes and retries. Submitting an end twice, or one that the next owner knows already, is harmless: it
+/// counts once.
 template <class Store>
 class EndsHandIn : private Guarded
 {
@@ -19,13 +20,13 @@
 
 	explicit EndsHandIn(WriterOf inWriterOf) : writer_of(std::move(inWriterOf)) {}
 
-	/// Tries until the store has taken it, or for as long as that is of use.
+	/// Appends a report to the inbox of a cell; retries until the store has accepted it or `cGiveUpAfterMs` is over.
 	void HandIn(uint32 inCell, EndReport inReport);
-	/// How many reports are on their way.
-	size_t UnderWay() const { return this->under_way; }
+	/// Number of reports without an outcome yet.
+	size_t UnderWay() const { return this->in_flight; }
 
 private:
-	/// A report on its way.
+	/// A report without an outcome yet.
 	struct Item
 	{
 		uint32 cell = 0;
@@ -33,15 +34,16 @@
 		Millis give_up_at = 0;
 	};
 
-	static constexpr Millis cTryMs = 700;   ///< Slow answers of the users' store take 240 ms.
-	static constexpr Millis cAgainMs = 300; ///< Between two tries.
-	static constexpr Millis cForMs = 30000; ///< While the store is away there is no next owner; later, the tasks have been done anew.
+	static constexpr Millis cAttemptTimeoutMs = 700; ///< The users' slow store answers in 240 ms.
+	static constexpr Millis cRetryDelayMs = 300;     ///< Delay between two attempts.
+	/// While the store is down the cell has no next owner; after this long the tasks have been run again.
+	static constexpr Millis cGiveUpAfterMs = 30000;
 
 	void Try(const std::shared_ptr<const Item> &inItem);
 	void OnAnswer(const std::shared_ptr<const Item> &inItem, const AppendAnswer &inAnswer);
 
 	WriterOf writer_of;
-	size_t under_way = 0;
+	size_t in_flight = 0;
 };
 
 } // namespace Loomreach::Jobs
--- a/Loomreach/Entry/InboxWriter.h
+++ b/Loomreach/Entry/InboxWriter.h
@@ -1,5 +1,6 @@
-// Appends callers' records to one inbox, many in one call. A partition takes its appends in turn, some milliseconds each: one call a record
-// is a few hundred records a second from all entry hosts together, and every caller who waits and comes again makes the queue longer.
+// Appends records to one cell's inbox in batches. A partition handles its appends one by one, in some milliseconds each: with one call per
+// record all entry hosts together could append only a few hundred records per second, and callers that time out and retry would lengthen
+// the queue.
 
 #pragma once
 
@@ -11,43 +12,45 @@
 namespace Loomreach::Jobs
 {
 
-/// See the head of the file. A record that comes while no call is under way leaves at once; others wait for that call's end, or for a
-/// time in which it should have ended.
+/// Writer of one inbox. A record that arrives while no call is in flight is sent immediately; others wait until that call ends or should
+/// have ended.
 template <class Store>
 class InboxWriter : private Guarded
 {
 public:
-	/// What became of a record. Refused: certainly not appended, also because it never left in time.
-	using OnEntered = std::function<void(const AppendAnswer &)>;
+	/// Receives the outcome of a record. Refused: certainly not appended; also used for a record that was not sent in time.
+	using OnOutcome = std::function<void(const AppendAnswer &)>;
 
 	InboxWriter(Store &inStore, LogName inInbox) : store(inStore), inbox(std::move(inInbox)) {}
 
-	/// Appends a record; given up `inTimeoutMs` from now.
-	void Enter(std::string inRecord, Millis inTimeoutMs, OnEntered inDone);
+	/// Appends a record, or gives up `inTimeoutMs` from now.
+	void Enter(std::string inRecord, Millis inTimeoutMs, OnOutcome inDone);
 
-	/// Whether calls have taken long of late. One host that appends for all is then served sooner than all in turn.
-	bool IsSlow() const { return this->answer_ms > cSlowMs && NowMillis() - this->answered_at < cSlowForMs; }
+	/// Whether recent calls were slow. One host that appends for all hosts is then faster than all of them one by one.
+	bool IsSlow() const { return this->latency_ms > cSlowLatencyMs && NowMillis() - this->answered_at < cSlowExpiryMs; }
 
 private:
-	/// A record on its way.
+	/// A record without an outcome yet.
 	struct Item
 	{
 		std::string record;
 		Millis give_up_at = 0;
-		OnEntered done;
+		OnOutcome done;
 	};
 
-	/// Records in one call, and bytes: a quarter of what one call may hold (users' figure 2 MB), and of a link's second.
-	static constexpr size_t cMostRecords = 500;
-	static constexpr size_t cMostBytes = size_t{512} * 1024;
-	static constexpr Millis cShortestGapMs = 40;   ///< Ten appends in turn. The next call leaves this long after one without an answer,
-	static constexpr Millis cGapOfAnswer = 2;      ///< or after this many times the time that answers take, if that is longer:
-	static constexpr Millis cLongestGapMs = 700;   ///< a store that is behind gets less.
-	static constexpr Millis cLeastTimeoutMs = 200; ///< A call is never given up sooner.
-	static constexpr Millis cMostTimeoutMs = 700;  ///< Slow answers of the users' store take 240 ms.
-	static constexpr double cSlowMs = 100.0;       ///< 4 ms is usual, 240 ms the users' slow store.
-	static constexpr Millis cSlowForMs = 2000;     ///< Then it is tried anew.
-	static constexpr double cAnswerShare = 0.4;    ///< Weight of a new answer in the time that answers take.
+	/// Limits of one call, in records and bytes. The latter is a quarter of what a call may contain (2 MB, figure given by the users) and
+	/// of what a link transfers in a second.
+	static constexpr size_t cMaxRecords = 500;
+	static constexpr size_t cMaxBytes = size_t{512} * 1024;
+	static constexpr Millis cMinGapMs = 40;      ///< About ten appends. While a call has no answer, the next one is sent after this long,
+	static constexpr Millis cGapPerLatency = 2;  ///< or after this many times the mean latency if that is longer,
+	static constexpr Millis cMaxGapMs = 700;     ///< but at the latest after this long. A store that is behind thus gets fewer calls.
+	static constexpr Millis cMinTimeoutMs = 200; ///< Lower bound of a call's timeout.
+	static constexpr Millis cMaxTimeoutMs = 700; ///< Upper bound of a call's timeout; the users' slow store answers in 240 ms.
+	static constexpr double cSlowLatencyMs = 100.0; ///< The store usually answers in 4 ms, the users' slow store in 240 ms.
+	/// After this long without an answer the store no longer counts as slow, so that it is tried again.
+	static constexpr Millis cSlowExpiryMs = 2000;
+	static constexpr double cLatencyWeight = 0.4; ///< Weight of a new answer in the mean latency.
 
 	void Flush();
 	std::vector<Item> TakeItems(Millis inNow);
@@ -56,11 +59,11 @@
 	Store &store;
 	LogName inbox;
 	std::deque<Item> waiting;
-	size_t under_way = 0;
+	size_t in_flight = 0;
 	Millis sent_at = 0;
-	double answer_ms = 0.0; ///< A mean that forgets.
+	double latency_ms = 0.0; ///< Decaying mean of the calls' latency.
 	Millis answered_at = 0;
-	Timer again;
+	Timer flush_timer;
 };
 
 } // namespace Loomreach::Jobs
--- a/Loomreach/Entry/InboxWriter.inl
+++ b/Loomreach/Entry/InboxWriter.inl
@@ -1,10 +1,10 @@
-// Appends callers' records in batches.
+// Batching of appends to an inbox.
 
 namespace Loomreach::Jobs
 {
 
 template <class Store>
-void InboxWriter<Store>::Enter(std::string inRecord, Millis inTimeoutMs, OnEntered inDone)
+void InboxWriter<Store>::Enter(std::string inRecord, Millis inTimeoutMs, OnOutcome inDone)
 {
 	this->waiting.push_back({std::move(inRecord), NowMillis() + inTimeoutMs, std::move(inDone)});
 	this->Flush();
@@ -16,12 +16,12 @@
 	if (this->waiting.empty())
 		return;
 	const Millis now = NowMillis();
-	const Millis gap = std::clamp(static_cast<Millis>(this->answer_ms) * cGapOfAnswer, cShortestGapMs, cLongestGapMs);
-	// One lost answer must not hold up the records behind it for its whole time
-	if (this->under_way > 0 && now - this->sent_at < gap)
+	const Millis gap = std::clamp(static_cast<Millis>(this->latency_ms) * cGapPerLatency, cMinGapMs, cMaxGapMs);
+	// One lost answer must not delay the records behind it for a call's whole timeout
+	if (this->in_flight > 0 && now - this->sent_at < gap)
 	{
-		if (!this->again.IsRunning())
-			this->again.Once(gap - (now - this->sent_at), [this] { this->Flush(); });
+		if (!this->flush_timer.IsRunning())
+			this->flush_timer.Once(gap - (now - this->sent_at), [this] { this->Flush(); });
 		return;
 	}
 	std::vector<Item> items = this->TakeItems(now);
@@ -33,24 +33,24 @@
 std::vector<typename InboxWriter<Store>::Item> InboxWriter<Store>::TakeItems(Millis inNow)
 {
 	std::vector<Item> items;
-	std::vector<Item> late;
+	std::vector<Item> timed_out;
 	size_t bytes = 0;
-	while (!this->waiting.empty() && items.size() < cMostRecords && bytes < cMostBytes)
+	while (!this->waiting.empty() && items.size() < cMaxRecords && bytes < cMaxBytes)
 	{
 		Item item = std::move(this->waiting.front());
 		this->waiting.pop_front();
 		if (item.give_up_at <= inNow)
 		{
-			late.push_back(std::move(item));
+			timed_out.push_back(std::move(item));
 			continue;
 		}
 		bytes += item.record.size();
 		items.push_back(std::move(item));
 	}
-	AppendAnswer never_left;
-	never_left.result = EAppend::Refused;
-	for (const Item &item : late)
-		item.done(never_left);
+	AppendAnswer never_sent;
+	never_sent.result = EAppend::Refused;
+	for (const Item &item : timed_out)
+		item.done(never_sent);
 	return items;
 }
 
@@ -65,16 +65,16 @@
 		call.records.push_back({"", item.record, 0});
 		longest = std::max(longest, item.give_up_at - inNow);
 	}
-	call.timeout_ms = std::clamp(longest, cLeastTimeoutMs, cMostTimeoutMs);
-	++this->under_way;
+	call.timeout_ms = std::clamp(longest, cMinTimeoutMs, cMaxTimeoutMs);
+	++this->in_flight;
 	this->sent_at = inNow;
 	this->store.Append(call, this->Guard(
 								 [this, inNow, items = std::move(inItems)](const AppendAnswer &inAnswer)
 								 {
-									 --this->under_way;
+									 --this->in_flight;
 									 const auto took = static_cast<double>(NowMillis() - inNow);
 									 this->answered_at = NowMillis();
-									 this->answer_ms += cAnswerShare * (took - this->answer_ms);
+									 this->latency_ms += cLatencyWeight * (took - this->latency_ms);
 									 AppendAnswer each = inAnswer;
 									 for (const Item &item : items)
 									 {
