--- a/Loomreach/Entry/JobCalls.h
+++ b/Loomreach/Entry/JobCalls.h
@@ -1,4 +1,4 @@
-// What callers can ask of an entry host about jobs, whatever they speak.
+// Interface of an entry host for callers' requests about jobs, independent of the protocol.
 
 #pragma once
 
@@ -9,40 +9,41 @@
 namespace Loomreach::Jobs
 {
 
-/// One caller's request about one queue.
+/// One caller's request about a queue or one of its jobs.
 struct JobCall
 {
-	Admission admission;    ///< The queue, and who asks.
-	std::string id;         ///< Empty: about the queue itself.
-	Millis deadline_ms = 0; ///< The caller waits this long for the answer.
+	Admission admission;    ///< The queue, and the team that is asking.
+	std::string id;         ///< Id of the job; empty: the request is about the queue itself.
+	Millis deadline_ms = 0; ///< Time that the caller waits for the answer.
 };
 
-/// The answer. With no error: the call was accepted, or the phase or the count is given.
+/// The answer. Without an error: the request was accepted, or `phase` or `waiting` is set.
 struct JobOutcome
 {
 	EError error = EError::None;
-	int come_back_s = 1; ///< With an error that may pass.
+	int come_back_s = 1; ///< Seconds after which to retry, with an error that may pass.
 	std::optional<EJobPhase> phase;
 	std::optional<uint32> waiting;
-	bool close_connection = false; ///< The host is stopping: the caller should come back elsewhere.
+	bool close_connection = false; ///< The host is stopping: the caller should reconnect to another host.
 };
 
 /// Called once for each request.
 using JobReply = std::function<void(const JobOutcome &)>;
 
-/// An entry host as its door sees it.
+/// Interface that the listener for callers uses.
 class JobCalls
 {
 public:
 	virtual ~JobCalls() = default;
 
-	/// Whether a caller may call, and which queue it is for; `inKey`: empty if it has shown none. Otherwise the error says why not.
+	/// Checks whether a caller may use a queue, and returns the queue. `inKey`: the caller's key, empty if it sent none. Otherwise
+	/// `outError` says why not.
 	virtual std::optional<Admission> Admit(std::string_view inHost, std::string_view inPath, std::string_view inKey, EError &outError) = 0;
 	virtual void Submit(const JobCall &inCall, JobSpec inSpec, JobReply inReply) = 0;
 	virtual void Show(const JobCall &inCall, JobReply inReply) = 0;
 	virtual void Cancel(const JobCall &inCall, JobReply inReply) = 0;
 	virtual void Count(const JobCall &inCall, JobReply inReply) = 0;
-	/// Whether new callers should be sent here.
+	/// Whether the load balancer should send new callers to this host.
 	virtual bool IsReady() = 0;
 	virtual std::string MetricsText() = 0;
 };
--- a/Loomreach/Entry/PeerQuery.cpp
+++ b/Loomreach/Entry/PeerQuery.cpp
@@ -1,4 +1,4 @@
-// UDP questions and answers, encoded by cereal.
+// UDP transport of questions and answers, encoded with cereal.
 
 #include <Loomreach/Loomreach.h>
 
@@ -10,27 +10,27 @@
 namespace Loomreach::Jobs
 {
 
-/// A record of a job is 1 to 6 KB; the largest is handed over in one datagram.
-static constexpr size_t cMostBytes = 32768;
-/// A round trip between zones is 2 ms; a lost datagram costs this much.
-static constexpr Millis cAskAgainMs = 60;
-/// Answers are remembered this long: far beyond the last repeat of any question (1.2 s) and a datagram's way.
-static constexpr Millis cRememberMs = 10000;
-/// An answer that takes longer is told to be under way: a worker's own answer to a start takes a few ms.
-static constexpr Millis cUnderWayMs = 30;
+/// A job's record has 1 to 6 KB; the largest must fit into one datagram.
+static constexpr size_t cMaxDatagramBytes = 32768;
+/// Delay before a question is repeated, which a lost datagram costs. A round trip between zones takes 2 ms.
+static constexpr Millis cResendMs = 60;
+/// Answers are kept much longer than the last repeat of any question (1.2 s) and the delay of a datagram.
+static constexpr Millis cAnswerCacheMs = 10000;
+/// Questions that take longer are reported as being handled: a worker answers the start of a run within a few ms.
+static constexpr Millis cInProgressMs = 30;
 static constexpr char cQuestionMark = 'Q';
 static constexpr char cAnswerMark = 'A';
-static constexpr char cBeatMark = 'N';
+static constexpr char cHeartbeatMark = 'N';
 static constexpr char cEndsMark = 'E';
 
-/// An address for the socket.
+/// Converts an address for the socket.
 static ObjectPtr<GSocketAddress> ToSocketAddress(const Address &inAddress)
 {
 	return ObjectPtr<GSocketAddress>(g_inet_socket_address_new_from_string(inAddress.ip.c_str(), inAddress.port));
 }
 
-PeerQuery::PeerQuery(const Address &inOwn, Metrics &inMetrics, Answerer inAnswerer, Listener inListener)
-	: own(inOwn), metrics(inMetrics), answerer(std::move(inAnswerer)), listener(std::move(inListener)),
+PeerQuery::PeerQuery(const Address &inOwn, Metrics &inMetrics, QuestionHandler inQuestionHandler, MessageHandler inMessageHandler)
+	: own(inOwn), metrics(inMetrics), question_handler(std::move(inQuestionHandler)), message_handler(std::move(inMessageHandler)),
 	  next_nonce(static_cast<uint64>(g_get_real_time()))
 {
 }
@@ -67,7 +67,7 @@
 {
 	for (;;)
 	{
-		static std::array<gchar, cMostBytes> buffer;
+		static std::array<gchar, cMaxDatagramBytes> buffer;
 		GSocketAddress *from = nullptr;
 		const gssize got = g_socket_receive_from(this->socket.get(), &from, buffer.data(), buffer.size(), nullptr, nullptr);
 		const ObjectPtr<GSocketAddress> sender(from);
@@ -91,20 +91,20 @@
 void PeerQuery::Handle(const std::string &inBytes, GSocketAddress *inFrom)
 {
 	const std::string_view body = std::string_view(inBytes).substr(1);
-	if (inBytes[0] == cBeatMark || inBytes[0] == cEndsMark)
-		return this->listener(inBytes[0] == cBeatMark ? EPeerNews::Beat : EPeerNews::Ends, std::string(body));
+	if (inBytes[0] == cHeartbeatMark || inBytes[0] == cEndsMark)
+		return this->message_handler(inBytes[0] == cHeartbeatMark ? EPeerNews::Beat : EPeerNews::Ends, std::string(body));
 	if (inBytes[0] == cAnswerMark)
 	{
 		const std::optional<PeerAnswer> answer = DecodeValue<PeerAnswer>(body);
 		if (!answer.has_value())
 			return this->metrics.Count(ECounter::PeerRejects, AnswerOf(LastReason().kind).name);
 		auto found = this->pending.find(answer->nonce);
-		// Late or doubled
+		// A late or duplicate answer
 		if (found == this->pending.end())
 			return;
 		if (answer->under_way)
 		{
-			found->second.taken_up = true;
+			found->second.in_progress = true;
 			found->second.give_up_at = found->second.limit_at;
 			return;
 		}
@@ -116,33 +116,33 @@
 	if (inBytes[0] != cQuestionMark || !question.has_value())
 		return this->metrics.Count(ECounter::PeerRejects, "corrupt");
 	const std::string sender = SenderText(inFrom) + '/' + std::to_string(question->nonce);
-	if (this->AnswerAgain(sender, inFrom) || !this->answering.insert(sender).second)
+	if (this->ResendAnswer(sender, inFrom) || !this->answering.insert(sender).second)
 		return;
 	std::shared_ptr<GSocketAddress> to(static_cast<GSocketAddress *>(g_object_ref(inFrom)),
 									   [](GSocketAddress *inOld) { g_object_unref(inOld); });
 	if (question->kind == EQuestion::Forward)
-		this->SayUnderWay(sender, question->nonce, to);
-	this->answerer(*question,
-				   [this, to, sender, nonce = question->nonce,
-					changes = question->kind == EQuestion::Enter || question->kind == EQuestion::Forward,
-					alive = std::weak_ptr<bool>(this->alive)](PeerAnswer inAnswer)
-				   {
-					   if (alive.expired())
-						   return;
-					   this->answering.erase(sender);
-					   inAnswer.nonce = nonce;
-					   inAnswer.clock_ms = NowMillis();
-					   const std::string bytes = cAnswerMark + EncodeValue(inAnswer);
-					   if (changes)
-						   this->Remember(sender, bytes);
-					   this->SendTo(to.get(), bytes);
-				   });
+		this->ReportInProgress(sender, question->nonce, to);
+	this->question_handler(*question,
+						   [this, to, sender, nonce = question->nonce,
+							changes = question->kind == EQuestion::Enter || question->kind == EQuestion::Forward,
+							alive = std::weak_ptr<bool>(this->alive)](PeerAnswer inAnswer)
+						   {
+							   if (alive.expired())
+								   return;
+							   this->answering.erase(sender);
+							   inAnswer.nonce = nonce;
+							   inAnswer.clock_ms = NowMillis();
+							   const std::string bytes = cAnswerMark + EncodeValue(inAnswer);
+							   if (changes)
+								   this->CacheAnswer(sender, bytes);
+							   this->SendTo(to.get(), bytes);
+						   });
 }
 
-void PeerQuery::SayUnderWay(const std::string &inSender, uint64 inNonce, const std::shared_ptr<GSocketAddress> &inTo)
+void PeerQuery::ReportInProgress(const std::string &inSender, uint64 inNonce, const std::shared_ptr<GSocketAddress> &inTo)
 {
-	// Most answers come sooner, and spare the datagram
-	After(cUnderWayMs,
+	// Most answers are sent sooner, which saves this datagram
+	After(cInProgressMs,
 		  [this, sender = inSender, nonce = inNonce, to = inTo, alive = std::weak_ptr<bool>(this->alive)]
 		  {
 			  if (alive.expired() || !this->answering.contains(sender))
@@ -155,25 +155,25 @@
 		  });
 }
 
-bool PeerQuery::AnswerAgain(const std::string &inSender, GSocketAddress *inTo)
+bool PeerQuery::ResendAnswer(const std::string &inSender, GSocketAddress *inTo)
 {
-	// A repeat may come after the answer has left. What was said to be not done must not be done then
-	auto known = this->given.find(inSender);
-	if (known == this->given.end())
+	// A repeat may arrive after the answer was sent. What was reported as not done must not be done then
+	auto known = this->sent_answers.find(inSender);
+	if (known == this->sent_answers.end())
 		return false;
 	this->SendTo(inTo, known->second.bytes);
 	return true;
 }
 
-void PeerQuery::Remember(const std::string &inSender, const std::string &inBytes)
+void PeerQuery::CacheAnswer(const std::string &inSender, const std::string &inBytes)
 {
 	const Millis now = NowMillis();
-	if (now - this->swept_at > cRememberMs)
+	if (now - this->purged_at > cAnswerCacheMs)
 	{
-		std::erase_if(this->given, [now](const auto &inGiven) { return now - inGiven.second.at > cRememberMs; });
-		this->swept_at = now;
+		std::erase_if(this->sent_answers, [now](const auto &inSent) { return now - inSent.second.at > cAnswerCacheMs; });
+		this->purged_at = now;
 	}
-	this->given[inSender] = {inBytes, now};
+	this->sent_answers[inSender] = {inBytes, now};
 }
 
 void PeerQuery::SendTo(GSocketAddress *inTo, const std::string &inBytes)
@@ -184,7 +184,7 @@
 		this->metrics.Count(ECounter::PeerRejects, "send-failed");
 }
 
-void PeerQuery::Ask(const Address &inTo, PeerQuestion inQuestion, Millis inTimeoutMs, OnAnswer inDone, Millis inTakenUpMs)
+void PeerQuery::Ask(const Address &inTo, PeerQuestion inQuestion, Millis inTimeoutMs, OnAnswer inDone, Millis inInProgressMs)
 {
 	inQuestion.nonce = this->next_nonce++;
 	Pending &asked = this->pending[inQuestion.nonce];
@@ -192,21 +192,21 @@
 	asked.bytes = cQuestionMark + EncodeValue(inQuestion);
 	asked.done = std::move(inDone);
 	asked.limit_at = NowMillis() + inTimeoutMs;
-	asked.give_up_at = inTakenUpMs > 0 ? NowMillis() + std::min(inTakenUpMs, inTimeoutMs) : asked.limit_at;
-	asked.next_at = NowMillis() + cAskAgainMs;
+	asked.give_up_at = inInProgressMs > 0 ? NowMillis() + std::min(inInProgressMs, inTimeoutMs) : asked.limit_at;
+	asked.resend_at = NowMillis() + cResendMs;
 	this->SendTo(ToSocketAddress(asked.to).get(), asked.bytes);
-	if (!this->repeat.IsRunning())
-		this->repeat.Every(cAskAgainMs / 2, [this] { this->Repeat(); });
+	if (!this->resend_timer.IsRunning())
+		this->resend_timer.Every(cResendMs / 2, [this] { this->ResendPending(); });
 }
 
-void PeerQuery::Tell(const std::vector<Address> &inTo, EPeerNews inKind, const std::string &inNews)
+void PeerQuery::Tell(const std::vector<Address> &inTo, EPeerNews inKind, const std::string &inMessage)
 {
-	const std::string bytes = (inKind == EPeerNews::Beat ? cBeatMark : cEndsMark) + inNews;
+	const std::string bytes = (inKind == EPeerNews::Beat ? cHeartbeatMark : cEndsMark) + inMessage;
 	for (const Address &to : inTo)
 		this->SendTo(ToSocketAddress(to).get(), bytes);
 }
 
-void PeerQuery::Repeat()
+void PeerQuery::ResendPending()
 {
 	const Millis now = NowMillis();
 	std::vector<OnAnswer> given_up;
@@ -219,15 +219,15 @@
 			it = this->pending.erase(it);
 			continue;
 		}
-		if (now >= asked.next_at && !asked.taken_up)
+		if (now >= asked.resend_at && !asked.in_progress)
 		{
-			asked.next_at = now + cAskAgainMs;
+			asked.resend_at = now + cResendMs;
 			this->SendTo(ToSocketAddress(asked.to).get(), asked.bytes);
 		}
 		++it;
 	}
 	if (this->pending.empty())
-		this->repeat.Stop();
+		this->resend_timer.Stop();
 	for (const OnAnswer &done : given_up)
 		done(std::nullopt);
 }
--- a/Loomreach/Entry/PeerQuery.h
+++ b/Loomreach/Entry/PeerQuery.h
@@ -1,4 +1,5 @@
-// Questions between entry hosts: one datagram to ask, one to answer, asked again when lost. The owner of a cell answers.
+// Questions between entry hosts, over UDP: one datagram for the question and one for the answer. A question is repeated until it is
+// answered or times out. Questions about a cell are answered by its owner.
 
 #pragma once
 
@@ -13,37 +14,38 @@
 namespace Loomreach::Jobs
 {
 
-/// What is asked of a cell's owner.
+/// Kinds of questions.
 enum class EQuestion : uint8
 {
-	Show,    ///< A job's phase.
-	Count,   ///< Jobs of a queue that have not begun.
-	Empty,   ///< Empty a worker for maintenance; is it empty?
-	Demand,  ///< What does a pool need, and which workers can it spare?
-	Enter,   ///< Put a record into a cell's inbox: the store turns the asking host away.
-	Reach,   ///< Does the store answer the host that is asked?
-	Shares,  ///< Asked of the fleet's owner: how much may teams have running in the asking cell?
-	Forward, ///< Send an order to a worker: the asking host is an owner short of processor time.
-	Owners   ///< Which hosts own something: the asking host reads their heartbeats seldom.
+	Show,    ///< Phase of a job.
+	Count,   ///< Number of jobs of a queue that have not begun.
+	Empty,   ///< Drains a worker for maintenance; asks whether it is drained.
+	Demand,  ///< Demand of a pool, and workers that it can spare.
+	Enter,   ///< Appends a record to a cell's inbox for a host that does not reach the store or finds it slow.
+	Reach,   ///< Whether the asked host reaches the store.
+	Shares,  ///< To the owner of the fleet cell: how much teams may have running in the asking cell.
+	Forward, ///< Sends an order to a worker for an owner that lacks processor time.
+	Owners   ///< Which hosts own cells, for a host that seldom reads their heartbeats.
 };
 
-/// A question. Every field that the kind does not need is empty.
+/// A question. Fields that its kind does not use are empty.
 struct PeerQuestion
 {
-	uint64 nonce = 0; ///< Joins answer and question.
+	uint64 nonce = 0; ///< Matches the answer to its question.
 	EQuestion kind = EQuestion::Show;
 	uint32 cell = 0;
 	std::string queue;
-	std::string id;      ///< A job, a worker or a pool.
-	std::string team;    ///< Show: who asks.
-	int64 version = 0;   ///< Enter: of the asking host's configuration.
-	uint64 key_hash = 0; ///< Enter: see Admission.
-	int64 for_ms = 0;
-	uint32 count = 0;              ///< Demand: workers that should be spared.
-	std::vector<std::string> left; ///< Demand: workers whose hosts have just been moved or taken down; the worker list shows them still.
-	std::string record;            ///< Enter: the encoded record. Forward: the encoded order.
-	uint64 life = 0;               ///< Forward: the process that is meant.
-	ShareQuestion shares;          ///< Shares.
+	std::string id;      ///< Id of a job, a worker or a pool.
+	std::string team;    ///< Show: the asking team.
+	int64 version = 0;   ///< Enter: version of the asking host's configuration.
+	uint64 key_hash = 0; ///< Enter: hash of the caller's key, see Admission.
+	int64 for_ms = 0;    ///< Empty, Demand: how long workers must stay drained. Enter: time left for the append.
+	uint32 count = 0;    ///< Demand: number of workers that should be spared.
+	/// Demand: workers whose hosts have just been moved or taken down, although the worker list still shows them.
+	std::vector<std::string> left;
+	std::string record;   ///< Enter: the encoded record. Forward: the encoded order.
+	uint64 life = 0;      ///< Forward: incarnation of the process that is asked.
+	ShareQuestion shares; ///< Only for Shares.
 
 	template <class Archive>
 	void serialize(Archive &ioArchive)
@@ -53,23 +55,23 @@
 	}
 };
 
-/// An answer.
+/// An answer. Only fields marked "any host" are valid when `owner` is false.
 struct PeerAnswer
 {
 	uint64 nonce = 0;
-	bool owner = false;       ///< Whether the host that answers owns the cell; without it only the fields marked so count.
-	Address owner_address;    ///< Counts always: whom the host that answers takes for the owner; port 0: nobody.
-	bool entered = false;     ///< Counts always: the record is in the inbox.
-	bool not_entered = false; ///< Counts always: it certainly is not; Forward: the order certainly was not sent.
-	bool reaches = false;     ///< Counts always: the store answers the host that answers.
-	bool under_way = false;   ///< Counts always: the question was taken up, and its answer is still to come.
-	int64 clock_ms = 0;       ///< Counts always: the steady clock of the host that answers.
-	/// Counts always; Forward: the worker's encoded answer; Owners: their encoded heartbeats; empty: there is none to be had here.
+	bool owner = false;       ///< Whether the answering host owns the cell.
+	Address owner_address;    ///< Any host: the cell's owner as the answering host knows it; port 0: none.
+	bool entered = false;     ///< Any host: the record is in the inbox.
+	bool not_entered = false; ///< Any host: the record is certainly not in the inbox. Forward: the order was certainly not sent.
+	bool reaches = false;     ///< Any host: the answering host reaches the store.
+	bool under_way = false;   ///< Any host: the question is being handled, and its answer will follow.
+	int64 clock_ms = 0;       ///< Any host: steady clock of the answering host.
+	/// Any host. Forward: the worker's encoded answer. Owners: the encoded heartbeats of hosts that own cells. Empty: not available here.
 	std::string record;
-	bool sure = false;             ///< Whether the owner has read its inbox up to a moment ago.
-	EError refusal = EError::None; ///< Counts always; Enter: a newer configuration does not allow it.
+	bool sure = false;             ///< Whether the owner has recently read its inbox to the end.
+	EError refusal = EError::None; ///< Any host. Enter: why a newer configuration does not allow the record.
 	bool known = false;
-	bool other_team = false; ///< Show: the job is not the asking team's.
+	bool other_team = false; ///< Show: the job belongs to another team.
 	EJobPhase phase = EJobPhase::Queued;
 	uint32 waiting = 0;
 	bool empty = false;
@@ -85,34 +87,35 @@
 	}
 };
 
-/// What hosts tell each other without being asked.
+/// Messages that hosts send without being asked.
 enum class EPeerNews : uint8
 {
 	Beat, ///< A heartbeat (HostBeat).
-	Ends  ///< Ends that an owner has read (EndsUpdate).
+	Ends  ///< Run ends for replication (EndsUpdate).
 };
 
-/// Asks and answers.
+/// Asks questions and answers those of other hosts.
 class PeerQuery
 {
 public:
 	using OnAnswer = std::function<void(std::optional<PeerAnswer>)>;
-	/// Answers now or later.
-	using Answerer = std::function<void(const PeerQuestion &, std::function<void(PeerAnswer)>)>;
+	/// Answers a question, immediately or later.
+	using QuestionHandler = std::function<void(const PeerQuestion &, std::function<void(PeerAnswer)>)>;
 
-	/// Takes in what another host tells without being asked; it may be lost, doubled or late.
-	using Listener = std::function<void(EPeerNews inKind, const std::string &inNews)>;
+	/// Handles a message from another host. Messages may be lost, duplicated or delayed.
+	using MessageHandler = std::function<void(EPeerNews inKind, const std::string &inMessage)>;
 
-	PeerQuery(const Address &inOwn, Metrics &inMetrics, Answerer inAnswerer, Listener inListener);
+	PeerQuery(const Address &inOwn, Metrics &inMetrics, QuestionHandler inQuestionHandler, MessageHandler inMessageHandler);
 	~PeerQuery();
 	PeerQuery(const PeerQuery &) = delete;
 	PeerQuery &operator=(const PeerQuery &) = delete;
 
 	bool Open();
-	/// Asks until an answer comes or `inTimeoutMs` is over. `inTakenUpMs`, if above 0: given up sooner where nothing is heard within it.
-	void Ask(const Address &inTo, PeerQuestion inQuestion, Millis inTimeoutMs, OnAnswer inDone, Millis inTakenUpMs = 0);
-	/// Tells other hosts something, once each.
-	void Tell(const std::vector<Address> &inTo, EPeerNews inKind, const std::string &inNews);
+	/// Repeats the question until an answer arrives or `inTimeoutMs` is over, and calls back once; nothing: no answer. `inInProgressMs`
+	/// above 0: gives up after this if the other host has not reported that it is handling the question.
+	void Ask(const Address &inTo, PeerQuestion inQuestion, Millis inTimeoutMs, OnAnswer inDone, Millis inInProgressMs = 0);
+	/// Sends a message to other hosts, once each.
+	void Tell(const std::vector<Address> &inTo, EPeerNews inKind, const std::string &inMessage);
 
 private:
 	/// A question without an answer yet.
@@ -122,41 +125,42 @@
 		std::string bytes;
 		OnAnswer done;
 		Millis give_up_at = 0;
-		Millis limit_at = 0;   ///< When it is given up at the latest, once it was taken up.
-		bool taken_up = false; ///< The other side has it: nothing is asked again.
-		Millis next_at = 0;
+		Millis limit_at = 0;      ///< When to give up once the question is being handled.
+		bool in_progress = false; ///< The other host is handling the question: it is not repeated any more.
+		Millis resend_at = 0;
 	};
 
 	static gboolean OnReadable(GSocket *, GIOCondition, gpointer inSelf);
 	void Receive();
 	void Handle(const std::string &inBytes, GSocketAddress *inFrom);
 	void SendTo(GSocketAddress *inTo, const std::string &inBytes);
-	void Repeat();
-	/// Tells whoever asked that its question was taken up, unless the answer is there soon.
-	void SayUnderWay(const std::string &inSender, uint64 inNonce, const std::shared_ptr<GSocketAddress> &inTo);
-	/// Sends again what was answered before; false: nothing was.
-	bool AnswerAgain(const std::string &inSender, GSocketAddress *inTo);
-	void Remember(const std::string &inSender, const std::string &inBytes);
+	void ResendPending();
+	/// Tells the asking host that its question is being handled, unless it is answered within a short time.
+	void ReportInProgress(const std::string &inSender, uint64 inNonce, const std::shared_ptr<GSocketAddress> &inTo);
+	/// Sends the answer to a repeated question again. Returns false if there is none.
+	bool ResendAnswer(const std::string &inSender, GSocketAddress *inTo);
+	void CacheAnswer(const std::string &inSender, const std::string &inBytes);
 
 	Address own;
 	Metrics &metrics;
-	Answerer answerer;
-	Listener listener;
+	QuestionHandler question_handler;
+	MessageHandler message_handler;
 	ObjectPtr<GSocket> socket;
 	GSource *source = nullptr;
-	Timer repeat;
+	Timer resend_timer;
 	std::map<uint64, Pending> pending;
-	/// An answer that was given, for a repeat of its question that comes later still.
-	struct Given
+	/// An answer that was sent, kept for repeats of its question that arrive later.
+	struct SentAnswer
 	{
 		std::string bytes;
 		Millis at = 0;
 	};
 
-	uint64 next_nonce;                  ///< Begins anywhere: an earlier process at this address must not be taken for this one.
-	std::map<std::string, Given> given; ///< Answers to questions that change something, by sender and nonce.
-	Millis swept_at = 0;                ///< When those that are too old were last dropped.
-	std::set<std::string> answering;    ///< Questions under way here, by sender and nonce: they are asked again and again.
+	/// Starts at the current time, so that this process is not taken for an earlier one at the same address.
+	uint64 next_nonce;
+	std::map<std::string, SentAnswer> sent_answers; ///< Answers to questions that change something, by sender and nonce.
+	Millis purged_at = 0;                           ///< When old answers were last removed.
+	std::set<std::string> answering;                ///< Questions being handled, by sender and nonce: their repeats are ignored.
 	std::shared_ptr<bool> alive = std::make_shared<bool>(true);
 };
 
