--- a/Loomreach/Entry/CellSeat.inl
+++ b/Loomreach/Entry/CellSeat.inl
@@ -236,7 +236,7 @@
 												 {
 													 LogEvent(ELogLevel::Warning, "cell_lost")
 														 .Field("cell", this->number)
-														 .Field("why", "another host has claimed the cell with a higher epoch");
+														 .Field("why", "another owner has claimed the cell with a higher epoch");
 													 this->held = false;
 													 const OnOwnership on_lost = this->on_ownership;
 													 return on_lost(false);
