--- a/Loomreach/Entry/CellSeat.h
+++ b/Loomreach/Entry/CellSeat.h
@@ -62,7 +62,10 @@
 	void SetCatalogue(std::shared_ptr<const Catalogue> inCatalogue) { this->cell.SetCatalogue(std::move(inCatalogue)); }
 	/// Sets the availability zones in which nothing may be started.
 	void SetEvacuated(const std::set<std::string> &inZones) { this->cell.SetEvacuated(inZones, NowMillis()); }
+	/// Sets the list of workers; those of other cells' pools are ignored. `inTrustUntil`: until then a worker whose entry is missing still
+	/// counts as present while it answers.
 	void SetWorkers(const std::vector<WorkerEntry> &inWorkers, Millis inTrustUntil);
+	/// Answers a question about the cell. The answer's `owner` is false while this host may not act as owner.
 	PeerAnswer Answer(const PeerQuestion &inQuestion);
 	/// Lets the cell plan, then sends its orders and writes its log. Called by a timer, and shortly after each update.
 	void Step();
--- a/Loomreach/Entry/FleetSeat.h
+++ b/Loomreach/Entry/FleetSeat.h
@@ -32,6 +32,7 @@
 	void SetCatalogue(const std::shared_ptr<const Catalogue> &inCatalogue);
 	/// Sets the availability zones in which nothing may be started.
 	void SetEvacuated(const std::set<std::string> &inZones) { this->balancer.SetEvacuated(inZones); }
+	/// Answers a question for teams' shares. The answer's `owner` is false while this host may not act as owner.
 	PeerAnswer Answer(const PeerQuestion &inQuestion);
 	/// Prepares a planned hand-over: no new orders to hosts.
 	void Retire() { this->retiring = true; }
--- a/Loomreach/Entry/JobCalls.h
+++ b/Loomreach/Entry/JobCalls.h
@@ -39,9 +39,13 @@
 	/// Checks whether a caller may use a queue, and returns the queue. `inKey`: the caller's key, empty if it sent none. Otherwise
 	/// `outError` says why not.
 	virtual std::optional<Admission> Admit(std::string_view inHost, std::string_view inPath, std::string_view inKey, EError &outError) = 0;
+	/// Accepts a job into the queue.
 	virtual void Submit(const JobCall &inCall, JobSpec inSpec, JobReply inReply) = 0;
+	/// Answers with the phase of a job.
 	virtual void Show(const JobCall &inCall, JobReply inReply) = 0;
+	/// Accepts the cancellation of a job; also of one that does not exist.
 	virtual void Cancel(const JobCall &inCall, JobReply inReply) = 0;
+	/// Answers with the number of the queue's jobs that have not begun.
 	virtual void Count(const JobCall &inCall, JobReply inReply) = 0;
 	/// Whether the load balancer should send new callers to this host.
 	virtual bool IsReady() = 0;
--- a/Loomreach/Entry/JobHostFeeds.inl
+++ b/Loomreach/Entry/JobHostFeeds.inl
@@ -36,11 +36,11 @@
 template <class Hub>
 void JobHost<Hub>::ScheduleOperatorRead(uint64 inFrom)
 {
-	const Millis gap = this->OperatorReadDelay(NowMillis());
-	if (gap == 0)
+	const Millis delay = this->OperatorReadDelay(NowMillis());
+	if (delay == 0)
 		return this->ReadOperator(inFrom, cOperatorReadWaitMs);
 	// Long polls of all hosts would be answered at the same moment, when a record changes. Random delays spread the reads
-	this->operator_timer.Once(this->RandomizeDelay(gap), [this, inFrom] { this->ReadOperator(inFrom, 0); });
+	this->operator_timer.Once(this->RandomizeDelay(delay), [this, inFrom] { this->ReadOperator(inFrom, 0); });
 }
 
 template <class Hub>
--- a/Loomreach/Entry/PeerQuery.h
+++ b/Loomreach/Entry/PeerQuery.h
@@ -22,7 +22,7 @@
 	Empty,   ///< Drains a worker for maintenance; asks whether it is drained.
 	Demand,  ///< Demand of a pool, and workers that it can spare.
 	Enter,   ///< Appends a record to a cell's inbox for a host that does not reach the store or finds it slow.
-	Reach,   ///< Whether the asked host reaches the store.
+	Reach,   ///< Whether the asked host reaches the store; also asked to read its clock.
 	Shares,  ///< To the owner of the fleet cell: how much teams may have running in the asking cell.
 	Forward, ///< Sends an order to a worker for an owner that lacks processor time.
 	Owners   ///< Which hosts own cells, for a host that seldom reads their heartbeats.
@@ -70,11 +70,11 @@
 	std::string record;
 	bool sure = false;             ///< Whether the owner has recently read its inbox to the end.
 	EError refusal = EError::None; ///< Any host. Enter: why a newer configuration does not allow the record.
-	bool known = false;
-	bool other_team = false; ///< Show: the job belongs to another team.
+	bool known = false;            ///< Show: the owner knows the job.
+	bool other_team = false;       ///< Show: the job belongs to another team.
 	EJobPhase phase = EJobPhase::Queued;
-	uint32 waiting = 0;
-	bool empty = false;
+	uint32 waiting = 0; ///< Count: jobs that have not begun.
+	bool empty = false; ///< Empty: the worker is drained and will stay so for the time asked.
 	PoolDemand demand;
 	ShareAnswer shares;
 
@@ -110,6 +110,7 @@
 	PeerQuery(const PeerQuery &) = delete;
 	PeerQuery &operator=(const PeerQuery &) = delete;
 
+	/// Binds the UDP socket. Returns false if that fails, with BadConfig as the last error.
 	bool Open();
 	/// Repeats the question until an answer arrives or `inTimeoutMs` is over, and calls back once; nothing: no answer. `inInProgressMs`
 	/// above 0: gives up after this if the other host has not reported that it is handling the question.
