--- a/Loomreach/Entry/JobHost.inl
+++ b/Loomreach/Entry/JobHost.inl
@@ -153,7 +153,7 @@
 		this->AbandonCells("ownership lease expired");
 	const bool others_reach_store = !this->helper_search.Known(now).empty();
 	if (this->store_isolation.Note(this->store_watch.IsSilent(now), others_reach_store, now) && this->Owned() > 0)
-		this->AbandonCells("the store answers other hosts but not this one");
+		this->AbandonCells("the store answers other hosts but not this host");
 	// Hosts without cells send heartbeats too: a host that is known to be alive may take over immediately
 	const Millis heartbeat_delay_percent = this->Owned() > 0 ? cPercent : this->heartbeat_delay_percent;
 	if (now - this->heartbeat_sent_at >= this->HeartbeatInterval(now) * heartbeat_delay_percent / cPercent)
