--- a/Loomreach/Ownership/LogTypes.h
+++ b/Loomreach/Ownership/LogTypes.h
@@ -1,4 +1,5 @@
-// What the platform's log gives the product: partitions with an end, conditions and a producer's epoch. The adapter carries it out.
+// Requests and answers of the platform's log service: partitioned topics with offsets, conditional appends and producer epochs. The
+// platform adapter makes the calls.
 
 #pragma once
 
@@ -7,7 +8,7 @@
 namespace Loomreach::Jobs
 {
 
-/// One partition of one topic.
+/// Names one partition of one topic.
 struct LogName
 {
 	std::string topic;
@@ -17,80 +18,83 @@
 	bool operator==(const LogName &) const = default;
 };
 
-/// A record of a keyed log: the newest of a key is kept for good; an empty value removes the key.
+/// A log record. A keyed log keeps the newest record of each key indefinitely; an empty value removes the key.
 struct LogRecord
 {
 	std::string key; ///< Empty in logs without keys.
 	std::string value;
-	uint64 offset = 0; ///< Place in the partition; set on reading.
+	uint64 offset = 0; ///< Offset in the partition; set when the record is read.
 };
 
-/// How an append came out.
+/// Outcome of an append.
 enum class EAppend : uint8
 {
 	Done,
-	Fenced,     ///< A higher epoch has been seen: the log has another owner.
-	NotAtEnd,   ///< The partition does not end where the caller thought.
-	OutOfOrder, ///< The producer's number is not the next one.
-	Refused,    ///< Certainly not appended; later perhaps.
-	Unknown     ///< No answer: appended, or not, or to be appended yet.
+	Fenced,     ///< A higher producer epoch has been seen: the log has a new owner.
+	NotAtEnd,   ///< The partition does not end at the expected offset.
+	OutOfOrder, ///< The producer's sequence number is not the next one.
+	Refused,    ///< Certainly not appended; a later attempt may succeed.
+	Unknown     ///< No answer: it may have been appended, or may still be.
 };
 
+/// Names of the outcomes in log lines.
 inline constexpr std::array cAppendNames = {
 	EnumName<EAppend>{EAppend::Done, "done"},           EnumName<EAppend>{EAppend::Fenced, "fenced"},
 	EnumName<EAppend>{EAppend::NotAtEnd, "not-at-end"}, EnumName<EAppend>{EAppend::OutOfOrder, "out-of-order"},
 	EnumName<EAppend>{EAppend::Refused, "refused"},     EnumName<EAppend>{EAppend::Unknown, "unknown"},
 };
 
-/// Who appends, so that a repeat is known and an earlier owner is shut out.
+/// Identifies the producer of an append, so that the log recognizes a repeated append and fences an earlier owner.
 struct Producer
 {
 	std::string name;
 	uint64 epoch = 0;
-	uint64 number = 0; ///< Of this append within the epoch, from 0.
+	uint64 number = 0; ///< Sequence number of this append within the epoch, from 0.
 };
 
-/// One append: all of its records or none.
+/// One append. Atomic: either all records are appended, or none.
 struct AppendCall
 {
 	LogName log;
 	bool keyed = false;
 	std::vector<LogRecord> records;
-	std::optional<uint64> at; ///< Only if the partition ends there.
+	std::optional<uint64> at; ///< Append only if the partition ends at this offset.
 	std::optional<Producer> producer;
 	Millis timeout_ms = 1000;
 };
 
+/// Answer to an append.
 struct AppendAnswer
 {
 	EAppend result = EAppend::Unknown;
-	uint64 offset = 0; ///< Done: of the first record.
-	uint64 end = 0;    ///< Done and NotAtEnd: where the partition ends.
+	uint64 offset = 0; ///< Done: offset of the first record.
+	uint64 end = 0;    ///< Done and NotAtEnd: end offset of the partition.
 };
 
-/// How a read came out.
+/// Outcome of a read.
 enum class ERead : uint8
 {
 	Done,
-	Gone, ///< The records asked for have been removed; `first` says what is kept.
+	Gone, ///< The requested records have been removed; `first` is the oldest offset that is kept.
 	Failed
 };
 
+/// Answer to a read.
 struct ReadAnswer
 {
 	ERead result = ERead::Failed;
-	uint64 end = 0;
-	uint64 first = 0;
-	uint64 next = 0; ///< Where to read on.
+	uint64 end = 0;   ///< End offset of the partition.
+	uint64 first = 0; ///< Oldest offset that is kept.
+	uint64 next = 0;  ///< Offset to continue reading from.
 	std::vector<LogRecord> records;
 };
 
-/// The newest record of each key.
+/// Answer to a request for the newest record of each key.
 struct NewestAnswer
 {
 	bool good = false;
 	std::vector<LogRecord> records;
-	uint64 end = 0; ///< Of the partition when the first page was read: changes since are read from there.
+	uint64 end = 0; ///< End offset of the partition when the first page was read; later changes are read from there.
 };
 
 } // namespace Loomreach::Jobs
--- a/Loomreach/Ownership/OwnedLog.h
+++ b/Loomreach/Ownership/OwnedLog.h
@@ -1,5 +1,5 @@
-// One cell's log in the hands of its owner: the claim, and one append after the other. Every append carries the owner's epoch, so an
-// earlier owner's are refused from the moment of the claim on.
+// The log of one cell as its owner uses it: claims the log, then appends one batch after the other. Every append carries the owner's
+// epoch, so the log refuses an earlier owner's appends as soon as it contains the claim.
 
 #pragma once
 
@@ -13,7 +13,7 @@
 namespace Loomreach::Jobs
 {
 
-/// A log service as the owner needs it.
+/// What an owner needs of a log service.
 template <class T>
 concept JobLog = requires(T &ioLog, const AppendCall &inCall, const LogName &inName)
 {
@@ -22,57 +22,61 @@
 	ioLog.Newest(inName, [](const NewestAnswer &) {});
 };
 
-/// The key of the claim in every cell's log.
+/// Key of the claim record in every cell's log.
 inline constexpr std::string_view cClaimKey = "o";
 
-/// See the head of the file.
+/// Claims one log and appends to it.
 template <JobLog Log>
 class OwnedLog : private Guarded
 {
 public:
-	/// All records of the log by key, without the claim.
+	/// All records of the log by key, without the claim record.
 	using Records = std::map<std::string, std::string>;
 	using OnClaimed = std::function<void(bool inWon, const Records &inRecords)>;
 	using OnAppended = std::function<void(bool inDone)>;
-	/// Told of the claim found in the log before ours; says whether to go on.
-	using Judge = std::function<bool(const ClaimRecord &)>;
+	/// Gets the newest claim in the log before this process makes its own; returns whether to go on.
+	using ClaimCheck = std::function<bool(const ClaimRecord &)>;
 
 	OwnedLog(Log &inLog, LogName inName, HostProcess inProcess);
 
-	/// Reads the log and claims it. `inBeatNumber`: of the host's newest heartbeat.
-	void Claim(uint64 inBeatNumber, const Judge &inJudge, const OnClaimed &inDone);
-	/// Appends, again and again until the outcome is certain. `inDone(false)`: the log has another owner.
+	/// Reads the log and claims it. `inBeatNumber`: number of the newest heartbeat of this host. `inDone` gets the records that the log
+	/// held.
+	void Claim(uint64 inBeatNumber, const ClaimCheck &inClaimCheck, const OnClaimed &inDone);
+	/// Appends, and repeats the append until its outcome is certain. `inDone(false)`: the log has another owner.
 	void Append(const std::vector<LogRecord> &inRecords, const OnAppended &inDone);
 	bool IsBusy() const { return this->busy; }
 	uint64 Epoch() const { return this->epoch; }
 	Millis LastSentAt() const { return this->last_sent_at; }
 
 private:
+	/// Reads from an offset to the end of the log.
 	void ReadRest(uint64 inFrom);
 	void TryClaim();
 	void SendAppend();
-	/// Tells that an append has to be sent again.
-	void LogAgain(EAppend inResult);
-	void Lose(std::string_view inWhy);
+	/// Writes a log line about an append that is repeated.
+	void LogRetry(EAppend inResult);
+	/// Ends the claim without success.
+	void FailClaim(std::string_view inWhy);
+	/// Adds records that were read.
 	void Apply(const std::vector<LogRecord> &inRecords);
 
 	Log &log;
 	LogName name;
-	HostProcess process; ///< This one.
+	HostProcess process; ///< This process.
 	uint64 beat_number = 0;
-	Judge judge;
+	ClaimCheck claim_check;
 	OnClaimed on_claimed;
 	Records records;
-	ClaimRecord seen; ///< The newest claim in the log.
-	uint64 end = 0;
+	ClaimRecord newest_claim; ///< The newest claim in the log.
+	uint64 end = 0;           ///< Offset up to which the log has been read.
 	uint64 epoch = 0;
-	uint64 number = 0; ///< Of the next append within the epoch.
+	uint64 number = 0; ///< Sequence number of the next append within the epoch.
 	bool busy = false;
-	uint32 tries = 0;
+	uint32 claim_attempts = 0;
 	std::vector<LogRecord> batch;
 	OnAppended on_appended;
 	Millis last_sent_at = 0;
-	Timer again;
+	Timer retry_timer;
 };
 
 } // namespace Loomreach::Jobs
--- a/Loomreach/Ownership/OwnedLog.inl
+++ b/Loomreach/Ownership/OwnedLog.inl
@@ -1,4 +1,4 @@
-// Claiming and appending.
+// Claims a log and appends to it.
 
 #include <Loomreach/Schedule/WorkerToken.h>
 #include <Loomreach/State/Codec.h>
@@ -6,10 +6,11 @@
 namespace Loomreach::Jobs
 {
 
-/// A claim that does not come through in this many tries is given up; others may try.
-inline constexpr uint32 cClaimTries = 8;
-inline constexpr Millis cLogAgainMs = 60;       ///< After a refusal or a lost answer.
-inline constexpr Millis cAppendTimeoutMs = 700; ///< The store's slow answers take 240 ms; a lost one costs this.
+/// A claim that has not succeeded after this many attempts is given up, so that other hosts can try.
+inline constexpr uint32 cMaxClaimAttempts = 8;
+inline constexpr Millis cAppendRetryMs = 60; ///< Delay before an append is repeated that was refused or got no answer.
+/// Slow answers of the store take 240 ms; a lost answer delays the append by this long.
+inline constexpr Millis cAppendTimeoutMs = 700;
 
 template <JobLog Log>
 OwnedLog<Log>::OwnedLog(Log &inLog, LogName inName, HostProcess inProcess)
@@ -18,7 +19,7 @@
 }
 
 template <JobLog Log>
-void OwnedLog<Log>::Lose(std::string_view inWhy)
+void OwnedLog<Log>::FailClaim(std::string_view inWhy)
 {
 	LogEvent(ELogLevel::Info, "claim_lost").Field("topic", this->name.topic).Field("part", this->name.part).Field("why", inWhy);
 	const OnClaimed done = std::move(this->on_claimed);
@@ -32,28 +33,28 @@
 	{
 		if (record.key != cClaimKey)
 		{
-			// Kept also when empty: a removal must win over an older page
+			// Empty values are kept, so that a removal overrides the value on an older page
 			this->records[record.key] = record.value;
 			continue;
 		}
 		const std::optional<ClaimRecord> claim = DecodeValue<ClaimRecord>(record.value);
-		if (claim.has_value() && claim->epoch >= this->seen.epoch)
-			this->seen = *claim;
+		if (claim.has_value() && claim->epoch >= this->newest_claim.epoch)
+			this->newest_claim = *claim;
 	}
 }
 
 template <JobLog Log>
-void OwnedLog<Log>::Claim(uint64 inBeatNumber, const Judge &inJudge, const OnClaimed &inDone)
+void OwnedLog<Log>::Claim(uint64 inBeatNumber, const ClaimCheck &inClaimCheck, const OnClaimed &inDone)
 {
 	this->beat_number = inBeatNumber;
-	this->judge = inJudge;
+	this->claim_check = inClaimCheck;
 	this->on_claimed = inDone;
 	this->records.clear();
 	this->log.Newest(this->name, this->Guard(
 									 [this](NewestAnswer inAnswer)
 									 {
 										 if (!inAnswer.good)
-											 return this->Lose("log not readable");
+											 return this->FailClaim("the newest records of the log could not be read");
 										 this->Apply(inAnswer.records);
 										 this->ReadRest(inAnswer.end);
 									 }));
@@ -62,13 +63,13 @@
 template <JobLog Log>
 void OwnedLog<Log>::ReadRest(uint64 inFrom)
 {
-	// The pages are no snapshot: what was written meanwhile is read in order
+	// The pages are not a consistent snapshot: what was written meanwhile is read afterwards, in order
 	this->log.Read(this->name, true, inFrom, 0,
 				   this->Guard(
 					   [this](ReadAnswer inAnswer)
 					   {
 						   if (inAnswer.result != ERead::Done)
-							   return this->Lose("log not readable to its end");
+							   return this->FailClaim("the log could not be read to its end");
 						   this->Apply(inAnswer.records);
 						   this->end = inAnswer.next;
 						   if (inAnswer.next < inAnswer.end)
@@ -80,16 +81,16 @@
 template <JobLog Log>
 void OwnedLog<Log>::TryClaim()
 {
-	// Our own claim is in the log
-	if (this->epoch != 0 && this->seen.by.life == this->process.life && this->seen.epoch == this->epoch)
+	// The newest claim in the log is that of this process
+	if (this->epoch != 0 && this->newest_claim.by.life == this->process.life && this->newest_claim.epoch == this->epoch)
 	{
 		this->number = 1;
 		const OnClaimed done = std::move(this->on_claimed);
 		return done(true, this->records);
 	}
-	if (!this->judge(this->seen) || ++this->tries > cClaimTries)
-		return this->Lose("another owner");
-	this->epoch = NextEpoch(this->seen.epoch);
+	if (!this->claim_check(this->newest_claim) || ++this->claim_attempts > cMaxClaimAttempts)
+		return this->FailClaim("another process claims the log, or too many attempts failed");
+	this->epoch = NextEpoch(this->newest_claim.epoch);
 	AppendCall call;
 	call.log = this->name;
 	call.keyed = true;
@@ -100,9 +101,10 @@
 	this->log.Append(call, this->Guard(
 							   [this](const AppendAnswer &inAnswer)
 							   {
-								   // Only the log tells who won: a challenger with the same epoch and number is given the winner's answer
+								   // Only the log shows who won: a challenger with the same epoch and sequence number gets the answer to
+								   // the winner's append
 								   const bool answered = inAnswer.result == EAppend::Done;
-								   this->again.Once(answered ? 0 : cLogAgainMs, [this] { this->ReadRest(this->end); });
+								   this->retry_timer.Once(answered ? 0 : cAppendRetryMs, [this] { this->ReadRest(this->end); });
 							   }));
 }
 
@@ -116,7 +118,7 @@
 }
 
 template <JobLog Log>
-void OwnedLog<Log>::LogAgain(EAppend inResult)
+void OwnedLog<Log>::LogRetry(EAppend inResult)
 {
 	size_t bytes = 0;
 	for (const LogRecord &record : this->batch)
@@ -143,18 +145,18 @@
 	this->log.Append(call, this->Guard(
 							   [this](const AppendAnswer &inAnswer)
 							   {
-								   // The same number again: if it was done before, the store says so again
+								   // Repeated with the same sequence number: if the append took effect before, the store answers so
 								   if (inAnswer.result == EAppend::Refused || inAnswer.result == EAppend::Unknown)
 								   {
-									   this->LogAgain(inAnswer.result);
-									   return this->again.Once(cLogAgainMs, [this] { this->SendAppend(); });
+									   this->LogRetry(inAnswer.result);
+									   return this->retry_timer.Once(cAppendRetryMs, [this] { this->SendAppend(); });
 								   }
 								   this->busy = false;
 								   const bool done = inAnswer.result == EAppend::Done;
 								   if (done)
 									   ++this->number;
-								   const OnAppended call_back = std::move(this->on_appended);
-								   call_back(done);
+								   const OnAppended callback = std::move(this->on_appended);
+								   callback(done);
 							   }));
 }
 
--- a/Loomreach/Ownership/OwnerTable.cpp
+++ b/Loomreach/Ownership/OwnerTable.cpp
@@ -1,4 +1,4 @@
-// Judges owners by their heartbeats.
+// Evaluates the heartbeats of hosts: who owns a cell, who is live, who claims next.
 
 #include <Loomreach/Loomreach.h>
 
@@ -8,11 +8,11 @@
 namespace Loomreach::Jobs
 {
 
-/// So many heartbeats of a host may be lost before it counts as gone.
-static constexpr Millis cBeatsUntilSilent = 3;
-/// Who is first in line is worked out anew this often, ms, and when a heartbeat changes it.
-static constexpr Millis cHeirsKeptMs = 250;
-/// Hosts that keep a replica: one may go together with the owner, or a datagram be lost.
+/// A host counts as unresponsive after this many of its heartbeat intervals without a heartbeat.
+static constexpr Millis cHeartbeatsUntilUnresponsive = 3;
+/// The candidate successors are computed again after this long, and when a heartbeat changes them.
+static constexpr Millis cSuccessorsValidMs = 250;
+/// Number of hosts that keep a replica: one may be lost together with the owner, or a datagram be lost.
 static constexpr size_t cReplicas = 2;
 
 HostBeat LetGoBeat(HostBeat inBeat, const std::optional<OwnedCell> &inFleet, Millis inOrderMs)
@@ -28,20 +28,20 @@
 
 void OwnerTable::OnBeat(const HostBeat &inBeat, Millis inNow)
 {
-	Heard &heard = this->hosts[inBeat.host];
+	HeardHost &heard = this->hosts[inBeat.host];
 	const bool same = heard.beat.life == inBeat.life && heard.beat.number >= inBeat.number;
 	const bool older = heard.beat.life != inBeat.life && heard.beat.start > inBeat.start;
 	if (!heard.beat.host.empty() && (same || older))
 		return;
-	const bool like_before = heard.beat.host == inBeat.host && heard.beat.cells.size() == inBeat.cells.size() &&
-							 heard.beat.claims == inBeat.claims && heard.beat.weight == inBeat.weight;
-	if (!like_before)
-		this->heirs_at = cNeverWorkedOut;
+	const bool unchanged = heard.beat.host == inBeat.host && heard.beat.cells.size() == inBeat.cells.size() &&
+						   heard.beat.claims == inBeat.claims && heard.beat.weight == inBeat.weight;
+	if (!unchanged)
+		this->successors_at = cNeverComputed;
 	heard.beat = inBeat;
 	heard.at = inNow;
 	for (const OwnedCell &cell : inBeat.cells)
 		if (cell.held)
-			this->owned_once.insert(cell.cell);
+			this->ever_owned.insert(cell.cell);
 }
 
 void OwnerTable::OnClaimSeen(uint32 inCell, const ClaimRecord &inClaim, Millis inNow)
@@ -109,7 +109,7 @@
 	for (const auto &[name, heard] : this->hosts)
 	{
 		const HostBeat &beat = heard.beat;
-		if (name != this->self && beat.claims && beat.cells.empty() && !beat.short_of_time && this->IsAtWork(heard, inNow))
+		if (name != this->self && beat.claims && beat.cells.empty() && !beat.short_of_time && this->IsLive(heard, inNow))
 			idle.push_back({beat.availability_zone, beat.address, beat.life});
 	}
 	return idle;
@@ -129,27 +129,28 @@
 	uint32 before = 0;
 	for (const auto &[name, heard] : this->hosts)
 	{
-		const bool owns = !heard.beat.cells.empty() && this->IsAtWork(heard, inNow);
+		const bool owns = !heard.beat.cells.empty() && this->IsLive(heard, inNow);
 		owners += owns ? 1 : 0;
 		before += owns && name < this->self ? 1 : 0;
 	}
 	if (inOwner)
 		return before % (inParts - 1);
-	// Hosts that all start at once wait for each other in one partition; no owner waits yet in the others
+	// Hosts that all start at the same time would queue behind each other in one partition; there is no owner yet that the others would
+	// delay
 	const bool all_start = owners == 0 && !this->hosts.empty();
 	return all_start ? static_cast<uint32>(HashBytes(this->self) % inParts) : inParts - 1;
 }
 
-bool OwnerTable::IsAtWork(const Heard &inHeard, Millis inNow) const
+bool OwnerTable::IsLive(const HeardHost &inHeard, Millis inNow) const
 {
-	return inNow - inHeard.at <= std::max(this->LeaseOf(inHeard), cBeatsUntilSilent * inHeard.beat.every_ms);
+	return inNow - inHeard.at <= std::max(this->LeaseOf(inHeard), cHeartbeatsUntilUnresponsive * inHeard.beat.every_ms);
 }
 
 std::vector<std::string> OwnerTable::SilentFor(Millis inMillis, Millis inNow) const
 {
 	std::vector<std::string> silent;
 	for (const auto &[name, heard] : this->hosts)
-		if (name != this->self && inNow - heard.at > std::max(inMillis, cBeatsUntilSilent * heard.beat.every_ms))
+		if (name != this->self && inNow - heard.at > std::max(inMillis, cHeartbeatsUntilUnresponsive * heard.beat.every_ms))
 			silent.push_back(name);
 	return silent;
 }
@@ -158,56 +159,59 @@
 {
 	size_t count = 0;
 	for (const auto &[name, heard] : this->hosts)
-		count += this->IsAtWork(heard, inNow) ? 1 : 0;
+		count += this->IsLive(heard, inNow) ? 1 : 0;
 	return std::max<size_t>(count, 1);
 }
 
-const std::set<std::string> &OwnerTable::Heirs(Millis inNow) const
+const std::set<std::string> &OwnerTable::CandidateSuccessors(Millis inNow) const
 {
-	if (inNow - this->heirs_at < cHeirsKeptMs)
-		return this->heirs;
-	using Place = std::tuple<double, std::string_view, std::string_view>;
-	std::vector<Place> order;
+	if (inNow - this->successors_at < cSuccessorsValidMs)
+		return this->candidate_successors;
+	using Rank = std::tuple<double, std::string_view, std::string_view>;
+	std::vector<Rank> order;
 	std::map<std::string_view, uint32> in_zone;
 	for (const auto &[name, heard] : this->hosts)
 	{
-		if (!heard.beat.claims || !this->IsAtWork(heard, inNow))
+		if (!heard.beat.claims || !this->IsLive(heard, inNow))
 			continue;
 		const double load = static_cast<double>(heard.beat.cells.size() + 1) / std::max<uint32>(heard.beat.weight, 1);
 		order.emplace_back(load, name, heard.beat.availability_zone);
 		in_zone[heard.beat.availability_zone] = 0;
 	}
 	std::sort(order.begin(), order.end());
-	this->heirs.clear();
-	this->heirs_at = inNow;
+	this->candidate_successors.clear();
+	this->successors_at = inNow;
 	const size_t zones = std::max<size_t>(in_zone.size(), 1);
-	// What takes a zone away must leave others that are ready
-	const size_t each = (this->tuning.heirs + zones - 1) / zones;
+	// The loss of a zone must leave candidates in other zones
+	const size_t each = (this->tuning.candidate_successors + zones - 1) / zones;
 	for (const auto &[load, name, zone] : order)
 		if (in_zone[zone]++ < each)
-			this->heirs.emplace(name);
-	return this->heirs;
+			this->candidate_successors.emplace(name);
+	return this->candidate_successors;
 }
 
-bool OwnerTable::IsHeir(Millis inNow) const { return !this->hosts.contains(this->self) || this->Heirs(inNow).contains(this->self); }
+bool OwnerTable::IsHeir(Millis inNow) const
+{
+	return !this->hosts.contains(this->self) || this->CandidateSuccessors(inNow).contains(this->self);
+}
 
 std::vector<HostBeat> OwnerTable::OwnersBeats(Millis inNow) const
 {
 	std::vector<HostBeat> beats;
 	for (const auto &[name, heard] : this->hosts)
-		if (!heard.beat.cells.empty() && this->IsAtWork(heard, inNow))
+		if (!heard.beat.cells.empty() && this->IsLive(heard, inNow))
 			beats.push_back(heard.beat);
 	return beats;
 }
 
 std::vector<Address> OwnerTable::WellInformed(Millis inNow) const
 {
-	const std::set<std::string> &first = this->Heirs(inNow);
+	const std::set<std::string> &first = this->CandidateSuccessors(inNow);
 	std::vector<Address> informed;
 	for (const auto &[name, heard] : this->hosts)
 	{
-		const bool often = first.contains(name) || (!heard.beat.cells.empty() && this->IsAtWork(heard, inNow));
-		if (often && name != this->self)
+		const bool reads_often = first.contains(name) || (!heard.beat.cells.empty() && this->IsLive(heard, inNow));
+		if (reads_often && name != this->self)
 			informed.push_back(heard.beat.address);
 	}
 	return informed;
@@ -215,13 +219,13 @@
 
 std::vector<Address> OwnerTable::ReplicaHosts(Millis inNow) const
 {
-	const std::set<std::string> &first = this->Heirs(inNow);
-	// Each owner has an order of its own, so that replicas are shared out
+	const std::set<std::string> &first = this->CandidateSuccessors(inNow);
+	// Each owner ranks the hosts in an order of its own, which spreads the replicas over them
 	std::map<uint64, const HostBeat *, std::greater<>> order;
 	for (const auto &[name, heard] : this->hosts)
 	{
 		const bool informed = first.contains(name) || !heard.beat.cells.empty();
-		if (name != this->self && informed && heard.beat.address.port != 0 && this->IsAtWork(heard, inNow))
+		if (name != this->self && informed && heard.beat.address.port != 0 && this->IsLive(heard, inNow))
 			order.emplace(RendezvousWeight(this->self, name), &heard.beat);
 	}
 	std::set<std::string_view> zones;
@@ -229,7 +233,7 @@
 	if (own != this->hosts.end())
 		zones.insert(own->second.beat.availability_zone);
 	std::vector<Address> addresses;
-	// In the second round hosts of zones that have one already, where there are no others
+	// The second pass takes further hosts of the same zones where no other zones are left
 	for (const bool new_zones : {true, false})
 		for (auto &[weight, beat] : order)
 		{
@@ -245,62 +249,63 @@
 {
 	if (this->IsHeir(inNow))
 		return this->tuning.beat_ms;
-	// Not bounded from above: with twice the hosts, each of which reads all the others, the sum would be four times as large
-	return std::max(this->tuning.beat_ms, static_cast<Millis>(this->HostsAtWork(inNow)) * this->tuning.idle_each_ms);
+	// There is no upper bound: with twice the hosts, each of which reads all the others, the total would be four times as large
+	return std::max(this->tuning.beat_ms, static_cast<Millis>(this->HostsAtWork(inNow)) * this->tuning.idle_interval_per_host_ms);
 }
 
 Millis OwnerTable::ReadInterval(bool inOwner, Millis inNow) const
 {
 	if (inOwner || this->IsHeir(inNow))
-		return this->tuning.read_least_ms;
-	return std::max(this->tuning.read_least_ms, static_cast<Millis>(this->HostsAtWork(inNow)) * this->tuning.read_each_ms);
+		return this->tuning.min_read_interval_ms;
+	return std::max(this->tuning.min_read_interval_ms,
+					static_cast<Millis>(this->HostsAtWork(inNow)) * this->tuning.read_interval_per_host_ms);
 }
 
-uint64 OwnerTable::ToldEpoch(uint32 inCell) const
+uint64 OwnerTable::HighestHeardEpoch(uint32 inCell) const
 {
-	uint64 told = 0;
+	uint64 heard_epoch = 0;
 	for (const auto &[name, heard] : this->hosts)
 		for (const OwnedCell &cell : heard.beat.cells)
 			if (cell.cell == inCell && cell.held)
-				told = std::max(told, cell.epoch);
-	return told;
+				heard_epoch = std::max(heard_epoch, cell.epoch);
+	return heard_epoch;
 }
 
 bool OwnerTable::IsFree(uint32 inCell, Millis inNow) const
 {
-	const uint64 told = this->ToldEpoch(inCell);
+	const uint64 heard_epoch = this->HighestHeardEpoch(inCell);
 	auto seen = this->claims.find(inCell);
-	const uint64 newest = std::max(told, seen == this->claims.end() ? 0 : seen->second.claim.epoch);
+	const uint64 newest = std::max(heard_epoch, seen == this->claims.end() ? 0 : seen->second.claim.epoch);
 	for (const auto &[name, heard] : this->hosts)
 		for (const OwnedCell &cell : heard.beat.cells)
 		{
-			// Whoever claimed after it had waited for its lease. One without an epoch yet is only about to claim
+			// A host that claimed after it had waited for its lease. An entry without an epoch yet is only about to claim
 			const bool superseded = cell.epoch != 0 && cell.epoch < newest;
-			// An earlier life of this very host is over
+			// An earlier process of this host has ended
 			if (cell.cell == inCell && !superseded && name != this->self && inNow - heard.at <= this->LeaseOf(heard))
 				return false;
 		}
-	return seen == this->claims.end() || !this->MayStand(seen->second, told, inNow);
+	return seen == this->claims.end() || !this->MayStillHold(seen->second, heard_epoch, inNow);
 }
 
-bool OwnerTable::MayStand(const ClaimSeen &inSeen, uint64 inToldEpoch, Millis inNow) const
+bool OwnerTable::MayStillHold(const ClaimSeen &inSeen, uint64 inHeardEpoch, Millis inNow) const
 {
 	const ClaimRecord &claim = inSeen.claim;
-	// Whoever told of it holds it by its heartbeats alone
-	if (claim.by.host == this->self || inToldEpoch >= claim.epoch)
+	// Once a heartbeat has listed the cell, the heartbeats alone decide
+	if (claim.by.host == this->self || inHeardEpoch >= claim.epoch)
 		return false;
 	auto found = this->hosts.find(claim.by.host);
 	if (found != this->hosts.end())
 	{
 		const HostBeat &newest = found->second.beat;
-		// A later process of the host is at work: the claimer has ended
+		// A later process of the host is running: the claimer has ended
 		if (newest.start > claim.by.start)
 			return false;
-		// Sent after the claim, and without the cell: it was given back
+		// Sent after the claim and without the cell: the cell was released
 		if (newest.life == claim.by.life && newest.number > claim.beat_number)
 			return false;
 	}
-	// A claim that no heartbeat has told of may be a moment old
+	// A claim that no heartbeat has listed yet may have been made just now
 	return inNow - inSeen.at <= this->tuning.lease_ms;
 }
 
@@ -314,49 +319,49 @@
 	std::map<std::string, Claimer> claimers;
 	for (const auto &[name, heard] : this->hosts)
 	{
-		if (!heard.beat.claims || !this->IsAtWork(heard, inNow))
+		if (!heard.beat.claims || !this->IsLive(heard, inNow))
 			continue;
 		const uint64 cells = name == this->self ? inOwn : heard.beat.cells.size();
-		// A host that ran out of time would do so again with the cell it has just lost
+		// A host that ran out of processor time would do so again with the cell that it has just lost
 		const uint64 more = heard.beat.short_of_time ? 1 : 0;
 		claimers[name] = {cells + more, std::max<uint32>(heard.beat.weight, 1), heard.beat.availability_zone};
 	}
 	return claimers;
 }
 
-/// A cell goes where it is carried with less than this part of what its present owner carries: with equal hosts from three cells on to one
-/// that has none, and never back.
-static constexpr double cGiveOnPart = 0.5;
+/// A cell is handed over where it would be carried with less than this ratio of its present owner's load: with equal hosts, from one with
+/// at least three cells to one with none, and never back.
+static constexpr double cHandOverLoadRatio = 0.5;
 
 bool OwnerTable::ShouldGiveOn(size_t inOwn, Millis inNow)
 {
 	const std::map<std::string, Claimer> claimers = this->Claimers(inNow, inOwn);
 	auto own = claimers.find(this->self);
-	bool unfair = false;
+	bool overloaded = false;
 	if (own != claimers.end() && inOwn > 0)
 		for (const auto &[name, claimer] : claimers)
 		{
-			const double carried = static_cast<double>(inOwn) / own->second.weight;
-			const double there = static_cast<double>(claimer.cells + 1) / claimer.weight;
-			unfair = unfair || (name != this->self && there < carried * cGiveOnPart);
+			const double own_load = static_cast<double>(inOwn) / own->second.weight;
+			const double other_load = static_cast<double>(claimer.cells + 1) / claimer.weight;
+			overloaded = overloaded || (name != this->self && other_load < own_load * cHandOverLoadRatio);
 		}
-	if (!unfair)
-		this->unfair_since = -1;
-	else if (this->unfair_since < 0)
-		this->unfair_since = inNow;
-	return unfair && inNow - this->unfair_since >= this->tuning.give_on_ms;
+	if (!overloaded)
+		this->overloaded_since = -1;
+	else if (this->overloaded_since < 0)
+		this->overloaded_since = inNow;
+	return overloaded && inNow - this->overloaded_since >= this->tuning.hand_over_after_ms;
 }
 
 std::vector<uint32> OwnerTable::ToClaim(const std::set<uint32> &inCells, Millis inNow, size_t inOwn)
 {
-	// Cells of each host that is at work, and what free cells would add to it
+	// Cells of each live host, and those that it would gain from the free cells
 	std::map<std::string, Claimer> claimers = this->Claimers(inNow, inOwn);
 	std::map<std::string, uint64> in_zone;
 	for (const auto &[name, claimer] : claimers)
 		in_zone[claimer.availability_zone] += claimer.cells;
 	const bool first_start = this->IsFirstStart();
 	std::vector<uint32> wanted;
-	this->claim_text.clear();
+	this->claim_reasons.clear();
 	for (uint32 cell : inCells)
 	{
 		if (!this->IsFree(cell, inNow))
@@ -364,10 +369,10 @@
 			this->free_since.erase(cell);
 			continue;
 		}
-		// They see a free cell sooner than others that carry as little
-		const std::set<std::string> &first = this->Heirs(inNow);
-		using Place = std::tuple<double, bool, uint64, uint64, std::string>;
-		std::vector<Place> order;
+		// Candidate successors notice a free cell sooner than other hosts with the same load
+		const std::set<std::string> &first = this->CandidateSuccessors(inNow);
+		using Rank = std::tuple<double, bool, uint64, uint64, std::string>;
+		std::vector<Rank> order;
 		order.reserve(claimers.size());
 		for (const auto &[name, claimer] : claimers)
 			order.emplace_back(static_cast<double>(claimer.cells + 1) / claimer.weight, !first.contains(name),
@@ -377,13 +382,13 @@
 		while (rank < order.size() && std::get<std::string>(order[rank]) != this->self)
 			++rank;
 		const Millis since = this->free_since.try_emplace(cell, inNow).first->second;
-		// After a restart the heartbeats of the hosts' earlier processes are there to be read
+		// After a restart, the heartbeats of the hosts' earlier processes can still be read
 		const Millis first_wait = first_start && !this->WasOwned(cell) ? this->tuning.first_claim_ms : 0;
 		const Millis wait = static_cast<Millis>(rank) * this->tuning.rank_ms + first_wait;
 		const bool wants = rank < order.size() && inNow - since >= wait;
 		if (!order.empty())
 		{
-			// Whoever takes it has one more when the next cell is looked at
+			// The host that takes it counts with one cell more for the next cell
 			Claimer &taker = claimers[wants ? this->self : std::get<std::string>(order[0])];
 			++taker.cells;
 			++in_zone[taker.availability_zone];
@@ -391,9 +396,9 @@
 		if (!wants)
 			continue;
 		wanted.push_back(cell);
-		this->claim_text += (this->claim_text.empty() ? "" : " ") + std::to_string(cell) + ":rank" + std::to_string(rank) + "of" +
-							std::to_string(order.size()) + "/" + std::get<std::string>(order[0]) + "/" + std::to_string(inNow - since) +
-							"ms";
+		this->claim_reasons += (this->claim_reasons.empty() ? "" : " ") + std::to_string(cell) + ":rank" + std::to_string(rank) + "of" +
+							   std::to_string(order.size()) + "/" + std::get<std::string>(order[0]) + "/" + std::to_string(inNow - since) +
+							   "ms";
 	}
 	return wanted;
 }
--- a/Loomreach/Ownership/OwnerTable.h
+++ b/Loomreach/Ownership/OwnerTable.h
@@ -1,8 +1,10 @@
-// Who owns which cell, as far as this entry host can tell from the hosts' heartbeats in the log, and whether it may claim one.
+// Tracks which entry host owns which cell, as far as the hosts' heartbeats in the log tell, and decides which cells this host may claim.
 //
-// The lease. An owner appends a heartbeat at times. It may act until its last acknowledged heartbeat's *sending* plus the lease, less a
-// slack, and extends only while it still may act. A challenger waits the full lease from when it first *read* that heartbeat, and
-// then reads once more. The owner's period therefore ends first on any two steady clocks that differ by less than the slack.
+// The ownership lease:
+//  * An owner appends heartbeats. It may act until it *sent* its last acknowledged heartbeat plus the lease, minus a slack, and renews
+//    the lease only while it may still act.
+//  * A challenger waits for the full lease from when it first *read* that heartbeat, and then reads once more before it claims.
+//  * So the owner's period ends first on any two steady clocks that differ by less than the slack.
 
 #pragma once
 
@@ -14,19 +16,22 @@
 /// Times of the ownership lease, ms.
 struct LeaseTuning
 {
-	Millis lease_ms = 2000;     ///< The longest that an owner may promise. Setting `owner_lease_ms`.
-	Millis slack_ms = 300;      ///< The owner stops this much earlier: the users' freeze slack (300 ms) covers clocks 2% apart as well.
-	Millis beat_ms = 500;       ///< Between heartbeats of an owner.
-	Millis idle_each_ms = 30;   ///< A host without cells beats at most once in this many ms for each host there is.
-	Millis read_each_ms = 30;   ///< It reads the others' once in this many ms for each host,
-	Millis read_least_ms = 500; ///< as owners do, or more seldom.
-	/// So many hosts, the first to take over a cell and shared out over the zones, beat and read as often as owners. One that is gone is
-	/// then passed over within a lease; of the others a third may be out of reach for 9 s before anybody knows.
-	uint32 heirs = 10;
-	Millis give_on_ms = 2000; ///< A host that should give a cell on has stood so much worse than another for this long: no passing news.
-	Millis rank_ms = 350;     ///< A challenger waits this long for each host that comes before it.
-	Millis first_claim_ms =
-		0; ///< And this long for a cell that nobody has owned, when the fleet first starts: hosts are heard of one by one.
+	Millis lease_ms = 2000; ///< Longest lease that an owner may announce. Setting `owner_lease_ms`.
+	/// The owner stops this long before its lease ends: covers a freeze of 300 ms (users' figure), and clocks that are 2% apart.
+	Millis slack_ms = 300;
+	Millis beat_ms = 500;                  ///< Interval between heartbeats of an owner.
+	Millis idle_interval_per_host_ms = 30; ///< Interval between heartbeats of a host without cells, for each host that there is.
+	Millis read_interval_per_host_ms = 30; ///< Interval between its reads of the heartbeats of the others, for each host that there is.
+	Millis min_read_interval_ms = 500;     ///< Shortest interval between such reads; that of owners.
+	/// Number of candidate successors: the first hosts to take over a cell, spread over the zones. They send and read heartbeats as often
+	/// as owners, so that a lost one is skipped within a lease. Of the other hosts, a third may be unreachable for 9 s before that is
+	/// known.
+	uint32 candidate_successors = 10;
+	/// A cell is handed over only after its owner has been overloaded this long: short imbalances cause no move.
+	Millis hand_over_after_ms = 2000;
+	Millis rank_ms = 350; ///< A challenger waits this long for each host that ranks before it.
+	/// Wait for a cell that was never owned, on the first start of the fleet, when hosts hear of each other one by one.
+	Millis first_claim_ms = 0;
 };
 
 /// A cell that a host owns.
@@ -34,7 +39,7 @@
 {
 	uint32 cell = 0;
 	uint64 epoch = 0;
-	bool held = true; ///< False: it is only being claimed. Others leave it alone, but ask nothing of it.
+	bool held = true; ///< False while the host is only claiming the cell: others then neither claim it nor send requests for it here.
 
 	template <class Archive>
 	void serialize(Archive &ioArchive)
@@ -43,20 +48,21 @@
 	}
 };
 
-/// One heartbeat of an owner.
+/// One heartbeat of an entry host.
 struct HostBeat
 {
 	std::string host;
-	uint64 life = 0;            ///< Differs from start to start of a process.
-	uint64 start = 0;           ///< Rises from start to start of the host's processes: its records lie in several partitions, in no order.
-	uint64 number = 0;          ///< Rises within a life.
-	Address address;            ///< For questions of other entry hosts.
-	uint32 weight = 1;          ///< Processor that the host has, thousandths of a core: larger hosts take more cells.
-	bool claims = true;         ///< Whether it takes cells at all; not when it is stopping.
-	bool short_of_time = false; ///< Whether it has lately run out of processor time: it counts as owner of one cell more.
+	uint64 life = 0; ///< Incarnation: differs for each process of the host.
+	/// Start count of the host, which orders its processes: their heartbeats are in several partitions and read in any order.
+	uint64 start = 0;
+	uint64 number = 0;          ///< Sequence number within the incarnation.
+	Address address;            ///< For questions from other entry hosts.
+	uint32 weight = 1;          ///< Processor capacity of the host, thousandths of a core: larger hosts take more cells.
+	bool claims = true;         ///< Whether the host takes cells; false while it stops.
+	bool short_of_time = false; ///< Whether it ran out of processor time recently: it then counts as owner of one cell more.
 	std::string availability_zone;
-	Millis every_ms = 0; ///< Its next heartbeat is due after this.
-	Millis lease_ms = 0; ///< The lease that this heartbeat renews; 0: the longest there is.
+	Millis every_ms = 0; ///< Time until its next heartbeat is due.
+	Millis lease_ms = 0; ///< Lease that this heartbeat renews; 0: the longest.
 	std::vector<OwnedCell> cells;
 
 	template <class Archive>
@@ -67,17 +73,17 @@
 	}
 };
 
-/// What a host tells that does not reach the store and has let its cells go. It does not claim: others would wait 350 ms for its turn to
-/// pass, as long as its last heartbeat makes it seem at work (three owners turned away at once left their cells free for 0.6 to 1.4 s).
-/// `inFleet`: the fleet, while an order to a host may be under way; it is free after `inOrderMs`.
+/// Heartbeat of a host that cannot reach the store and has released its cells. It does not claim: as long as its last heartbeat makes it
+/// appear live, the others would wait 350 ms for its turn (three owners that the store refused at the same time left their cells without
+/// an owner for 0.6 to 1.4 s). `inFleet`: the fleet cell, while an order to a host may be in flight; it becomes free after `inOrderMs`.
 HostBeat LetGoBeat(HostBeat inBeat, const std::optional<OwnedCell> &inFleet, Millis inOrderMs);
 
-/// One process of an entry host.
+/// Identifies one process of an entry host.
 struct HostProcess
 {
 	std::string host;
 	uint64 life = 0;  ///< As in its heartbeats.
-	uint64 start = 0; ///< Likewise. A heartbeat of a later start of the host tells that this process has ended.
+	uint64 start = 0; ///< As in its heartbeats. A heartbeat with a later start shows that this process has ended.
 
 	template <class Archive>
 	void serialize(Archive &ioArchive)
@@ -86,13 +92,13 @@
 	}
 };
 
-/// The record of a claim in a cell's own log.
+/// The claim record in a cell's own log.
 struct ClaimRecord
 {
 	HostProcess by;
 	uint64 epoch = 0;
-	uint64 beat_number =
-		0; ///< Of the host's newest heartbeat when it began to claim: every later one tells of the cell, until it is given back.
+	/// Number of the newest heartbeat of the host when it began to claim: every later one lists the cell until the host releases it.
+	uint64 beat_number = 0;
 
 	template <class Archive>
 	void serialize(Archive &ioArchive)
@@ -101,7 +107,7 @@
 	}
 };
 
-/// Where to ask about a cell.
+/// The owner of a cell, and where to reach it.
 struct CellOwner
 {
 	std::string host;
@@ -109,7 +115,7 @@
 	uint64 epoch = 0;
 };
 
-/// A host that is at work and owns nothing: it can send owners' orders for them.
+/// A live host without cells. It can forward orders for owners.
 struct IdleHost
 {
 	std::string availability_zone;
@@ -119,128 +125,133 @@
 	bool operator==(const IdleHost &) const = default;
 };
 
-/// The view of owners. Pure.
+/// Knows the newest heartbeat of each host and the newest claim of each cell. Pure: does no I/O, time is passed in.
 class OwnerTable
 {
 public:
 	OwnerTable(std::string inHost, const LeaseTuning &inTuning) : self(std::move(inHost)), tuning(inTuning) {}
 
-	/// A heartbeat was read.
+	/// Records a heartbeat that was read.
 	void OnBeat(const HostBeat &inBeat, Millis inNow);
-	/// A claim record of a cell was read in the cell's own log.
+	/// Records a claim that was read in the cell's own log.
 	void OnClaimSeen(uint32 inCell, const ClaimRecord &inClaim, Millis inNow);
-	/// Whether another host is known to own a cell with a higher epoch than this.
+	/// Whether another host is known to own the cell with an epoch higher than `inEpoch`.
 	bool IsSuperseded(uint32 inCell, uint64 inEpoch) const;
-	/// The owner of a cell, if its lease has not run out here.
+	/// The owner of a cell, if its lease has not expired on the clock of this host.
 	std::optional<CellOwner> OwnerOf(uint32 inCell, Millis inNow) const;
-	/// The newest owner that was ever heard of, however long ago: whom to ask when the store can't be read.
+	/// The newest owner ever heard of, no matter how long ago: whom to ask while the store cannot be read.
 	std::optional<CellOwner> LastOwnerOf(uint32 inCell) const;
-	/// Other hosts, those heard of last first: who may help when the store turns this one away.
+	/// Other hosts to ask for help while the store refuses this one: the last known owner of the cell first, then by how recently they
+	/// were heard.
 	std::vector<Address> Helpers(uint32 inCell) const;
-	/// Other hosts that are at work, own nothing and have processor time.
+	/// Other live hosts that own no cells and have processor time to spare.
 	std::vector<IdleHost> IdleHosts(Millis inNow) const;
-	/// Addresses of all other hosts that were ever heard of.
+	/// Addresses of all other hosts ever heard of.
 	std::vector<Address> Others() const;
-	/// Other hosts that have not been heard of for so long.
+	/// Other hosts that have not been heard for `inMillis`, nor for three of their own heartbeat intervals.
 	std::vector<std::string> SilentFor(Millis inMillis, Millis inNow) const;
-	/// A host's heartbeats have been removed from the log: it counts as never heard of until the next.
+	/// Call when the heartbeats of a host have been removed from the log: it counts as unknown until its next heartbeat.
 	void Forget(const std::string &inHost) { this->hosts.erase(inHost); }
-	/// Hosts that are at work as far as is known, this one included.
+	/// Number of hosts known to be live, including this one.
 	size_t HostsAtWork(Millis inNow) const;
-	/// How many starts of a host's processes have told of themselves.
+	/// Start count of a host in its newest heartbeat; 0 if it is unknown.
 	uint64 StartsOf(const std::string &inHost) const;
-	/// The partition of this host's heartbeats: the last for hosts without cells, the others shared out evenly among owners, as far as they
-	/// know of each other.
+	/// Partition for the heartbeats of this host: the last for hosts without cells, the others shared evenly by the owners that are
+	/// known.
 	uint32 BeatPart(uint32 inParts, bool inOwner, Millis inNow) const;
-	/// How often a host without cells tells of itself: with many hosts more seldom, so that all together stay within the store's rates.
+	/// Heartbeat interval of a host without cells. Grows with the number of hosts, to stay within the rates of the store.
 	Millis IdleInterval(Millis inNow) const;
-	/// How often a host reads the others' heartbeats.
+	/// Interval at which a host reads the heartbeats of the others.
 	Millis ReadInterval(bool inOwner, Millis inNow) const;
-	/// Whether this host is among the first that would take over a cell.
+	/// Whether this host is a candidate successor: one of the first to take over a cell.
 	bool IsHeir(Millis inNow) const;
-	/// Newest heartbeats of the hosts that own something.
+	/// Newest heartbeats of the live hosts that own cells.
 	std::vector<HostBeat> OwnersBeats(Millis inNow) const;
-	/// Other hosts that read all heartbeats often: owners, and the first that would take over from them.
+	/// Other hosts that read all heartbeats often: owners and candidate successors.
 	std::vector<Address> WellInformed(Millis inNow) const;
-	/// Other hosts that keep replicas of what this one knows and no log holds yet: well informed ones, of different zones where there are
-	/// several.
+	/// Other hosts to keep replicas of what this host knows and no log contains yet: owners or candidate successors, in different zones
+	/// where possible.
 	std::vector<Address> ReplicaHosts(Millis inNow) const;
-	/// Whether a cell's last owner must have stopped acting.
+	/// Whether the last owner of a cell must have stopped acting.
 	bool IsFree(uint32 inCell, Millis inNow) const;
-	/// Whether this host, which owns `inOwn` cells, should give one on: another one would carry it with less than half of what this one
-	/// carries for its size. Small hosts that took cells while the large ones were away would keep them for good: with 10 Mbit/s, one held
-	/// a busy cell for 34 s in which its jobs took 14 s and more, and its tasks that last stood still.
+	/// Whether this host, which owns `inOwn` cells, should hand one over: another host would carry it with less than half the load of
+	/// this one, relative to size. Otherwise small hosts that took cells while the large ones were unavailable would keep them for good:
+	/// one with 10 Mbit/s held a busy cell for 34 s, during which its jobs took 14 s and more and its long-running tasks made no
+	/// progress.
 	bool ShouldGiveOn(size_t inOwn, Millis inNow);
 
-	/// Of the cells given, those to claim now. Every host works out the same order of hosts for a cell from the same heartbeats: those
-	/// with the fewest cells for their size first, among these the ones in zones with the fewest cells. The first claims at once, each next
-	/// one a little later.
-	/// `inOwn`: cells that this host owns or is claiming now; its own heartbeat in the log may not tell of them yet.
+	/// Of the given cells, those to claim now. Every host computes the same ranking of hosts for a cell from the same heartbeats: the
+	/// fewest cells relative to size first; among equals candidate successors, then hosts in zones with the fewest cells. The first
+	/// claims immediately, each next one a little later.
+	/// `inOwn`: cells that this host owns or is claiming now; its own heartbeat in the log may not list them yet.
 	std::vector<uint32> ToClaim(const std::set<uint32> &inCells, Millis inNow, size_t inOwn = 0);
-	/// Why a cell was to be claimed, for the log: of the last ToClaim.
-	std::string_view ClaimText() const { return this->claim_text; }
-	/// Waits anew for a cell, after a claim was lost.
+	/// Why the last ToClaim chose its cells, for the log.
+	std::string_view ClaimText() const { return this->claim_reasons; }
+	/// Restarts the wait for a cell after a lost claim.
 	void PutOff(uint32 inCell, Millis inNow) { this->free_since[inCell] = inNow; }
 
 private:
-	static constexpr Millis cNeverWorkedOut = std::numeric_limits<Millis>::min() / 2;
-	/// A host's newest heartbeat and when it was first read.
-	struct Heard
+	static constexpr Millis cNeverComputed = std::numeric_limits<Millis>::min() / 2;
+	/// The newest heartbeat of a host, and when it was first read.
+	struct HeardHost
 	{
 		HostBeat beat;
 		Millis at = 0;
 	};
-	/// A claim and when it was first read.
+	/// A claim, and when it was first read.
 	struct ClaimSeen
 	{
 		ClaimRecord claim;
 		Millis at = 0;
 	};
-	/// How long a challenger waits from when it first heard of this heartbeat.
-	Millis LeaseOf(const Heard &inHeard) const { return inHeard.beat.lease_ms > 0 ? inHeard.beat.lease_ms : this->tuning.lease_ms; }
-	bool IsAtWork(const Heard &inHeard, Millis inNow) const;
-	/// A host that takes cells, as the order of claims sees it.
+	/// How long a challenger waits after it first read this heartbeat.
+	Millis LeaseOf(const HeardHost &inHeard) const { return inHeard.beat.lease_ms > 0 ? inHeard.beat.lease_ms : this->tuning.lease_ms; }
+	bool IsLive(const HeardHost &inHeard, Millis inNow) const;
+	/// A host that takes cells, as ranked for claims.
 	struct Claimer
 	{
-		uint64 cells = 0; ///< What it owns, and one more while it is short of processor time.
+		uint64 cells = 0; ///< Cells that it owns, and one more while it is short of processor time.
 		uint32 weight = 1;
 		std::string availability_zone;
 	};
 	std::map<std::string, Claimer> Claimers(Millis inNow, size_t inOwn) const;
-	/// The first that would take over a cell: the least loaded of each zone.
-	const std::set<std::string> &Heirs(Millis inNow) const;
-	/// Whether all hosts are at their first start, as far as is known: then others may not have been heard of yet.
+	/// The candidate successors: the least loaded hosts of each zone.
+	const std::set<std::string> &CandidateSuccessors(Millis inNow) const;
+	/// Whether all known hosts are at their first start: others may not have been heard of yet.
 	bool IsFirstStart() const;
-	/// Whether anybody is known to have owned a cell.
-	bool WasOwned(uint32 inCell) const { return this->owned_once.contains(inCell) || this->claims.contains(inCell); }
-	/// The highest epoch of a cell that any heartbeat has told of.
-	uint64 ToldEpoch(uint32 inCell) const;
-	/// Whether a claim may still be acted on. `inToldEpoch`: see ToldEpoch.
-	bool MayStand(const ClaimSeen &inSeen, uint64 inToldEpoch, Millis inNow) const;
+	/// Whether any host is known to have owned a cell.
+	bool WasOwned(uint32 inCell) const { return this->ever_owned.contains(inCell) || this->claims.contains(inCell); }
+	/// The highest epoch of a cell in any heartbeat.
+	uint64 HighestHeardEpoch(uint32 inCell) const;
+	/// Whether the claimer may still act on a claim. `inHeardEpoch`: the highest epoch in any heartbeat.
+	bool MayStillHold(const ClaimSeen &inSeen, uint64 inHeardEpoch, Millis inNow) const;
 
 	std::string self;
 	LeaseTuning tuning;
-	std::map<std::string, Heard> hosts;
+	std::map<std::string, HeardHost> hosts;
 	std::map<uint32, ClaimSeen> claims;
 	std::map<uint32, Millis> free_since;
-	std::set<uint32> owned_once; ///< Cells that any heartbeat has told of as owned: the newest of a host forgets what it has let go.
-	Millis unfair_since = -1;    ///< Since when a cell should be given on; -1: none should.
-	std::string claim_text;
-	mutable std::set<std::string> heirs;       ///< As last worked out,
-	mutable Millis heirs_at = cNeverWorkedOut; ///< and when.
+	/// Cells that any heartbeat has listed as owned; the newest heartbeat of a host no longer lists what it has released.
+	std::set<uint32> ever_owned;
+	Millis overloaded_since = -1; ///< Since when a cell should be handed over; -1: none should.
+	std::string claim_reasons;
+	mutable std::set<std::string> candidate_successors; ///< As last computed,
+	mutable Millis successors_at = cNeverComputed;      ///< and when.
 };
 
-/// The own lease: until when this process may act.
+/// The lease of this process: until when it may act.
 class OwnLease
 {
 public:
 	explicit OwnLease(const LeaseTuning &inTuning) : tuning(inTuning) {}
 
-	/// Whether orders may be sent now.
+	/// Whether this process may act now.
 	bool MayAct(Millis inNow) const { return inNow < this->until; }
-	/// A heartbeat leaves that renews the lease for `inLeaseMs`. Challengers may count from this one alone: a longer promise ends with it.
+	/// Call when a heartbeat is sent that renews the lease for `inLeaseMs`. Challengers may count from this one alone, so it also ends a
+	/// longer lease that was announced before.
 	void OnSent(Millis inSentAt, Millis inLeaseMs) { this->until = std::min(this->until, inSentAt + inLeaseMs - this->tuning.slack_ms); }
-	/// The heartbeat sent at `inSentAt` was acknowledged. False: too late, what was owned is lost; the lease begins anew.
+	/// Call when the heartbeat sent at `inSentAt` was acknowledged. Returns false if that came too late: what was owned is lost, and the
+	/// lease begins again.
 	bool OnAcknowledged(Millis inSentAt, Millis inLeaseMs, Millis inNow)
 	{
 		const bool kept = this->until == 0 || inNow < this->until;
--- a/Loomreach/Ownership/StoreBudget.cpp
+++ b/Loomreach/Ownership/StoreBudget.cpp
@@ -1,4 +1,4 @@
-// Shares out the store's limits.
+// Computes the intervals at which entry hosts may use the store.
 
 #include <Loomreach/Loomreach.h>
 
@@ -11,7 +11,7 @@
 static constexpr int64 cMillisPerSecond = 1000;
 static constexpr int64 cBytesPerKb = 1000;
 
-/// How long an amount takes with the share of a limit per second.
+/// Time that an amount takes, ms, at `inShare` percent of a limit per second.
 static Millis TimeFor(int64 inAmount, int64 inPerSecond, int64 inShare)
 {
 	const int64 allowed = std::max<int64>(inPerSecond * inShare / cPercent, 1);
@@ -20,12 +20,12 @@
 
 Millis StoreBudget::RoundGap(size_t inHosts, uint32 inCalls) const
 {
-	return TimeFor(static_cast<int64>(inHosts) * inCalls, this->limits.reads_per_s, cShare);
+	return TimeFor(static_cast<int64>(inHosts) * inCalls, this->limits.reads_per_s, cSharePercent);
 }
 
 Millis StoreBudget::Spread(size_t inHosts, size_t inBytes) const
 {
-	return TimeFor(static_cast<int64>(inHosts * inBytes), this->limits.read_kb_per_s * cBytesPerKb, cShare);
+	return TimeFor(static_cast<int64>(inHosts * inBytes), this->limits.read_kb_per_s * cBytesPerKb, cSharePercent);
 }
 
 } // namespace Loomreach::Jobs
--- a/Loomreach/Ownership/StoreBudget.h
+++ b/Loomreach/Ownership/StoreBudget.h
@@ -1,7 +1,7 @@
-// What the store gives to all entry hosts together, and the pace at which each of them may ask for its part.
+// Divides the limits of the store among the entry hosts: how often, and over what time, each of them may read.
 //
-// Whatever every host does for itself grows with the number of hosts, and what every host reads of all others with its square. A pace that
-// follows the number of hosts keeps the sum the same. Pure.
+// What every host reads for itself grows with the number of hosts, and what every host reads of all others with its square. Intervals
+// that grow with the number of hosts keep the total load constant. Pure: does no I/O.
 
 #pragma once
 
@@ -10,27 +10,28 @@
 namespace Loomreach::Jobs
 {
 
-/// The store's limits over all callers.
+/// Limits of the store over all callers.
 struct StoreLimits
 {
-	int64 reads_per_s = 2000;     ///< Calls that read.
-	int64 read_kb_per_s = 80'000; ///< Bytes of all reads.
+	int64 reads_per_s = 2000;     ///< Read calls.
+	int64 read_kb_per_s = 80'000; ///< Bytes of all reads, in units of 1000.
 };
 
-/// See the head of the file.
+/// Computes intervals between reads; see the head of the file.
 class StoreBudget
 {
 public:
 	explicit StoreBudget(const StoreLimits &inLimits) : limits(inLimits) {}
 
-	/// Between two rounds of `inCalls` reads each, made by `inHosts` hosts.
+	/// Time between two rounds of `inCalls` reads, made by each of `inHosts` hosts, ms.
 	Millis RoundGap(size_t inHosts, uint32 inCalls) const;
-	/// The time over which `inHosts` hosts should spread their reads of the same `inBytes`.
+	/// Time over which `inHosts` hosts should spread their reads of the same `inBytes`, ms.
 	Millis Spread(size_t inHosts, size_t inBytes) const;
 
 private:
-	/// One purpose may use this part of a limit, percent: looks for free cells, a new configuration and a take-over's reading may coincide.
-	static constexpr int64 cShare = 25;
+	/// Percent of a limit that one purpose may use: searches for free cells, a new configuration and the reads of a takeover may
+	/// coincide.
+	static constexpr int64 cSharePercent = 25;
 
 	StoreLimits limits;
 };
