--- a/Loomreach/Forward/ForwardPlan.cpp
+++ b/Loomreach/Forward/ForwardPlan.cpp
@@ -1,4 +1,4 @@
-// Counts orders, chooses forwarders.
+// Counts orders and chooses the forwarder of each.
 
 #include <Loomreach/Loomreach.h>
 
@@ -18,7 +18,7 @@
 	for (const IdleHost &idle : inHosts)
 	{
 		auto found = known.find(idle.address);
-		// Another process may run on another clock
+		// Another process may run on another clock, so its clock is queried again
 		const bool same = found != known.end() && found->second.idle.life == idle.life;
 		this->hosts[idle.address] = same ? found->second : Host{idle, false, -1, 0, 0, 0};
 		this->by_zone[idle.availability_zone].push_back(idle.address);
@@ -28,7 +28,7 @@
 std::vector<Address> ForwardPlan::ToAsk()
 {
 	std::vector<Address> ask;
-	if (this->hosts.size() < this->tuning.least_hosts)
+	if (this->hosts.size() < this->tuning.min_idle_hosts)
 		return ask;
 	for (auto &[address, host] : this->hosts)
 		if (host.clock_ms < 0 && !std::exchange(host.asked, true))
@@ -41,7 +41,7 @@
 	auto found = this->hosts.find(inHost);
 	if (found == this->hosts.end())
 		return;
-	found->second.out_ms = 0;
+	found->second.exclusion_ms = 0;
 	found->second.clock_ms = inClockMs;
 	found->second.clock_at = inNow;
 }
@@ -52,41 +52,42 @@
 	if (found == this->hosts.end())
 		return;
 	Host &host = found->second;
-	// Orders that were under way together tell of one silence
-	if (inNow < host.out_until)
+	// Orders that were in flight at the same time report the same failure
+	if (inNow < host.excluded_until)
 		return;
-	host.out_ms = std::clamp(host.out_ms * 2, this->tuning.out_ms, this->tuning.most_out_ms);
-	host.out_until = inNow + host.out_ms;
-	LogEvent(ELogLevel::Warning, "forwarder_silent").Field("host", inHost.Text()).Field("out_ms", host.out_ms);
+	host.exclusion_ms = std::clamp(host.exclusion_ms * 2, this->tuning.exclusion_ms, this->tuning.max_exclusion_ms);
+	host.excluded_until = inNow + host.exclusion_ms;
+	LogEvent(ELogLevel::Warning, "forwarder_silent").Field("host", inHost.Text()).Field("out_ms", host.exclusion_ms);
 }
 
 void ForwardPlan::Count(Millis inNow)
 {
-	++this->in_window;
-	const Millis passed = inNow - this->window_at;
-	if (passed < this->tuning.window_ms)
+	++this->orders_in_window;
+	const Millis elapsed = inNow - this->window_began;
+	if (elapsed < this->tuning.window_ms)
 		return;
-	// A window without orders may be long over: what came before says nothing of now
-	const int64 orders = passed < 2 * this->tuning.window_ms ? this->in_window : 0;
-	const int64 percent = orders * this->tuning.order_cost_us * 100 / std::max<int64>(1, passed * this->tuning.processor_milli);
-	const bool was = this->forwarding;
-	this->forwarding = percent >= (was ? this->tuning.end_percent : this->tuning.begin_percent);
-	if (was != this->forwarding)
+	// If more than a window has passed without an order, the count of the window before says nothing about the present load
+	const int64 orders = elapsed < 2 * this->tuning.window_ms ? this->orders_in_window : 0;
+	const int64 percent = orders * this->tuning.order_cost_us * 100 / std::max<int64>(1, elapsed * this->tuning.processor_milli);
+	const bool was_forwarding = this->forwarding;
+	this->forwarding = percent >= (was_forwarding ? this->tuning.end_percent : this->tuning.begin_percent);
+	if (was_forwarding != this->forwarding)
 		LogEvent(ELogLevel::Info, this->forwarding ? "forwarding_begins" : "forwarding_ends")
 			.Field("orders", orders)
-			.Field("in_ms", passed)
+			.Field("in_ms", elapsed)
 			.Field("percent", percent)
 			.Field("hosts", this->hosts.size());
-	this->window_at = inNow;
-	this->in_window = 0;
+	this->window_began = inNow;
+	this->orders_in_window = 0;
 }
 
 std::optional<Forwarder> ForwardPlan::Choose(const Order &inOrder, Millis inNow)
 {
 	this->Count(inNow);
-	if (!this->forwarding || this->hosts.size() < this->tuning.least_hosts)
+	if (!this->forwarding || this->hosts.size() < this->tuning.min_idle_hosts)
 		return std::nullopt;
-	// One in the worker's zone: what cuts it off cuts off the worker as well. Always the same while it can be used: it keeps connections
+	// The forwarder is in the zone of the worker: what cuts it off cuts off the worker as well. The same one is chosen as long as it is
+	// usable, because it keeps connections to the worker open
 	auto zone = this->by_zone.find(inOrder.availability_zone);
 	if (zone == this->by_zone.end())
 		return std::nullopt;
@@ -97,7 +98,8 @@
 		const Host &host = this->hosts.at(near[(first + i) % near.size()]);
 		if (!this->CanUse(host, inNow))
 			continue;
-		// Its clock is past what it was when heard, and may run slower or faster than ours: the order ends no later there than here
+		// Time has passed on its clock since it was heard, and it may run slower or faster than ours: the order must expire there no
+		// later than here
 		const Millis left = inOrder.not_after - host.clock_at;
 		const Millis slack = std::abs(left) * cClockSlackPerMille / 1000 + 1;
 		return Forwarder{host.idle.address, host.idle.life, host.clock_ms + left - slack};
--- a/Loomreach/Forward/ForwardPlan.h
+++ b/Loomreach/Forward/ForwardPlan.h
@@ -1,8 +1,9 @@
-// Which orders an owner has other hosts send for it. An owner's own processor is what a pool's worst turn of load runs out of first: a call
-// to a worker costs 0.3 ms of a core, a datagram to a host that makes the call for it a sixth. So an owner that sends many orders hands
-// them to hosts without cells; one that sends few sends them itself, and depends on nobody. Pure.
+// Decides which orders an owner has other hosts send for it. At peak load, an owner's processor is the first thing that a pool runs out
+// of: a call to a worker costs 0.3 ms of a core, a datagram to a host that makes the call instead costs a sixth of that. So an owner that
+// sends many orders hands them to hosts without cells; one that sends few sends them itself and depends on no other host. Pure: does no
+// I/O, time is passed in.
 //
-// The load it answers: a queue's turn, five times its mean, 2,000 starts and as many looks a second for one owner of 0.5 cores.
+// Designed for the peak of a queue, five times its mean: 2,000 starts and as many polls per second for one owner with 0.5 cores.
 
 #pragma once
 
@@ -12,43 +13,44 @@
 namespace Loomreach::Jobs
 {
 
-/// Limits of forwarding.
+/// Thresholds of forwarding.
 struct ForwardTuning
 {
-	int64 processor_milli = 1000; ///< Processor of this host, thousandths of a core.
-	Millis order_cost_us = 300;   ///< What an order costs its sender, microseconds of a core: 0.31 ms a call, measured (docs/CAPACITY.md).
-	int64 begin_percent =
-		25; ///< Orders are forwarded once they would take this share of the processor: the rest is for planning and the log,
-	int64 end_percent = 12;      ///< and until they would take less than this.
-	Millis window_ms = 500;      ///< Orders are counted over this long: short against a turn (4 s on the users' days).
-	Millis out_ms = 5000;        ///< A host that was silent is left out this long: cuts and kills on the users' days last 2 to 10 s.
-	Millis most_out_ms = 40'000; ///< If it is silent again each time, twice as long as the last, up to this.
-	size_t least_hosts = 4;      ///< Fewer idle hosts are left alone: they are the next owners.
+	int64 processor_milli = 1000; ///< Processor capacity of this host, thousandths of a core.
+	Millis order_cost_us = 300;   ///< Cost of an order to its sender, microseconds of a core: a call takes 0.31 ms (docs/CAPACITY.md).
+	/// Forwarding begins when orders would take this share of the processor: the rest is for planning and the log.
+	int64 begin_percent = 25;
+	int64 end_percent = 12; ///< Forwarding ends when orders would take less than this.
+	Millis window_ms = 500; ///< Orders are counted over this long: short compared with a load peak (4 s in the users' scenarios).
+	/// First exclusion of an unresponsive host: hosts are cut off or killed for 2 to 10 s in the users' scenarios.
+	Millis exclusion_ms = 5000;
+	Millis max_exclusion_ms = 40'000; ///< The exclusion doubles each time that the host is unresponsive again, up to this.
+	size_t min_idle_hosts = 4;        ///< With fewer idle hosts nothing is forwarded: they are the next owners.
 };
 
-/// Where an order goes instead of to its worker.
+/// A host that sends an order to its worker.
 struct Forwarder
 {
 	Address address;
 	uint64 life = 0;
-	Millis not_after = 0; ///< The order's own, on the forwarder's clock, no later than on the sender's.
+	Millis not_after = 0; ///< The expiry of the order on the clock of the forwarder, no later than on that of the sender.
 };
 
-/// See the head of the file.
+/// Chooses forwarders; see the head of the file.
 class ForwardPlan
 {
 public:
 	explicit ForwardPlan(const ForwardTuning &inTuning) : tuning(inTuning) {}
 
-	/// The hosts that can forward, as known now.
+	/// Sets the hosts that can forward now.
 	void SetHosts(const std::vector<IdleHost> &inHosts);
-	/// Hosts whose clock has not been heard: they can't be used before. Each is named once.
+	/// Hosts whose clock is unknown, to be queried: they cannot forward before it is heard. Each host is returned once.
 	std::vector<Address> ToAsk();
-	/// A host's steady clock was heard.
+	/// Call when a host has told the time of its steady clock.
 	void OnClock(const Address &inHost, Millis inClockMs, Millis inNow);
-	/// A host did not take up what was sent to it.
+	/// Call when a host did not accept what was sent to it.
 	void OnSilent(const Address &inHost, Millis inNow);
-	/// Counts an order, and says who is to send it; nothing: this host.
+	/// Counts an order and chooses its forwarder; std::nullopt: this host sends it itself.
 	std::optional<Forwarder> Choose(const Order &inOrder, Millis inNow);
 	bool IsForwarding() const { return this->forwarding; }
 
@@ -58,20 +60,21 @@
 	{
 		IdleHost idle;
 		bool asked = false;
-		Millis clock_ms = -1; ///< Its clock when last heard; -1: never.
-		Millis clock_at = 0;  ///< And ours.
-		Millis out_until = 0;
-		Millis out_ms = 0; ///< For how long it was left out last, with no answer since.
+		Millis clock_ms = -1;      ///< Its clock when last heard; -1: never.
+		Millis clock_at = 0;       ///< The clock of this host at that time.
+		Millis excluded_until = 0; ///< Until then nothing is forwarded to it.
+		Millis exclusion_ms = 0;   ///< Length of its last exclusion; 0 once it has answered since.
 	};
 
+	/// Counts an order; at the end of a window decides whether to forward.
 	void Count(Millis inNow);
-	bool CanUse(const Host &inHost, Millis inNow) const { return inHost.clock_ms >= 0 && inNow >= inHost.out_until; }
+	bool CanUse(const Host &inHost, Millis inNow) const { return inHost.clock_ms >= 0 && inNow >= inHost.excluded_until; }
 
 	ForwardTuning tuning;
 	std::map<Address, Host> hosts;
 	std::map<std::string, std::vector<Address>> by_zone;
-	Millis window_at = 0; ///< When the window under way began.
-	int64 in_window = 0;  ///< Orders in it.
+	Millis window_began = 0;    ///< When the present window began.
+	int64 orders_in_window = 0; ///< Orders counted in it.
 	bool forwarding = false;
 };
 
--- a/Loomreach/Forward/OrderSender.h
+++ b/Loomreach/Forward/OrderSender.h
@@ -1,5 +1,5 @@
-// Sends an owner's orders: itself, or through hosts that have nothing else to do. Every order may be sent twice, by two hosts: a worker
-// takes the second for a repeat of the first.
+// Sends the orders of an owner, either directly or through idle hosts. Two hosts may send the same order: the worker recognizes the
+// second one as a repeat.
 
 #pragma once
 
@@ -11,7 +11,7 @@
 namespace Loomreach::Jobs
 {
 
-/// See the head of the file. `Agent` is a WorkerAgent.
+/// Sends and forwards orders. `Agent` is a WorkerAgent.
 template <class Agent>
 class OrderSender : private Guarded
 {
@@ -20,14 +20,15 @@
 
 	OrderSender(Agent &inAgent, PeerQuery &inPeers, const ForwardTuning &inTuning) : agent(inAgent), peers(inPeers), plan(inTuning) {}
 
-	/// The hosts that can forward, as known now.
+	/// Sets the hosts that can forward now.
 	void SetHosts(const std::vector<IdleHost> &inHosts);
-	/// `inOrder.not_after` is the end of this host's ownership.
+	/// Sends an order. `inOrder.not_after` is the end of the ownership of this host.
 	void Send(const Order &inOrder, OnAnswer inDone);
-	/// Sends an order for another host. `inReply` is called once.
+	/// Sends an order on behalf of another host. `inReply` is called once.
 	void SendFor(const PeerQuestion &inQuestion, uint64 inOwnLife, std::function<void(PeerAnswer)> inReply);
 
 private:
+	/// Hands the order to a forwarder, and sends it directly if that does not work out.
 	void Forward(const Order &inOrder, const Forwarder &inBy, OnAnswer inDone);
 
 	Agent &agent;
--- a/Loomreach/Forward/OrderSender.inl
+++ b/Loomreach/Forward/OrderSender.inl
@@ -1,4 +1,4 @@
-// Sends and forwards orders.
+// Sends orders directly, through a forwarder, and on behalf of other hosts.
 
 #include <Loomreach/Core/Clock.h>
 #include <Loomreach/State/Codec.h>
@@ -6,22 +6,24 @@
 namespace Loomreach::Jobs
 {
 
-/// A forwarder says within 30 ms that it has an order; two repeats may be lost on the way.
-inline constexpr Millis cTakenUpMs = 200;
-/// It waits for the worker as long as the sender would: a second beyond what the order asks for; and the ways to and fro.
-inline constexpr Millis cForwardedMs = 1300;
-/// Larger ones go by this host itself: questions and answers are datagrams of at most 32 KB.
-inline constexpr size_t cMostForwardedBytes = 24000;
-inline constexpr Millis cAskClockMs =
-	400; ///< The question for a forwarder's clock is given up after this; its next heartbeat brings it back.
+/// A forwarder confirms within 30 ms that it has an order; two repeats of the datagram may be lost.
+inline constexpr Millis cAcceptTimeoutMs = 200;
+/// Added to the wait that the order asks for: a forwarder waits for the worker a second longer than that, as the sender would, and the
+/// datagrams take time both ways.
+inline constexpr Millis cForwardMarginMs = 1300;
+/// Larger orders are sent directly: questions and answers are datagrams of at most 32 KB.
+inline constexpr size_t cMaxForwardedBytes = 24000;
+/// Time-out of the query for a forwarder's clock; the next heartbeat of the host repeats the query.
+inline constexpr Millis cClockQueryTimeoutMs = 400;
 
-/// What an answer says of an order that somebody else may have sent as well: what was not done this time may have been done the other.
-/// Taken for certain, a start that never left here was given to a second worker while the first had it.
-inline OrderAnswer InDoubt(OrderAnswer inAnswer)
+/// The answer to an order that another host may have sent as well: a refusal of this sending does not exclude that the other one was
+/// carried out. When such refusals counted as certain, a start that had not been sent from here was given to a second worker while the
+/// first one was running it.
+inline OrderAnswer AsUncertain(OrderAnswer inAnswer)
 {
-	const bool tells =
+	const bool is_certain =
 		inAnswer.result == EOrderResult::Done || inAnswer.result == EOrderResult::StaleRun || inAnswer.result == EOrderResult::OtherLife;
-	inAnswer.result = tells ? inAnswer.result : EOrderResult::Unknown;
+	inAnswer.result = is_certain ? inAnswer.result : EOrderResult::Unknown;
 	return inAnswer;
 }
 
@@ -33,7 +35,7 @@
 	{
 		PeerQuestion question;
 		question.kind = EQuestion::Reach;
-		this->peers.Ask(host, std::move(question), cAskClockMs,
+		this->peers.Ask(host, std::move(question), cClockQueryTimeoutMs,
 						this->Guard(
 							[this, host](const std::optional<PeerAnswer> &inAnswer)
 							{
@@ -61,7 +63,7 @@
 	question.kind = EQuestion::Forward;
 	question.life = inBy.life;
 	question.record = EncodeValue(order);
-	if (question.record.size() > cMostForwardedBytes)
+	if (question.record.size() > cMaxForwardedBytes)
 		return this->agent.Send(inOrder, std::move(inDone));
 	const auto on_answer = [this, inOrder, by = inBy.address, done = std::move(inDone)](const std::optional<PeerAnswer> &inAnswer)
 	{
@@ -73,21 +75,21 @@
 		const std::optional<OrderAnswer> answer = inAnswer.has_value() ? DecodeValue<OrderAnswer>(inAnswer->record) : std::nullopt;
 		if (answer.has_value())
 			return done(*answer);
-		// Not if this host may not act any more
+		// No direct attempt once this host may no longer act
 		if (now >= inOrder.not_after)
 			return done(OrderAnswer{});
-		// It may have been sent all the same; sent once more it is the same order
-		const bool in_doubt = !inAnswer.has_value() || !inAnswer->not_entered;
-		this->agent.Send(inOrder, [in_doubt, done](const OrderAnswer &inOwn) { done(in_doubt ? InDoubt(inOwn) : inOwn); });
+		// The forwarder may have sent it all the same; a second sending is the same order
+		const bool uncertain = !inAnswer.has_value() || !inAnswer->not_entered;
+		this->agent.Send(inOrder, [uncertain, done](const OrderAnswer &inOwn) { done(uncertain ? AsUncertain(inOwn) : inOwn); });
 	};
-	this->peers.Ask(inBy.address, std::move(question), order.wait_ms + cForwardedMs, this->Guard(on_answer), cTakenUpMs);
+	this->peers.Ask(inBy.address, std::move(question), order.wait_ms + cForwardMarginMs, this->Guard(on_answer), cAcceptTimeoutMs);
 }
 
 template <class Agent>
 void OrderSender<Agent>::SendFor(const PeerQuestion &inQuestion, uint64 inOwnLife, std::function<void(PeerAnswer)> inReply)
 {
 	const std::optional<Order> order = DecodeValue<Order>(inQuestion.record);
-	// Meant for an earlier process at this address, damaged, or too late
+	// Refused: meant for an earlier process at this address, damaged, or expired
 	if (!order.has_value() || inQuestion.life != inOwnLife || NowMillis() >= order->not_after)
 	{
 		PeerAnswer refusal;
@@ -99,7 +101,7 @@
 					 {
 						 PeerAnswer answer;
 						 answer.record = EncodeValue(inAnswer);
-						 if (answer.record.size() > cMostForwardedBytes)
+						 if (answer.record.size() > cMaxForwardedBytes)
 							 answer.record.clear();
 						 reply(answer);
 					 });
--- a/Loomreach/Job/JobRecord.cpp
+++ b/Loomreach/Job/JobRecord.cpp
@@ -1,4 +1,4 @@
-// Fresh records, and what a submission must satisfy.
+// Creates the record of an accepted job and checks submissions.
 
 #include <Loomreach/Loomreach.h>
 
@@ -8,11 +8,11 @@
 namespace Loomreach::Jobs
 {
 
-/// Bounds against damage, not policy: far above what the users' pages show (32 tasks a step, 5 steps, 8 times).
-static constexpr uint32 cMostTasksOfStep = 10'000;
-static constexpr size_t cMostSteps = 256;
-static constexpr uint32 cMostRounds = 10'000;
-static constexpr uint64 cMostTasks = 100'000;
+/// Bounds against damaged submissions, not policy: far above what users submit (32 tasks per step, 5 steps, 8 rounds).
+static constexpr uint32 cMaxTasksPerStep = 10'000;
+static constexpr size_t cMaxSteps = 256;
+static constexpr uint32 cMaxRounds = 10'000;
+static constexpr uint64 cMaxTasks = 100'000;
 
 JobRecord NewRecord(const JobSpec &inSpec)
 {
@@ -30,13 +30,13 @@
 static bool CheckStep(const StepSpec &inStep, size_t inNumber)
 {
 	const std::string name = "step " + std::to_string(inNumber);
-	if (inStep.count == 0 || inStep.count > cMostTasksOfStep)
-		return FailFalse(EError::BadRequest, name + ": count must be from 1 to " + std::to_string(cMostTasksOfStep));
+	if (inStep.count == 0 || inStep.count > cMaxTasksPerStep)
+		return FailFalse(EError::BadRequest, name + ": count must be from 1 to " + std::to_string(cMaxTasksPerStep));
 	if (inStep.need.cpu_milli < 0 || inStep.need.memory_mb < 0 || inStep.need.accelerators < 0)
 		return FailFalse(EError::BadRequest, name + ": resources must not be negative");
 	for (uint32 before : inStep.after)
 		if (before >= inNumber)
-			return FailFalse(EError::BadRequest, name + ": may only come after earlier steps");
+			return FailFalse(EError::BadRequest, name + ": may only depend on earlier steps");
 	return true;
 }
 
@@ -44,9 +44,9 @@
 {
 	if (inSpec.id.empty())
 		return FailFalse(EError::BadRequest, "the job has no id");
-	if (inSpec.steps.empty() || inSpec.steps.size() > cMostSteps)
-		return FailFalse(EError::BadRequest, "a job has from 1 to " + std::to_string(cMostSteps) + " steps");
-	if (inSpec.Rounds() > cMostRounds || inSpec.interval_ms < 0)
+	if (inSpec.steps.empty() || inSpec.steps.size() > cMaxSteps)
+		return FailFalse(EError::BadRequest, "a job has from 1 to " + std::to_string(cMaxSteps) + " steps");
+	if (inSpec.Rounds() > cMaxRounds || inSpec.interval_ms < 0)
 		return FailFalse(EError::BadRequest, "times or interval out of range");
 	uint64 tasks = 0;
 	for (size_t i = 0; i < inSpec.steps.size(); ++i)
@@ -55,8 +55,8 @@
 			return false;
 		tasks += static_cast<uint64>(inSpec.steps[i].count) * inSpec.Rounds();
 	}
-	if (tasks > cMostTasks)
-		return FailFalse(EError::BadRequest, "too many tasks in all");
+	if (tasks > cMaxTasks)
+		return FailFalse(EError::BadRequest, "the job has too many tasks over all steps and rounds");
 	return true;
 }
 
--- a/Loomreach/Job/JobRecord.h
+++ b/Loomreach/Job/JobRecord.h
@@ -1,4 +1,4 @@
-// The state of one job, as its cell's log keeps it: the newest record of a job is its state.
+// The state of one job as the log of its cell stores it: the newest record of a job is its state.
 
 #pragma once
 
@@ -9,7 +9,7 @@
 namespace Loomreach::Jobs
 {
 
-/// Where a job stands.
+/// Phase of a job.
 enum class EJobPhase : uint8
 {
 	Queued,
@@ -19,21 +19,21 @@
 	Canceled
 };
 
-/// The words for it in answers and logs.
+/// Names of the phases in answers and logs.
 inline constexpr std::array cJobPhaseNames = {
 	EnumName<EJobPhase>{EJobPhase::Queued, "queued"},       EnumName<EJobPhase>{EJobPhase::Running, "running"},
 	EnumName<EJobPhase>{EJobPhase::Completed, "completed"}, EnumName<EJobPhase>{EJobPhase::Failed, "failed"},
 	EnumName<EJobPhase>{EJobPhase::Canceled, "canceled"},
 };
 
-/// Whether nothing more happens to a job in this phase.
+/// Whether the phase is final.
 constexpr bool IsFinal(EJobPhase inPhase) { return inPhase >= EJobPhase::Completed; }
 
-/// A run of a task that may exist on a worker. Written to the log before the worker is told.
+/// A run of a task that may exist on a worker. It is written to the log before it is dispatched.
 struct RunRecord
 {
-	uint32 run = 0;     ///< Counts a task's starts from 1 and always rises.
-	std::string worker; ///< The life of the worker that was told.
+	uint32 run = 0;     ///< Run number of the task, from 1, always increasing.
+	std::string worker; ///< Incarnation of the worker to which the run was dispatched.
 
 	template <class Archive>
 	void serialize(Archive &ioArchive)
@@ -47,10 +47,10 @@
 {
 	bool done = false;
 	uint32 last_run = 0;         ///< Highest run number ever written.
-	uint32 failures = 0;         ///< Runs that ended as failed; counted once each.
-	uint32 failed_run = 0;       ///< Gang only: the highest run whose failure has been counted.
-	std::string checkpoint;      ///< The newest that was reported.
-	std::vector<RunRecord> runs; ///< Runs that may exist. Invariant: at most one, unless the step may be copied.
+	uint32 failures = 0;         ///< Runs that ended as failed, each counted once.
+	uint32 failed_run = 0;       ///< Gang only: highest run whose failure has been counted.
+	std::string checkpoint;      ///< Newest reported checkpoint.
+	std::vector<RunRecord> runs; ///< Runs that may exist. Invariant: at most one, unless the step allows copies.
 
 	template <class Archive>
 	void serialize(Archive &ioArchive)
@@ -71,13 +71,13 @@
 	}
 };
 
-/// The mutable state of one job.
+/// The state of one job.
 struct JobRecord
 {
 	EJobPhase phase = EJobPhase::Queued;
 	bool begun = false;            ///< Whether any task has ever been started.
-	int64 ended_wall_ms = 0;       ///< Time of day at which the phase became final.
-	std::vector<StepRecord> steps; ///< Round by round: round x number of steps + step.
+	int64 ended_wall_ms = 0;       ///< Wall-clock time at which the phase became final, ms since 1970.
+	std::vector<StepRecord> steps; ///< One per round and step, at index: round x number of steps + step.
 
 	template <class Archive>
 	void serialize(Archive &ioArchive)
@@ -86,7 +86,7 @@
 	}
 };
 
-/// Which task: job, round, step, index.
+/// Identifies a task.
 struct TaskId
 {
 	std::string job;
@@ -103,10 +103,10 @@
 	}
 };
 
-/// An empty record for an accepted job.
+/// Creates the initial record of an accepted job.
 JobRecord NewRecord(const JobSpec &inSpec);
 
-/// Checks a submission: counts, order of steps, sizes. Leaves bad-request.
+/// Checks a submission: counts, dependencies between steps, sizes. On failure returns false and sets the error to bad-request.
 bool CheckSpec(const JobSpec &inSpec);
 
 } // namespace Loomreach::Jobs
--- a/Loomreach/Job/JobSpec.h
+++ b/Loomreach/Job/JobSpec.h
@@ -1,4 +1,4 @@
-// What a caller submits: a job of steps, each a number of like tasks. Immutable once accepted.
+// A job as a caller submits it: steps, each with a number of identical tasks. Immutable once accepted.
 
 #pragma once
 
@@ -7,7 +7,7 @@
 namespace Loomreach::Jobs
 {
 
-/// What a task asks for, and what a worker has.
+/// Resources that a task requests or a worker has.
 struct Resources
 {
 	int64 cpu_milli = 0; ///< Thousandths of a core.
@@ -15,7 +15,7 @@
 	int64 accelerators = 0;
 
 	bool operator==(const Resources &) const = default;
-	/// Whether this much fits into what is free.
+	/// Whether these resources fit into `inFree`.
 	bool FitsInto(const Resources &inFree) const
 	{
 		return this->cpu_milli <= inFree.cpu_milli && this->memory_mb <= inFree.memory_mb && this->accelerators <= inFree.accelerators;
@@ -42,25 +42,26 @@
 /// One step of a job.
 struct StepSpec
 {
-	uint32 count = 0;           ///< Tasks; at least 1.
-	Resources need;             ///< Of each task.
-	Millis estimate_ms = 0;     ///< The caller's guess of a task's run time; often far off.
-	std::vector<uint32> after;  ///< Earlier steps whose tasks must all be done first.
-	bool checkpoints = false;   ///< Tasks save their progress.
-	bool gang = false;          ///< Tasks run only together.
-	bool one_rack = false;      ///< Tasks are slower when on more than one rack.
-	bool may_copy = false;      ///< Copies of a task may run side by side.
-	bool lasting = false;       ///< Tasks run until the job is cancelled.
-	bool fills = false;         ///< Tasks use processor time that others leave; only their memory counts.
-	std::string needs_label;    ///< A label that the worker must have; empty: any.
-	std::string data_rack;      ///< Tasks are slower on other racks; empty: none.
-	std::string image;          ///< Tasks of one image behave alike.
-	uint32 max_per_worker = 0;  ///< Tasks of the step on one worker; 0: no limit.
-	uint32 may_miss = 0;        ///< Lasting tasks that may be away at once through our own doing.
+	uint32 count = 0;          ///< Number of tasks; at least 1.
+	Resources need;            ///< Requested resources of each task.
+	Millis estimate_ms = 0;    ///< The caller's estimate of a task's run time; often far off.
+	std::vector<uint32> after; ///< Earlier steps whose tasks must all be done before this step starts.
+	bool checkpoints = false;  ///< Tasks report checkpoints of their progress.
+	bool gang = false;         ///< Tasks run only all together.
+	bool one_rack = false;     ///< Tasks are slower when spread over more than one rack.
+	bool may_copy = false;     ///< Copies of a task may run at the same time.
+	bool lasting = false;      ///< Long-running: tasks run until the job is cancelled.
+	/// Best-effort: tasks use processor time that others leave idle; only their memory and accelerators are reserved.
+	bool fills = false;
+	std::string needs_label;    ///< Label that the worker must have; empty: any worker.
+	std::string data_rack;      ///< Rack of the data; tasks are slower on other racks. Empty: none.
+	std::string image;          ///< Tasks of the same image behave alike.
+	uint32 max_per_worker = 0;  ///< Maximum number of tasks of the step on one worker; 0: no limit.
+	uint32 may_miss = 0;        ///< Maximum number of long-running tasks that the system itself may make unavailable at the same time.
 	bool limits_misses = false; ///< Whether `may_miss` was given.
-	Millis target_ms = 0;       ///< The tail of the task's own answers is to stay below; 0: none.
+	Millis target_ms = 0;       ///< Target for the tail latency of the task's own answers; 0: none.
 
-	/// What one of its tasks takes of a worker's room: tasks that fill live on what others leave unused.
+	/// Resources that one task reserves on its worker. Best-effort tasks reserve no processor time: they use what others leave idle.
 	Resources Room() const
 	{
 		Resources room = this->need;
@@ -78,26 +79,26 @@
 	}
 };
 
-/// One job as it was accepted, with what its queue said then.
+/// One job as accepted, with the settings that its queue had at that time.
 struct JobSpec
 {
 	std::string id;      ///< 16 hex digits, chosen by the caller.
 	std::string queue;   ///< Name of the queue.
-	std::string pool;    ///< The pool that runs it. Stays, even if the queue moves to another pool.
-	std::string team;    ///< The team whose job it is; empty: nobody's.
-	std::string payload; ///< Handed to every task unread.
+	std::string pool;    ///< Pool that runs the job. It stays the same when the queue moves to another pool.
+	std::string team;    ///< Team that owns the job; empty: none.
+	std::string payload; ///< Passed to every task uninterpreted.
 	std::vector<StepSpec> steps;
-	uint32 times = 0;        ///< How often the steps run; 0: once, at once.
-	int64 first_wall_ms = 0; ///< Time of day at which time 0 is due, ms since 1970.
-	int64 interval_ms = 0;   ///< Between two times.
-	uint32 max_attempts = 1; ///< Failed runs of a task after which the job has failed.
-	uint32 priority = 0;     ///< 0 goes first.
-	double stretch = 1.0;    ///< Objective: stretch x longest chain + target.
+	uint32 times = 0;        ///< Number of rounds, each running all steps; 0: one round, immediately.
+	int64 first_wall_ms = 0; ///< Wall-clock time at which round 0 is due, ms since 1970.
+	int64 interval_ms = 0;   ///< Between the due times of two rounds.
+	uint32 max_attempts = 1; ///< The job fails after this many failed runs of a task.
+	uint32 priority = 0;     ///< 0 is the highest.
+	double stretch = 1.0;    ///< Objective for the run time of the job: stretch x longest chain of steps + `target_ms`.
 	Millis target_ms = 0;
-	bool advised = false;       ///< Only workers that the adviser names may run it.
-	int64 accepted_wall_ms = 0; ///< Time of day at which the entry host took it.
+	bool advised = false;       ///< Only workers that the adviser names may run the job.
+	int64 accepted_wall_ms = 0; ///< Wall-clock time at which the entry host accepted the job, ms since 1970.
 
-	/// How often the steps run in all.
+	/// Number of rounds.
 	uint32 Rounds() const { return std::max<uint32>(this->times, 1); }
 	template <class Archive>
 	void serialize(Archive &ioArchive)
@@ -108,7 +109,7 @@
 	}
 };
 
-/// Whether a caller of one team is to leave a job alone: it is another's. Who calls through an open queue has no team.
+/// Whether a job belongs to another team than the caller, who then must not access it. Callers through an open queue have no team.
 inline bool IsOtherTeam(std::string_view inJobTeam, std::string_view inCallerTeam)
 {
 	return !inJobTeam.empty() && !inCallerTeam.empty() && inJobTeam != inCallerTeam;
--- a/Loomreach/Ownership/OwnedLog.inl
+++ b/Loomreach/Ownership/OwnedLog.inl
@@ -89,7 +89,7 @@
 		return done(true, this->records);
 	}
 	if (!this->claim_check(this->newest_claim) || ++this->claim_attempts > cMaxClaimAttempts)
-		return this->FailClaim("another process claims the log, or too many attempts failed");
+		return this->FailClaim("another owner holds the log, or too many attempts failed");
 	this->epoch = NextEpoch(this->newest_claim.epoch);
 	AppendCall call;
 	call.log = this->name;
