--- a/Loomreach/Fleet/HostKeeper.cpp
+++ b/Loomreach/Fleet/HostKeeper.cpp
@@ -1,4 +1,4 @@
-// Steps of single hosts from observations.
+// Derives the next step of a single host from observations.
 
 #include <Loomreach/Loomreach.h>
 
@@ -12,7 +12,7 @@
 	return {inHost.spec.name, inStep, inHost.generation, inHost.wave, std::move(inWhy), 0};
 }
 
-bool HostKeeper::IsSilent(const HostObservation &inSeen, Millis inFor) const
+bool HostKeeper::IsUnresponsive(const HostObservation &inSeen, Millis inFor) const
 {
 	const Millis since = inSeen.last_answer.value_or(inSeen.first_polled);
 	return this->now - since >= inFor;
@@ -27,10 +27,10 @@
 {
 	if (inHost.phase == EHostPhase::Out)
 		return std::nullopt;
-	if (this->IsSilent(inSeen, this->bounds.failed_after))
+	if (this->IsUnresponsive(inSeen, this->bounds.failed_after))
 	{
 		if (inHost.health != EHostHealth::Failed)
-			return MakeStep(inHost, EHostStep::Failed, "no answer");
+			return MakeStep(inHost, EHostStep::Failed, "the host does not answer");
 		return std::nullopt;
 	}
 	if (this->IsLeaving(inHost, inSeen))
@@ -39,18 +39,18 @@
 			return std::nullopt;
 		if (inHost.IsAvailable() && this->state.HasRoomInBudget(inHost.pool))
 		{
-			StepHost step = MakeStep(inHost, EHostStep::Drain, "the platform takes it away");
+			StepHost step = MakeStep(inHost, EHostStep::Drain, "the platform is about to remove the host");
 			step.wave = cPlatformDrain;
 			return step;
 		}
-		// The platform takes it whatever the budget says: that is a failure to be recorded, not an act of ours
+		// The platform takes the host regardless of the availability budget, so this is recorded as a failure and not as a planned drain
 		if (inHost.health == EHostHealth::Healthy)
-			return MakeStep(inHost, EHostStep::Failed, "the platform takes it away");
+			return MakeStep(inHost, EHostStep::Failed, "the platform is about to remove the host");
 		return std::nullopt;
 	}
-	const bool answers = inSeen.last_answer.has_value() && !this->IsSilent(inSeen, this->bounds.failed_after / 2);
+	const bool answers = inSeen.last_answer.has_value() && !this->IsUnresponsive(inSeen, this->bounds.failed_after / 2);
 	if (answers && inHost.health != EHostHealth::Healthy)
-		return MakeStep(inHost, EHostStep::Healthy, "answers");
+		return MakeStep(inHost, EHostStep::Healthy, "the host answers");
 	return std::nullopt;
 }
 
@@ -67,30 +67,31 @@
 		if (cancelled)
 			return MakeStep(inHost, EHostStep::Undrain, "wave cancelled");
 		const bool quiet = inSeen.quiet_since != 0 && this->now - inSeen.quiet_since >= this->bounds.quiet_for;
-		// A host that is silent may still be at work behind a cut, so only its own word counts
+		// An unresponsive host may still be running behind a network partition, so only its own answers count
 		if (inHost.replicas.empty() && inAcknowledged && quiet)
-			return MakeStep(inHost, EHostStep::Drained, "nothing in flight");
+			return MakeStep(inHost, EHostStep::Drained, "no replicas and no requests in flight");
 		return std::nullopt;
 	}
 	case EHostPhase::Drained:
 		if (cancelled)
 			return MakeStep(inHost, EHostStep::Undrain, "wave cancelled");
-		// An operator's own drain stays until the operator moves the host or takes the drain back
+		// A drain ordered by an operator stays until the operator moves the host or cancels the drain
 		if (in_wave && !paused)
 		{
 			StepHost step = MakeStep(inHost, EHostStep::Out, "wave");
 			step.boot = inSeen.boot;
 			return step;
 		}
-		if (inHost.wave == cPlatformDrain && !this->IsLeaving(inHost, inSeen) && !this->IsSilent(inSeen, this->bounds.failed_after / 2))
-			return MakeStep(inHost, EHostStep::Undrain, "the platform no longer takes it away");
+		if (inHost.wave == cPlatformDrain && !this->IsLeaving(inHost, inSeen) &&
+			!this->IsUnresponsive(inSeen, this->bounds.failed_after / 2))
+			return MakeStep(inHost, EHostStep::Undrain, "the platform no longer removes the host");
 		return std::nullopt;
 	case EHostPhase::Out:
 	{
-		const bool answers = inSeen.last_answer.has_value() && !this->IsSilent(inSeen, this->bounds.failed_after / 2);
+		const bool answers = inSeen.last_answer.has_value() && !this->IsUnresponsive(inSeen, this->bounds.failed_after / 2);
 		const bool rebooted = answers && inSeen.boot != inHost.out_boot;
 		if (rebooted)
-			return MakeStep(inHost, EHostStep::Returned, "booted anew");
+			return MakeStep(inHost, EHostStep::Returned, "the host has rebooted");
 		return std::nullopt;
 	}
 	case EHostPhase::Active: return std::nullopt;
@@ -104,9 +105,9 @@
 		return step;
 	if (std::optional<StepHost> step = this->DrainStep(inHost, inSeen, inAcknowledged); step.has_value())
 		return step;
-	const bool suspicious = !inHost.quarantined && inHost.failed_jobs.size() >= cQuarantineJobs;
-	if (suspicious && this->state.HasRoomInBudget(inHost.pool))
-		return MakeStep(inHost, EHostStep::Quarantine, std::to_string(inHost.failed_jobs.size()) + " different jobs failed on it");
+	const bool should_quarantine = !inHost.quarantined && inHost.failed_jobs.size() >= cQuarantineJobs;
+	if (should_quarantine && this->state.HasRoomInBudget(inHost.pool))
+		return MakeStep(inHost, EHostStep::Quarantine, std::to_string(inHost.failed_jobs.size()) + " different jobs failed on the host");
 	return std::nullopt;
 }
 
@@ -119,7 +120,7 @@
 		auto placement = this->state.placements.find(task.replica);
 		const bool is_present = placement != this->state.placements.end() && placement->second.host == inHost.spec.name &&
 								placement->second.generation == task.generation;
-		// The end of an older generation's task is no end of the replica
+		// The end of a task of an older generation does not end the replica
 		if (!is_present)
 			continue;
 		const EStopReason reason = task.state == ETaskState::Finished ? EStopReason::Finished : EStopReason::JobFailed;
@@ -154,7 +155,7 @@
 	{
 		auto host = this->state.hosts.find(name);
 		const bool known = host != this->state.hosts.end();
-		// The list lags: only what is recorded as failed, holds nothing and stays off the list is gone for good
+		// The list lags: a host counts as removed only if it is recorded as failed, holds no replicas and stays off the list
 		if (known && host->second.health == EHostHealth::Failed && host->second.replicas.empty() &&
 			this->now - since >= this->bounds.remove_after)
 			proposals.emplace_back(MakeStep(host->second, EHostStep::Remove, "failed and no longer on the host list"));
--- a/Loomreach/Fleet/HostKeeper.h
+++ b/Loomreach/Fleet/HostKeeper.h
@@ -1,5 +1,5 @@
-// Decides the steps of single hosts from what has been seen of them: healthy, failed, drained, out, returned, quarantine,
-// and reports how their tasks ended. Run for each host by one entry host of its availability zone. Pure.
+// Moves single hosts through their life cycle as observed: healthy, failed, drained, out, returned, quarantined; and reports how their
+// tasks ended. One entry host of its availability zone runs this for each host. Pure: does no I/O, time is passed in.
 
 #pragma once
 
@@ -8,18 +8,18 @@
 namespace Loomreach
 {
 
-/// Bounds by which observations are judged, ms.
+/// Time limits by which observations are judged, ms.
 struct KeeperBounds
 {
-	Millis failed_after = 5000;   ///< Silence after which a host counts as failed.
-	Millis quiet_for = 500;       ///< How long a host must say that nothing is in flight.
-	Millis remove_after = 60'000; ///< Silence after which a failed host that the list no longer holds is removed.
+	Millis failed_after = 5000;   ///< A host without an answer for this long counts as failed.
+	Millis quiet_for = 500;       ///< A host must report for this long that nothing is in flight before it counts as drained.
+	Millis remove_after = 60'000; ///< A failed host that has been off the host list for this long is removed.
 };
 
-/// Different jobs that must fail on a host before it is quarantined.
+/// Number of different jobs that must fail on a host before it is quarantined.
 constexpr size_t cQuarantineJobs = 3;
 
-/// What the keeper decides for one host.
+/// Decides the next steps of hosts.
 class HostKeeper
 {
 public:
@@ -28,18 +28,19 @@
 	{
 	}
 
-	/// Proposals for one host. `inAcknowledged`: every member that routes to it has taken note of its drain and has nothing in flight to
-	/// it.
+	/// Proposals for one host. `inAcknowledged`: every member that routes to it has applied its drain and has nothing in flight to it.
 	std::vector<ProposalBody> Decide(const Host &inHost, bool inAcknowledged) const;
-	/// Hosts on the list that are not known yet, and known ones that have failed and been gone from the list for long.
+	/// Proposals that follow the host list: adds new hosts, removes failed ones that have been off the list for `remove_after`.
 	std::vector<ProposalBody> FollowList() const;
 
 private:
+	/// The step to propose now, if any: health first, then drain, then quarantine.
 	std::optional<StepHost> NextStep(const Host &inHost, const HostObservation &inSeen, bool inAcknowledged) const;
 	std::optional<StepHost> HealthStep(const Host &inHost, const HostObservation &inSeen) const;
 	std::optional<StepHost> DrainStep(const Host &inHost, const HostObservation &inSeen, bool inAcknowledged) const;
 	bool IsLeaving(const Host &inHost, const HostObservation &inSeen) const;
-	bool IsSilent(const HostObservation &inSeen, Millis inFor) const;
+	bool IsUnresponsive(const HostObservation &inSeen, Millis inFor) const;
+	/// Proposes to stop the replicas whose tasks have ended.
 	void ReportTasks(const Host &inHost, const HostObservation &inSeen, std::vector<ProposalBody> &outProposals) const;
 
 	const FleetState &state;
--- a/Loomreach/Fleet/JobBackoff.h
+++ b/Loomreach/Fleet/JobBackoff.h
@@ -1,5 +1,5 @@
-// Backs off jobs that fail on many hosts, so that a broken job does not churn through the fleet. Local to the steward: the failures are in
-// the accepted state, the waiting is by its own clock. Pure.
+// Backs off jobs that fail on many hosts, so that a broken job is not restarted all over the fleet. Local to the assigned planner: the
+// failures are part of the accepted state, the wait is measured by the planner's own clock. Pure: does no I/O, time is passed in.
 
 #pragma once
 
@@ -8,14 +8,14 @@
 namespace Loomreach
 {
 
-/// Different hosts on which a job must have failed before it waits.
+/// Number of different hosts on which a job must have failed before it backs off.
 constexpr size_t cBackoffHosts = 3;
 
 /// The back-off of all jobs.
 class JobBackoff
 {
 public:
-	/// Takes note of failures in the state, and returns the jobs that wait now.
+	/// Records the failures in the state, and returns the jobs that back off now.
 	std::set<std::string> Waiting(const FleetState &inState, Millis inNow);
 
 private:
@@ -23,7 +23,7 @@
 	struct Entry
 	{
 		LogPosition last_failure = 0;
-		uint32 failures = 0; ///< Seen since it began to back off; doubles the wait.
+		uint32 failures = 0; ///< Counted since it began to back off; each doubles the wait.
 		Millis until = 0;
 	};
 
--- a/Loomreach/Fleet/PlacementPlanner.cpp
+++ b/Loomreach/Fleet/PlacementPlanner.cpp
@@ -1,4 +1,4 @@
-// The weighted placement policy, and sentences for replicas that are not placed.
+// The weighted placement policy, and explanations for replicas that are not placed.
 
 #include <Loomreach/Loomreach.h>
 
@@ -12,7 +12,8 @@
 									HostScore inScore)
 {
 	inScore.will_leave = IsPendingInWave(inState, inHost.spec.name) ? 1 : 0;
-	// Packing leaves whole hosts idle and so saves buffer; levelling keeps few replicas on each host, so that a lost host moves few
+	// Packing leaves whole hosts idle and so saves buffer; levelling keeps few replicas on each host, so that the loss of a host moves
+	// few
 	const bool packs = inPool.weight_buffer > inPool.weight_moves;
 	inScore.idle_cost = packs ? inFree.cpu_milli : -inFree.cpu_milli;
 	return inScore;
@@ -24,7 +25,7 @@
 	if (found == inState.jobs.end())
 		return "The settings declare no such job.";
 	const JobSpec &job = found->second;
-	const std::string size = std::to_string(job.need.cpu_milli) + " thousandths of a core, " + std::to_string(job.need.memory_mb) +
+	const std::string size = std::to_string(job.need.cpu_milli) + " thousandths of a CPU core, " + std::to_string(job.need.memory_mb) +
 							 " MB and " + std::to_string(job.need.accelerators) + " accelerators";
 	switch (inUnplaced.why)
 	{
@@ -35,9 +36,9 @@
 	case EUnplaced::NoRoom:
 		return "Every host of " + job.pool + " that could hold " + size + " is full with work of priority " + std::to_string(job.priority) +
 			   " or higher.";
-	case EUnplaced::AwaitsHosts:
-		return "It waits a moment for hosts of " + job.pool + " that are coming up, rather than share a host with another replica.";
-	case EUnplaced::BackingOff: return "It failed on many hosts and waits before it is tried again.";
+	case EUnplaced::WaitsForHosts:
+		return "It waits briefly for hosts of " + job.pool + " that are starting, rather than share a host with another replica.";
+	case EUnplaced::BackingOff: return "It failed on several hosts and waits before its next attempt.";
 	}
 	return {};
 }
--- a/Loomreach/Fleet/PlacementPlanner.h
+++ b/Loomreach/Fleet/PlacementPlanner.h
@@ -1,5 +1,5 @@
-// Decides where the replicas of one pool's jobs run and which give way. Pure: accepted state in, proposals out.
-// The fold checks every proposal again, so a plan made on an old state harms nothing.
+// Decides where the replicas of one pool's jobs run and which are preempted. Pure: accepted state in, proposals out. Every proposal is
+// checked again when it is applied, so a plan made on an outdated state does no harm.
 
 #pragma once
 
@@ -8,51 +8,51 @@
 namespace Loomreach
 {
 
-/// Why a replica is not placed.
+/// Reason why a replica is not placed.
 enum class EUnplaced : uint8
 {
-	NoRoom,        ///< Every host that could hold it is full with work of its priority or higher.
+	NoRoom,        ///< Every host that could hold it is full with work of the same or a higher priority.
 	NeverFits,     ///< No host of the pool is large enough, even empty.
 	QuotaTooSmall, ///< The team's quota is smaller than one replica.
-	QuotaFull,     ///< The team's quota is taken by its other replicas.
+	QuotaFull,     ///< The team's quota is used up by its other replicas.
 	NoHosts,       ///< The pool has no available host.
-	AwaitsHosts,   ///< It would share a host with another replica of its job while hosts of the pool are just coming up.
-	BackingOff     ///< It failed on many hosts and waits.
+	WaitsForHosts, ///< It would share a host with another replica of its job, while hosts of the pool are just starting.
+	BackingOff     ///< It failed on several hosts and backs off.
 };
 
-/// One replica that is not placed, and why.
+/// A replica that is not placed, and the reason.
 struct Unplaced
 {
 	ReplicaKey replica;
 	EUnplaced why = EUnplaced::NoRoom;
 };
 
-/// What a planning round wants.
+/// Result of a planning round.
 struct PlacementPlan
 {
 	std::vector<ProposalBody> proposals;
 	std::vector<Unplaced> unplaced;
 	uint32 preempted = 0;
-	uint32 moved = 0; ///< Replicas that leave an unavailable host for another one.
+	uint32 moved = 0; ///< Replicas that move from an unavailable host to another one.
 };
 
-/// The sentence for people, for `job why`.
+/// Explains to operators why a replica is not placed (`job why`).
 std::string ExplainUnplaced(const FleetState &inState, const Unplaced &inUnplaced);
 
-/// Order in which hosts that could hold a replica are tried; a policy for BasicPlacementPlanner.
+/// Rank of a host for a replica: the least is best, fields compare in order. Policies of BasicPlacementPlanner adjust it.
 struct HostScore
 {
-	int64 blamed = 0;     ///< The job failed on it before.
-	int64 host_mates = 0; ///< Replicas of the same job on the host: they would share its slots.
-	int64 will_leave = 0; ///< A running wave has yet to take it out: a replica put there moves again.
-	int64 rack_mates = 0; ///< Replicas of the same job in the rack.
-	int64 zone_mates = 0; ///< Replicas of the same job in the availability zone.
-	int64 idle_cost = 0;  ///< Policy's own: less is better.
+	int64 failed_before = 0; ///< 1 if the job failed on it before.
+	int64 host_siblings = 0; ///< Replicas of the same job on the host: they would share its slots.
+	int64 will_leave = 0;    ///< 1 if a running wave has yet to take the host out: a replica placed there would move again.
+	int64 rack_siblings = 0; ///< Replicas of the same job in the rack.
+	int64 zone_siblings = 0; ///< Replicas of the same job in the availability zone.
+	int64 idle_cost = 0;     ///< Set by the policy: less is better.
 
 	auto operator<=>(const HostScore &) const = default;
 };
 
-/// What varies between placement policies: how a candidate host is scored.
+/// A placement policy adjusts the score of a candidate host.
 template <class P>
 concept PlacementPolicy = requires(const FleetState &inState, const PoolSpec &inPool, const Host &inHost, const Resources &inFree,
 								   HostScore inScore)
@@ -62,14 +62,15 @@
 		} -> std::same_as<HostScore>;
 };
 
-/// The policy in use: spread first, then away from hosts that a wave will take; the pool's weights choose between packing and levelling.
+/// The policy in use: spreads replicas first, then avoids hosts that a wave will take; the weights of the pool choose between packing and
+/// levelling.
 struct WeightedPlacement
 {
 	static HostScore Adjust(const FleetState &inState, const PoolSpec &inPool, const Host &inHost, const Resources &inFree,
 							HostScore inScore);
 };
 
-/// Baseline for measurements: the first host in order of names that has room.
+/// Baseline for measurements: the first host by name with enough free capacity.
 struct FirstFitPlacement
 {
 	static HostScore Adjust(const FleetState &, const PoolSpec &, const Host &, const Resources &, HostScore) { return {}; }
@@ -80,51 +81,56 @@
 class BasicPlacementPlanner
 {
 public:
-	/// Jobs in `inWaiting` back off: their missing replicas are not placed now.
+	/// Missing replicas of the jobs in `inWaiting`, which back off, are not placed now.
 	BasicPlacementPlanner(const FleetState &inState, std::string inPool, const std::set<std::string> *inWaiting = nullptr);
-	/// One round: stops what is not wanted, places what is missing, preempts where that makes room.
+	/// One planning round: stops undeclared replicas, places missing ones, preempts others where that frees enough capacity.
 	PlacementPlan Plan();
 
 private:
-	/// A host with what the plan has taken from it so far.
+	/// A candidate host, with the free capacity that the plan has left on it.
 	struct Candidate
 	{
 		const Host *host = nullptr;
 		Resources free;
-		std::map<std::string, int64> planned; ///< Replicas of each job that the plan puts here.
+		std::map<std::string, int64> planned; ///< Replicas of each job that the plan places here.
 	};
 	/// A replica to be placed.
-	struct Wanted
+	struct MissingReplica
 	{
 		ReplicaKey replica;
 		const JobSpec *job = nullptr;
 		const Placement *old = nullptr;
 	};
-	/// Hosts of one job's replicas, counted by rack and zone.
-	struct Mates
+	/// Replicas of one job, counted by rack and zone.
+	struct Siblings
 	{
 		std::map<std::string, int64> racks;
 		std::map<std::string, int64> zones;
 	};
 
 	void StopUndeclared();
-	std::vector<Wanted> CollectWanted();
-	std::optional<EUnplaced> CheckEver(const JobSpec &inJob) const;
-	bool HasQuota(const Wanted &inWanted) const;
-	bool IsWorthWaiting(const Wanted &inWanted, const Candidate &inCandidate) const;
-	int64 MatesOn(const Candidate &inCandidate, const std::string &inJob) const;
-	Candidate *BestHost(const Wanted &inWanted);
-	Candidate *MakeRoom(const Wanted &inWanted);
-	std::vector<ReplicaKey> Victims(const Candidate &inCandidate, const Wanted &inWanted) const;
-	void Place(const Wanted &inWanted, Candidate &ioCandidate);
-	void TryPlace(const Wanted &inWanted);
+	std::vector<MissingReplica> CollectMissing();
+	/// Why the job can never be placed, if so.
+	std::optional<EUnplaced> CheckFeasible(const JobSpec &inJob) const;
+	bool HasQuota(const MissingReplica &inReplica) const;
+	/// Whether the replica should wait for a starting host rather than share this one with another replica of its job.
+	bool ShouldWaitForHosts(const MissingReplica &inReplica, const Candidate &inCandidate) const;
+	/// Replicas of the job on the host, planned ones included.
+	int64 SiblingsOn(const Candidate &inCandidate, const std::string &inJob) const;
+	Candidate *BestHost(const MissingReplica &inReplica);
+	/// Preempts the fewest replicas of lower priority that let this one fit; nullptr if none do.
+	Candidate *PreemptFor(const MissingReplica &inReplica);
+	/// Replicas of lower priority to preempt on the host so that this one fits; empty if it cannot.
+	std::vector<ReplicaKey> Victims(const Candidate &inCandidate, const MissingReplica &inReplica) const;
+	void Place(const MissingReplica &inReplica, Candidate &ioCandidate);
+	void TryPlace(const MissingReplica &inReplica);
 
 	const FleetState &state;
 	std::string pool;
 	const std::set<std::string> *backing_off = nullptr;
 	const PoolSpec *pool_spec = nullptr;
 	std::vector<Candidate> candidates;
-	std::map<std::string, Mates> mates;
+	std::map<std::string, Siblings> siblings;
 	std::map<std::string, int64> team_used;
 	std::set<ReplicaKey> stopped;
 	PlacementPlan plan;
--- a/Loomreach/Fleet/PlacementPlanner.inl
+++ b/Loomreach/Fleet/PlacementPlanner.inl
@@ -1,4 +1,4 @@
-// Bodies of the placement planner's templates.
+// Template definitions of the placement planner.
 
 #pragma once
 
@@ -21,14 +21,14 @@
 			continue;
 		if (host.IsAvailable())
 			this->candidates.push_back({&host, host.Free(), {}});
-		// Replicas on hosts that are leaving are no mates: they are about to go
+		// Replicas on hosts that are leaving do not count as siblings: they are about to move
 		for (const ReplicaKey &replica : host.replicas)
 		{
 			if (!host.IsAvailable())
 				continue;
-			Mates &job_mates = this->mates[replica.job];
-			++job_mates.racks[host.spec.rack];
-			++job_mates.zones[host.spec.availability_zone];
+			Siblings &job_siblings = this->siblings[replica.job];
+			++job_siblings.racks[host.spec.rack];
+			++job_siblings.zones[host.spec.availability_zone];
 		}
 	}
 }
@@ -38,11 +38,11 @@
 {
 	if (this->pool_spec == nullptr)
 		return {};
-	// Stop what the settings no longer ask for: its room is free within the same batch
+	// Stop what the settings no longer declare: its capacity is free within the same batch
 	this->StopUndeclared();
-	// Place what is missing, the highest priority first
-	for (const Wanted &wanted : this->CollectWanted())
-		this->TryPlace(wanted);
+	// Place missing replicas, the highest priority first
+	for (const MissingReplica &missing : this->CollectMissing())
+		this->TryPlace(missing);
 	return std::move(this->plan);
 }
 
@@ -71,9 +71,9 @@
 }
 
 template <PlacementPolicy P>
-std::vector<typename BasicPlacementPlanner<P>::Wanted> BasicPlacementPlanner<P>::CollectWanted()
+std::vector<typename BasicPlacementPlanner<P>::MissingReplica> BasicPlacementPlanner<P>::CollectMissing()
 {
-	std::vector<Wanted> wanted;
+	std::vector<MissingReplica> missing;
 	for (const auto &[path, job] : this->state.jobs)
 	{
 		if (job.pool != this->pool)
@@ -88,16 +88,16 @@
 			const Placement *old = placement == this->state.placements.end() ? nullptr : &placement->second;
 			const bool stays = old != nullptr && this->state.hosts.find(old->host)->second.IsAvailable();
 			if (!stays)
-				wanted.push_back({replica, &job, old});
+				missing.push_back({replica, &job, old});
 		}
 	}
-	std::stable_sort(wanted.begin(), wanted.end(),
-					 [](const Wanted &inA, const Wanted &inB) { return inA.job->priority > inB.job->priority; });
-	return wanted;
+	std::stable_sort(missing.begin(), missing.end(),
+					 [](const MissingReplica &inA, const MissingReplica &inB) { return inA.job->priority > inB.job->priority; });
+	return missing;
 }
 
 template <PlacementPolicy P>
-std::optional<EUnplaced> BasicPlacementPlanner<P>::CheckEver(const JobSpec &inJob) const
+std::optional<EUnplaced> BasicPlacementPlanner<P>::CheckFeasible(const JobSpec &inJob) const
 {
 	auto quota = this->state.team_quota_cpu.find(inJob.team);
 	if (quota != this->state.team_quota_cpu.end() && inJob.need.cpu_milli > quota->second)
@@ -115,48 +115,48 @@
 }
 
 template <PlacementPolicy P>
-bool BasicPlacementPlanner<P>::HasQuota(const Wanted &inWanted) const
+bool BasicPlacementPlanner<P>::HasQuota(const MissingReplica &inReplica) const
 {
-	auto quota = this->state.team_quota_cpu.find(inWanted.job->team);
+	auto quota = this->state.team_quota_cpu.find(inReplica.job->team);
 	if (quota == this->state.team_quota_cpu.end())
 		return true;
-	auto used = this->team_used.find(inWanted.job->team);
+	auto used = this->team_used.find(inReplica.job->team);
 	int64 total = used == this->team_used.end() ? 0 : used->second;
-	if (inWanted.old != nullptr && inWanted.old->team == inWanted.job->team)
-		total -= inWanted.old->need.cpu_milli;
-	return total + inWanted.job->need.cpu_milli <= quota->second;
+	if (inReplica.old != nullptr && inReplica.old->team == inReplica.job->team)
+		total -= inReplica.old->need.cpu_milli;
+	return total + inReplica.job->need.cpu_milli <= quota->second;
 }
 
 template <PlacementPolicy P>
-int64 BasicPlacementPlanner<P>::MatesOn(const Candidate &inCandidate, const std::string &inJob) const
+int64 BasicPlacementPlanner<P>::SiblingsOn(const Candidate &inCandidate, const std::string &inJob) const
 {
-	int64 mates_on_host = 0;
+	int64 siblings_on_host = 0;
 	const std::set<ReplicaKey> &replicas = inCandidate.host->replicas;
 	for (auto replica = replicas.lower_bound({inJob, 0}); replica != replicas.end() && replica->job == inJob; ++replica)
-		++mates_on_host;
+		++siblings_on_host;
 	auto planned = inCandidate.planned.find(inJob);
-	return mates_on_host + (planned == inCandidate.planned.end() ? 0 : planned->second);
+	return siblings_on_host + (planned == inCandidate.planned.end() ? 0 : planned->second);
 }
 
 template <PlacementPolicy P>
-typename BasicPlacementPlanner<P>::Candidate *BasicPlacementPlanner<P>::BestHost(const Wanted &inWanted)
+typename BasicPlacementPlanner<P>::Candidate *BasicPlacementPlanner<P>::BestHost(const MissingReplica &inReplica)
 {
 	Candidate *best = nullptr;
 	HostScore best_score;
-	const Mates &job_mates = this->mates[inWanted.replica.job];
-	auto history = this->state.history.find(inWanted.replica.job);
+	const Siblings &job_siblings = this->siblings[inReplica.replica.job];
+	auto history = this->state.history.find(inReplica.replica.job);
 	for (Candidate &candidate : this->candidates)
 	{
-		if (!inWanted.job->need.FitIn(candidate.free))
+		if (!inReplica.job->need.FitIn(candidate.free))
 			continue;
 		const HostSpec &spec = candidate.host->spec;
 		HostScore score;
-		score.blamed = history != this->state.history.end() && history->second.failed_hosts.count(spec.name) != 0 ? 1 : 0;
-		score.host_mates = this->MatesOn(candidate, inWanted.replica.job);
-		if (auto mates_in_rack = job_mates.racks.find(spec.rack); mates_in_rack != job_mates.racks.end())
-			score.rack_mates = mates_in_rack->second;
-		if (auto mates_in_zone = job_mates.zones.find(spec.availability_zone); mates_in_zone != job_mates.zones.end())
-			score.zone_mates = mates_in_zone->second;
+		score.failed_before = history != this->state.history.end() && history->second.failed_hosts.count(spec.name) != 0 ? 1 : 0;
+		score.host_siblings = this->SiblingsOn(candidate, inReplica.replica.job);
+		if (auto siblings_in_rack = job_siblings.racks.find(spec.rack); siblings_in_rack != job_siblings.racks.end())
+			score.rack_siblings = siblings_in_rack->second;
+		if (auto siblings_in_zone = job_siblings.zones.find(spec.availability_zone); siblings_in_zone != job_siblings.zones.end())
+			score.zone_siblings = siblings_in_zone->second;
 		score = P::Adjust(this->state, *this->pool_spec, *candidate.host, candidate.free, score);
 		if (best != nullptr && !(score < best_score))
 			continue;
@@ -167,14 +167,14 @@
 }
 
 template <PlacementPolicy P>
-std::vector<ReplicaKey> BasicPlacementPlanner<P>::Victims(const Candidate &inCandidate, const Wanted &inWanted) const
+std::vector<ReplicaKey> BasicPlacementPlanner<P>::Victims(const Candidate &inCandidate, const MissingReplica &inReplica) const
 {
-	// Lower priorities on the host, the lowest first, the largest first among equals: few are displaced
+	// Replicas of lower priority on the host: the lowest priority first, among equals the largest, so that few are preempted
 	std::vector<std::pair<ReplicaKey, const Placement *>> lower;
 	for (const ReplicaKey &replica : inCandidate.host->replicas)
 	{
 		const Placement &placement = this->state.placements.find(replica)->second;
-		if (placement.priority < inWanted.job->priority && this->stopped.count(replica) == 0)
+		if (placement.priority < inReplica.job->priority && this->stopped.count(replica) == 0)
 			lower.emplace_back(replica, &placement);
 	}
 	std::sort(lower.begin(), lower.end(),
@@ -186,41 +186,41 @@
 					  return inA.second->need.cpu_milli > inB.second->need.cpu_milli;
 				  return inA.first < inB.first;
 			  });
-	Resources room = inCandidate.free;
+	Resources free_capacity = inCandidate.free;
 	std::vector<ReplicaKey> victims;
 	for (const auto &[replica, placement] : lower)
 	{
-		if (inWanted.job->need.FitIn(room))
+		if (inReplica.job->need.FitIn(free_capacity))
 			break;
-		room += placement->need;
+		free_capacity += placement->need;
 		victims.push_back(replica);
 	}
-	if (!inWanted.job->need.FitIn(room))
+	if (!inReplica.job->need.FitIn(free_capacity))
 		return {};
-	// Drop victims that turned out not to be needed
+	// Do not preempt victims that turned out not to be needed
 	for (size_t i = 0; i < victims.size();)
 	{
-		Resources without = room;
+		Resources without = free_capacity;
 		without -= this->state.placements.find(victims[i])->second.need;
-		if (!inWanted.job->need.FitIn(without))
+		if (!inReplica.job->need.FitIn(without))
 		{
 			++i;
 			continue;
 		}
-		room = without;
+		free_capacity = without;
 		victims.erase(victims.begin() + static_cast<std::ptrdiff_t>(i));
 	}
 	return victims;
 }
 
 template <PlacementPolicy P>
-typename BasicPlacementPlanner<P>::Candidate *BasicPlacementPlanner<P>::MakeRoom(const Wanted &inWanted)
+typename BasicPlacementPlanner<P>::Candidate *BasicPlacementPlanner<P>::PreemptFor(const MissingReplica &inReplica)
 {
 	Candidate *best = nullptr;
 	std::vector<ReplicaKey> best_victims;
 	for (Candidate &candidate : this->candidates)
 	{
-		std::vector<ReplicaKey> victims = this->Victims(candidate, inWanted);
+		std::vector<ReplicaKey> victims = this->Victims(candidate, inReplica);
 		if (victims.empty() || (best != nullptr && victims.size() >= best_victims.size()))
 			continue;
 		best = &candidate;
@@ -229,7 +229,7 @@
 	for (const ReplicaKey &victim : best_victims)
 	{
 		const Placement &placement = this->state.placements.find(victim)->second;
-		LOOM_INVARIANT(placement.priority < inWanted.job->priority, "only a lower priority gives way");
+		LOOM_INVARIANT(placement.priority < inReplica.job->priority, "only replicas of lower priority are preempted");
 		this->plan.proposals.emplace_back(StopReplica{victim, placement.generation, EStopReason::Preempted});
 		this->stopped.insert(victim);
 		this->team_used[placement.team] -= placement.need.cpu_milli;
@@ -240,71 +240,71 @@
 }
 
 template <PlacementPolicy P>
-void BasicPlacementPlanner<P>::Place(const Wanted &inWanted, Candidate &ioCandidate)
+void BasicPlacementPlanner<P>::Place(const MissingReplica &inReplica, Candidate &ioCandidate)
 {
-	const LogPosition base = inWanted.old == nullptr ? 0 : inWanted.old->generation;
-	this->plan.proposals.emplace_back(PlaceReplica{inWanted.replica, ioCandidate.host->spec.name, base});
-	ioCandidate.free -= inWanted.job->need;
-	++ioCandidate.planned[inWanted.replica.job];
-	this->team_used[inWanted.job->team] += inWanted.job->need.cpu_milli;
-	if (inWanted.old != nullptr)
-		this->team_used[inWanted.old->team] -= inWanted.old->need.cpu_milli;
-	Mates &job_mates = this->mates[inWanted.replica.job];
-	++job_mates.racks[ioCandidate.host->spec.rack];
-	++job_mates.zones[ioCandidate.host->spec.availability_zone];
-	if (inWanted.old != nullptr)
+	const LogPosition base = inReplica.old == nullptr ? 0 : inReplica.old->generation;
+	this->plan.proposals.emplace_back(PlaceReplica{inReplica.replica, ioCandidate.host->spec.name, base});
+	ioCandidate.free -= inReplica.job->need;
+	++ioCandidate.planned[inReplica.replica.job];
+	this->team_used[inReplica.job->team] += inReplica.job->need.cpu_milli;
+	if (inReplica.old != nullptr)
+		this->team_used[inReplica.old->team] -= inReplica.old->need.cpu_milli;
+	Siblings &job_siblings = this->siblings[inReplica.replica.job];
+	++job_siblings.racks[ioCandidate.host->spec.rack];
+	++job_siblings.zones[ioCandidate.host->spec.availability_zone];
+	if (inReplica.old != nullptr)
 		++this->plan.moved;
 }
 
 template <PlacementPolicy P>
-bool BasicPlacementPlanner<P>::IsWorthWaiting(const Wanted &inWanted, const Candidate &inCandidate) const
+bool BasicPlacementPlanner<P>::ShouldWaitForHosts(const MissingReplica &inReplica, const Candidate &inCandidate) const
 {
-	// A host is seen healthy or failed within seconds, so the wait is short; the first replica of a job never waits
-	if (this->MatesOn(inCandidate, inWanted.replica.job) == 0)
+	// The health of a starting host is known within seconds, so the wait is short. The first replica of a job never waits
+	if (this->SiblingsOn(inCandidate, inReplica.replica.job) == 0)
 		return false;
 	for (const auto &[name, host] : this->state.hosts)
 	{
-		const bool comes_up =
+		const bool is_starting =
 			host.pool == this->pool && host.phase == EHostPhase::Active && host.health == EHostHealth::Unknown && !host.quarantined;
-		if (comes_up && inWanted.job->need.FitIn(host.Free()))
+		if (is_starting && inReplica.job->need.FitIn(host.Free()))
 			return true;
 	}
 	return false;
 }
 
 template <PlacementPolicy P>
-void BasicPlacementPlanner<P>::TryPlace(const Wanted &inWanted)
+void BasicPlacementPlanner<P>::TryPlace(const MissingReplica &inReplica)
 {
-	if (const std::optional<EUnplaced> never = this->CheckEver(*inWanted.job); never.has_value())
+	if (const std::optional<EUnplaced> infeasible = this->CheckFeasible(*inReplica.job); infeasible.has_value())
 	{
-		this->plan.unplaced.push_back({inWanted.replica, *never});
+		this->plan.unplaced.push_back({inReplica.replica, *infeasible});
 		return;
 	}
-	if (this->backing_off != nullptr && this->backing_off->count(inWanted.replica.job) != 0)
+	if (this->backing_off != nullptr && this->backing_off->count(inReplica.replica.job) != 0)
 	{
-		this->plan.unplaced.push_back({inWanted.replica, EUnplaced::BackingOff});
+		this->plan.unplaced.push_back({inReplica.replica, EUnplaced::BackingOff});
 		return;
 	}
-	if (!this->HasQuota(inWanted))
+	if (!this->HasQuota(inReplica))
 	{
-		this->plan.unplaced.push_back({inWanted.replica, EUnplaced::QuotaFull});
+		this->plan.unplaced.push_back({inReplica.replica, EUnplaced::QuotaFull});
 		return;
 	}
-	Candidate *candidate = this->BestHost(inWanted);
-	const bool has_room = candidate != nullptr;
-	if (!has_room)
-		candidate = this->MakeRoom(inWanted);
-	if (has_room && this->IsWorthWaiting(inWanted, *candidate))
+	Candidate *candidate = this->BestHost(inReplica);
+	const bool has_capacity = candidate != nullptr;
+	if (!has_capacity)
+		candidate = this->PreemptFor(inReplica);
+	if (has_capacity && this->ShouldWaitForHosts(inReplica, *candidate))
 	{
-		this->plan.unplaced.push_back({inWanted.replica, EUnplaced::AwaitsHosts});
+		this->plan.unplaced.push_back({inReplica.replica, EUnplaced::WaitsForHosts});
 		return;
 	}
 	if (candidate != nullptr)
 	{
-		this->Place(inWanted, *candidate);
+		this->Place(inReplica, *candidate);
 		return;
 	}
-	this->plan.unplaced.push_back({inWanted.replica, this->candidates.empty() ? EUnplaced::NoHosts : EUnplaced::NoRoom});
+	this->plan.unplaced.push_back({inReplica.replica, this->candidates.empty() ? EUnplaced::NoHosts : EUnplaced::NoRoom});
 }
 
 } // namespace Loomreach
