--- a/Loomreach/Fleet/PoolBalancer.cpp
+++ b/Loomreach/Fleet/PoolBalancer.cpp
@@ -1,4 +1,4 @@
-// Balances hosts over pools.
+// Computes the sizes of pools, and chooses the hosts that move between them.
 
 #include <Loomreach/Loomreach.h>
 
@@ -8,7 +8,7 @@
 namespace Loomreach::Jobs
 {
 
-/// Sizes are told of at most this often: needs are heard five times a second.
+/// Pool sizes are logged at most this often; demands arrive five times per second.
 static constexpr Millis cLogSizesMs = 500;
 
 void PoolBalancer::SetHosts(const std::vector<HostEntry> &inHosts, const std::set<std::string> &inBusy, Millis inNow)
@@ -37,7 +37,7 @@
 
 void PoolBalancer::OnDemand(const std::string &inPool, const PoolDemand &inDemand, Millis inAskedAt)
 {
-	this->known[inPool] = {inDemand, inAskedAt};
+	this->demands[inPool] = {inDemand, inAskedAt};
 }
 
 bool PoolBalancer::IsSpare(const std::string &inPool) const
@@ -46,47 +46,47 @@
 	return pool != this->pools.end() && pool->second.spare;
 }
 
-std::map<std::string, PoolBalancer::PoolSize> PoolBalancer::Sizes(ECount inCount, Millis inNow) const
+std::map<std::string, PoolBalancer::PoolSize> PoolBalancer::Sizes(EDemandScope inScope, Millis inNow) const
 {
-	std::map<std::string, int64> has;
+	std::map<std::string, int64> current;
 	Resources total;
 	int64 hosts_up = 0;
 	for (const auto &[name, host] : this->hosts)
 	{
 		auto move = this->moves.find(name);
 		const std::string &pool = move == this->moves.end() ? host.pool : move->second.to;
-		const bool comes = move != this->moves.end() || host.state == EHostState::Moving;
-		if ((host.state == EHostState::Up || comes) && !this->busy.contains(name) && !this->IsEvacuated(host))
-			++has[pool];
+		const bool is_arriving = move != this->moves.end() || host.state == EHostState::Moving;
+		if ((host.state == EHostState::Up || is_arriving) && !this->busy.contains(name) && !this->IsEvacuated(host))
+			++current[pool];
 		total.Add(host.capacity);
 		++hosts_up;
 	}
 	std::map<std::string, PoolSize> sizes;
-	for (const auto &[pool, known] : this->known)
+	for (const auto &[pool, latest] : this->demands)
 	{
-		if (inNow - known.asked_at > this->tuning.fresh_ms || this->IsSpare(pool) || !this->pools.contains(pool) || hosts_up == 0)
+		if (inNow - latest.asked_at > this->tuning.fresh_ms || this->IsSpare(pool) || !this->pools.contains(pool) || hosts_up == 0)
 			continue;
-		// Hosts by the scarcer of processor and memory, at the mean size of a host
-		const auto by = [&](int64 inNeed, int64 inTotal)
+		// Number of hosts for the scarcer of processor and memory, at the mean capacity of a host
+		const auto hosts_for = [&](int64 inNeed, int64 inTotal)
 		{
-			const int64 each = std::max<int64>(1, inTotal / hosts_up);
-			return (inNeed * this->tuning.headroom_percent / 100 + each - 1) / each;
+			const int64 mean_capacity = std::max<int64>(1, inTotal / hosts_up);
+			return (inNeed * this->tuning.headroom_percent / 100 + mean_capacity - 1) / mean_capacity;
 		};
-		Resources need = known.demand.need;
-		if (inCount == ECount::All)
-			need.Add(known.demand.late);
-		int64 wanted = std::max(by(need.cpu_milli, total.cpu_milli), by(need.memory_mb, total.memory_mb));
-		wanted = std::max<int64>(wanted, known.demand.least_hosts) + this->tuning.margin;
-		sizes[pool] = {has[pool], wanted};
+		Resources need = latest.demand.need;
+		if (inScope == EDemandScope::All)
+			need.Add(latest.demand.late);
+		int64 wanted = std::max(hosts_for(need.cpu_milli, total.cpu_milli), hosts_for(need.memory_mb, total.memory_mb));
+		wanted = std::max<int64>(wanted, latest.demand.least_hosts) + this->tuning.margin;
+		sizes[pool] = {current[pool], wanted};
 	}
 	return sizes;
 }
 
-std::map<std::string, int64> PoolBalancer::Deficits(ECount inCount, Millis inNow) const
+std::map<std::string, int64> PoolBalancer::Deficits(EDemandScope inScope, Millis inNow) const
 {
 	std::map<std::string, int64> deficits;
-	for (const auto &[pool, size] : this->Sizes(inCount, inNow))
-		deficits[pool] = size.wanted - size.has;
+	for (const auto &[pool, size] : this->Sizes(inScope, inNow))
+		deficits[pool] = size.wanted - size.current;
 	return deficits;
 }
 
@@ -95,28 +95,28 @@
 	if (inNow - this->logged_at < cLogSizesMs)
 		return;
 	this->logged_at = inNow;
-	const std::map<std::string, PoolSize> late = this->Sizes(ECount::All, inNow);
-	for (const auto &[pool, size] : this->Sizes(ECount::InTime, inNow))
+	const std::map<std::string, PoolSize> late = this->Sizes(EDemandScope::All, inNow);
+	for (const auto &[pool, size] : this->Sizes(EDemandScope::InTime, inNow))
 	{
 		if (this->logged[pool] == size)
 			continue;
 		this->logged[pool] = size;
 		LogEvent(ELogLevel::Info, "pool_sized")
 			.Field("pool", pool)
-			.Field("hosts", size.has)
+			.Field("hosts", size.current)
 			.Field("wanted", size.wanted)
 			.Field("wanted_with_late", late.at(pool).wanted)
-			.Field("least", this->known.at(pool).demand.least_hosts)
-			.Field("asked_ms_ago", inNow - this->known.at(pool).asked_at);
+			.Field("least", this->demands.at(pool).demand.least_hosts)
+			.Field("asked_ms_ago", inNow - this->demands.at(pool).asked_at);
 	}
 }
 
 std::vector<std::pair<std::string, uint32>> PoolBalancer::ToAsk(Millis inNow) const
 {
 	std::vector<std::pair<std::string, uint32>> ask;
-	// What can only be late gives way where others can be in time
-	const bool lacking = !this->Tight(inNow).empty();
-	const std::map<std::string, int64> deficits = this->Deficits(lacking ? ECount::InTime : ECount::All, inNow);
+	// Jobs that can only be late yield hosts while another pool lacks hosts for jobs that can be in time
+	const bool has_deficit = !this->Tight(inNow).empty();
+	const std::map<std::string, int64> deficits = this->Deficits(has_deficit ? EDemandScope::InTime : EDemandScope::All, inNow);
 	for (const auto &[name, pool] : this->pools)
 	{
 		if (pool.spare)
@@ -131,7 +131,7 @@
 std::set<std::string> PoolBalancer::Tight(Millis inNow) const
 {
 	std::set<std::string> tight;
-	for (const auto &[pool, deficit] : this->Deficits(ECount::InTime, inNow))
+	for (const auto &[pool, deficit] : this->Deficits(EDemandScope::InTime, inNow))
 		if (deficit > 0)
 			tight.insert(pool);
 	return tight;
@@ -143,52 +143,52 @@
 	{
 		const bool free =
 			this->IsSpare(host.pool) && host.state == EHostState::Up && !this->moves.contains(name) && !this->busy.contains(name);
-		if (free && this->CanGo(host, inPool) && !this->IsEvacuated(host))
+		if (free && this->CanMove(host, inPool) && !this->IsEvacuated(host))
 			return &host;
 	}
 	return nullptr;
 }
 
-const HostEntry *PoolBalancer::PromisedHost(const std::string &inFrom, const std::string &inTo, Millis inNow)
+const HostEntry *PoolBalancer::GrantedHost(const std::string &inFrom, const std::string &inTo, Millis inNow)
 {
-	auto known = this->known.find(inFrom);
-	if (known == this->known.end() || inNow - known->second.asked_at > this->tuning.promise_ms)
+	auto found = this->demands.find(inFrom);
+	if (found == this->demands.end() || inNow - found->second.asked_at > this->tuning.grant_trusted_ms)
 		return nullptr;
-	for (const std::string &worker : known->second.demand.spared)
+	for (const std::string &worker : found->second.demand.spared)
 		for (const auto &[name, host] : this->hosts)
 		{
 			const bool free = host.worker == worker && host.pool == inFrom && host.state == EHostState::Up && !this->moves.contains(name) &&
 							  !this->busy.contains(name);
-			if (free && this->CanGo(host, inTo) && !this->IsEvacuated(host))
+			if (free && this->CanMove(host, inTo) && !this->IsEvacuated(host))
 				return &host;
 		}
 	return nullptr;
 }
 
-Millis PoolBalancer::PromiseEnd(const std::string &inPool) const
+Millis PoolBalancer::DrainGrantEnd(const std::string &inPool) const
 {
-	auto known = this->known.find(inPool);
-	return known == this->known.end() ? 0 : known->second.asked_at + cEmptyForMs - cDutyWayMs;
+	auto found = this->demands.find(inPool);
+	return found == this->demands.end() ? 0 : found->second.asked_at + cEmptyForMs - cDutyWayMs;
 }
 
-void PoolBalancer::Order(const HostEntry &inHost, const std::string &inTo, Millis inNow, Millis inNotAfter,
-						 std::vector<HostDuty> &outDuties)
+void PoolBalancer::OrderMove(const HostEntry &inHost, const std::string &inTo, Millis inNow, Millis inNotAfter,
+							 std::vector<HostDuty> &outOrders)
 {
-	HostDuty duty;
-	duty.kind = EDuty::Move;
-	duty.host = inHost.name;
-	duty.from = inHost.pool;
-	duty.worker = inHost.worker;
-	duty.pool = inTo;
-	duty.not_after = inNotAfter;
+	HostDuty order;
+	order.kind = EDuty::Move;
+	order.host = inHost.name;
+	order.from = inHost.pool;
+	order.worker = inHost.worker;
+	order.pool = inTo;
+	order.not_after = inNotAfter;
 	LogEvent(ELogLevel::Info, "host_moves").Field("host", inHost.name).Field("from", inHost.pool).Field("to", inTo);
 	this->moves[inHost.name] = {inTo, inNow};
-	outDuties.push_back(std::move(duty));
+	outOrders.push_back(std::move(order));
 }
 
-void PoolBalancer::FillDeficits(std::map<std::string, int64> &ioDeficits, Millis inNow, std::vector<HostDuty> &outDuties)
+void PoolBalancer::FillDeficits(std::map<std::string, int64> &ioDeficits, Millis inNow, std::vector<HostDuty> &outOrders)
 {
-	// The pool that lacks most is served first, host by host
+	// One host at a time, to the pool with the largest deficit
 	for (;;)
 	{
 		auto worst = std::max_element(ioDeficits.begin(), ioDeficits.end(),
@@ -201,7 +201,7 @@
 		{
 			if (it->second >= -static_cast<int64>(this->tuning.slack))
 				continue;
-			host = this->PromisedHost(it->first, worst->first, inNow);
+			host = this->GrantedHost(it->first, worst->first, inNow);
 			from = it->first;
 		}
 		if (host == nullptr)
@@ -209,7 +209,7 @@
 			worst->second = 0;
 			continue;
 		}
-		this->Order(*host, worst->first, inNow, from.empty() ? 0 : this->PromiseEnd(from), outDuties);
+		this->OrderMove(*host, worst->first, inNow, from.empty() ? 0 : this->DrainGrantEnd(from), outOrders);
 		--worst->second;
 		if (!from.empty())
 			++ioDeficits[from];
@@ -218,13 +218,13 @@
 
 std::vector<HostDuty> PoolBalancer::TakeMoves(Millis inNow)
 {
-	std::vector<HostDuty> duties;
+	std::vector<HostDuty> orders;
 	this->LogSizes(inNow);
-	std::map<std::string, int64> in_time = this->Deficits(ECount::InTime, inNow);
-	this->FillDeficits(in_time, inNow, duties);
-	std::map<std::string, int64> all = this->Deficits(ECount::All, inNow);
-	this->FillDeficits(all, inNow, duties);
-	// What nobody needs costs nothing in a spare pool
+	std::map<std::string, int64> in_time = this->Deficits(EDemandScope::InTime, inNow);
+	this->FillDeficits(in_time, inNow, orders);
+	std::map<std::string, int64> all = this->Deficits(EDemandScope::All, inNow);
+	this->FillDeficits(all, inNow, orders);
+	// Hosts that no pool needs cost nothing in a spare pool
 	for (const auto &[name, pool] : this->pools)
 	{
 		if (!pool.spare)
@@ -232,14 +232,14 @@
 		for (auto &[from, deficit] : all)
 			while (deficit < -static_cast<int64>(this->tuning.slack))
 			{
-				const HostEntry *host = this->PromisedHost(from, name, inNow);
+				const HostEntry *host = this->GrantedHost(from, name, inNow);
 				if (host == nullptr)
 					break;
-				this->Order(*host, name, inNow, this->PromiseEnd(from), duties);
+				this->OrderMove(*host, name, inNow, this->DrainGrantEnd(from), orders);
 				++deficit;
 			}
 	}
-	return duties;
+	return orders;
 }
 
 std::vector<HostEntry> PoolBalancer::InDoubt() const
@@ -255,24 +255,24 @@
 	return in_doubt;
 }
 
-void PoolBalancer::OnMove(const HostDuty &inDuty, EDutyResult inResult, Millis inNow)
+void PoolBalancer::OnMove(const HostDuty &inOrder, EDutyResult inResult, Millis inNow)
 {
 	LogEvent(ELogLevel::Info, "host_moved")
-		.Field("host", inDuty.host)
-		.Field("to", inDuty.pool)
-		.Field("token", inDuty.token)
+		.Field("host", inOrder.host)
+		.Field("to", inOrder.pool)
+		.Field("token", inOrder.token)
 		.Field("result", NameOf(cDutyResultNames, inResult));
-	auto host = this->hosts.find(inDuty.host);
+	auto host = this->hosts.find(inOrder.host);
 	if (inResult == EDutyResult::Impossible && host != this->hosts.end())
-		this->impossible.insert({host->second.kind, inDuty.pool});
+		this->incompatible.insert({host->second.kind, inOrder.pool});
 	const bool under_way = inResult == EDutyResult::Done || inResult == EDutyResult::Unknown;
 	if (!under_way)
 	{
-		this->moves.erase(inDuty.host);
+		this->moves.erase(inOrder.host);
 		return;
 	}
-	Move &move = this->moves[inDuty.host];
-	move.to = inDuty.pool;
+	Move &move = this->moves[inOrder.host];
+	move.to = inOrder.pool;
 	move.since = inNow;
 	move.done = inResult == EDutyResult::Done;
 }
--- a/Loomreach/Fleet/PoolBalancer.h
+++ b/Loomreach/Fleet/PoolBalancer.h
@@ -1,7 +1,8 @@
-// How many hosts each pool should have, and which host moves where. Pure; the fleet cell's owner drives it.
+// Decides how many hosts each pool should have, and which host moves to which pool. Pure: does no I/O, time is passed in; the owner of
+// the fleet cell drives it.
 //
-// A host moves only when the owner of its pool has promised that it is empty, or when its pool is spare. Hosts that no pool needs go
-// to the spare pool: a host in a pool costs by the second, a move about as much as a second.
+// A host moves only while the owner of its pool has granted that it stays drained, or when its pool is spare. Hosts that no pool needs go
+// to the spare pool: a host in any other pool costs by the second, and a move costs about as much as one second.
 
 #pragma once
 
@@ -12,99 +13,104 @@
 namespace Loomreach::Jobs
 {
 
-/// Figures of the balancer.
+/// Parameters of the balancer.
 struct BalanceTuning
 {
-	int64 headroom_percent = 115; ///< A pool gets this share of its need: growth within a move's time.
-	uint32 margin = 1;            ///< And this many hosts more: the loss of one.
-	uint32 slack = 1;             ///< A pool gives up hosts only beyond this many too many.
-	Millis fresh_ms = 1500;       ///< A demand older than this counts for nothing.
-	Millis promise_ms = 1000;     ///< A spared worker is trusted to stay empty this long after its owner was asked.
-	Millis moving_ms = 4000;      ///< A host that was told to move counts as arrived in the other pool this long, until the list shows it.
+	int64 headroom_percent = 115;   ///< A pool gets this percentage of its demand, to allow for growth during the time that a move takes.
+	uint32 margin = 1;              ///< Hosts added to that, for the loss of a host.
+	uint32 slack = 1;               ///< Surplus of hosts that a pool keeps before it gives any up.
+	Millis fresh_ms = 1500;         ///< A demand older than this is ignored.
+	Millis grant_trusted_ms = 1000; ///< A drain grant is relied on for this long after the owner of the pool was asked.
+	/// A host that was ordered to move counts for the other pool for this long, until the list shows it there.
+	Millis moving_ms = 4000;
 };
 
-/// See the head of the file.
+/// Balances hosts over pools; see the head of the file.
 class PoolBalancer
 {
 public:
 	explicit PoolBalancer(const BalanceTuning &inTuning) : tuning(inTuning) {}
 
 	void SetPools(const Catalogue &inCatalogue) { this->pools = inCatalogue.pools; }
-	/// Availability zones whose hosts take no work: they neither count for a pool nor move.
+	/// Sets the evacuated availability zones: their hosts take no work, so they neither count for a pool nor move.
 	void SetEvacuated(const std::set<std::string> &inZones) { this->evacuated = inZones; }
-	/// The host list; `inBusy`: hosts that a wave is about to take down.
+	/// Sets the host list. `inBusy`: hosts that a wave is about to take down.
 	void SetHosts(const std::vector<HostEntry> &inHosts, const std::set<std::string> &inBusy, Millis inNow);
-	/// Hosts that a wave is about to take down, also between two lists.
+	/// Sets the hosts that a wave is about to take down, also between two updates of the list.
 	void SetBusy(std::set<std::string> inBusy) { this->busy = std::move(inBusy); }
-	/// Hosts that were ordered to move, until the list shows them there.
+	/// Hosts that were ordered to move and that the list does not show in their new pool yet.
 	std::set<std::string> Moving() const;
-	/// The owner of a pool, asked at `inAskedAt`, answered.
+	/// Call when the owner of a pool has answered a question that was asked at `inAskedAt`.
 	void OnDemand(const std::string &inPool, const PoolDemand &inDemand, Millis inAskedAt);
-	/// Pools to ask, and how many workers each should spare.
+	/// Pools to ask, and how many workers each should drain and grant.
 	std::vector<std::pair<std::string, uint32>> ToAsk(Millis inNow) const;
-	/// Pools that have no host to miss.
+	/// Pools that cannot spare a host.
 	std::set<std::string> Tight(Millis inNow) const;
-	/// Moves to order now.
+	/// Orders of moves to send now.
 	std::vector<HostDuty> TakeMoves(Millis inNow);
-	void OnMove(const HostDuty &inDuty, EDutyResult inResult, Millis inNow);
-	/// Hosts that were ordered to move and may still do so: their workers are to stay empty.
+	/// Call with the outcome of an ordered move.
+	void OnMove(const HostDuty &inOrder, EDutyResult inResult, Millis inNow);
+	/// Hosts whose ordered move has an unknown outcome and may still happen: their workers are to stay drained.
 	std::vector<HostEntry> InDoubt() const;
 
 private:
-	/// What is known of a pool's need.
-	struct Known
+	/// The latest demand of a pool.
+	struct KnownDemand
 	{
 		PoolDemand demand;
 		Millis asked_at = 0;
 	};
-	/// A host under way.
+	/// A host that was ordered to move.
 	struct Move
 	{
 		std::string to;
 		Millis since = 0;
-		bool done = false; ///< The platform said so.
+		bool done = false; ///< The platform has confirmed the move.
 	};
-	/// Whose need counts.
-	enum class ECount : uint8
+	/// Which jobs count towards the demand.
+	enum class EDemandScope : uint8
 	{
 		InTime, ///< Jobs that can be in time.
-		All     ///< Late ones as well.
+		All     ///< Late jobs as well.
 	};
-	/// Hosts of a pool that can take its work, and how many it should have.
+	/// Number of hosts of a pool that can take its work, and of hosts that it should have.
 	struct PoolSize
 	{
-		int64 has = 0;
+		int64 current = 0;
 		int64 wanted = 0;
 
 		bool operator==(const PoolSize &) const = default;
 	};
-	/// Of pools whose need is known.
-	std::map<std::string, PoolSize> Sizes(ECount inCount, Millis inNow) const;
-	/// Hosts too few (above 0) or too many (below 0) by pool, of pools whose need is known.
-	std::map<std::string, int64> Deficits(ECount inCount, Millis inNow) const;
-	/// Tells of sizes that have changed, for whoever asks later why hosts moved.
+	/// Sizes of the pools whose demand is known.
+	std::map<std::string, PoolSize> Sizes(EDemandScope inScope, Millis inNow) const;
+	/// Hosts that each pool lacks (above 0) or has too many (below 0), for pools whose demand is known.
+	std::map<std::string, int64> Deficits(EDemandScope inScope, Millis inNow) const;
+	/// Logs the sizes that have changed, to explain moves of hosts.
 	void LogSizes(Millis inNow);
-	void FillDeficits(std::map<std::string, int64> &ioDeficits, Millis inNow, std::vector<HostDuty> &outDuties);
-	/// `inNotAfter`: end of the promise that it is empty; 0: needs none.
-	void Order(const HostEntry &inHost, const std::string &inTo, Millis inNow, Millis inNotAfter, std::vector<HostDuty> &outDuties);
-	/// End of what the owner of a pool has promised of its spared workers; 0: nothing.
-	Millis PromiseEnd(const std::string &inPool) const;
+	/// Orders moves to the pools that lack hosts, from spare pools first, then from pools with too many.
+	void FillDeficits(std::map<std::string, int64> &ioDeficits, Millis inNow, std::vector<HostDuty> &outOrders);
+	/// Orders a move. `inNotAfter`: end of the drain grant; 0: none is needed.
+	void OrderMove(const HostEntry &inHost, const std::string &inTo, Millis inNow, Millis inNotAfter, std::vector<HostDuty> &outOrders);
+	/// End of the drain grants that the owner of a pool has given; 0: none.
+	Millis DrainGrantEnd(const std::string &inPool) const;
 	bool IsSpare(const std::string &inPool) const;
-	bool CanGo(const HostEntry &inHost, const std::string &inPool) const { return !this->impossible.contains({inHost.kind, inPool}); }
+	bool CanMove(const HostEntry &inHost, const std::string &inPool) const { return !this->incompatible.contains({inHost.kind, inPool}); }
 	bool IsEvacuated(const HostEntry &inHost) const { return this->evacuated.contains(inHost.availability_zone); }
+	/// A host of a spare pool that can move to the pool; nullptr: none.
 	const HostEntry *SpareHost(const std::string &inPool, Millis inNow) const;
-	const HostEntry *PromisedHost(const std::string &inFrom, const std::string &inTo, Millis inNow);
+	/// A host with a drain grant that can move between the pools; nullptr: none.
+	const HostEntry *GrantedHost(const std::string &inFrom, const std::string &inTo, Millis inNow);
 
 	BalanceTuning tuning;
 	std::map<std::string, Pool, std::less<>> pools;
 	std::map<std::string, HostEntry> hosts;
 	std::set<std::string> busy;
-	std::set<std::string> evacuated; ///< See SetEvacuated.
-	std::map<std::string, Known> known;
+	std::set<std::string> evacuated; ///< Availability zones; see SetEvacuated.
+	std::map<std::string, KnownDemand> demands;
 	std::map<std::string, Move> moves;
-	std::map<std::string, PoolSize> logged; ///< As last told of.
+	std::map<std::string, PoolSize> logged; ///< As last logged.
 	Millis logged_at = 0;
-	std::set<std::pair<std::string, std::string>> impossible; ///< Kind of host and pool that do not go together.
+	std::set<std::pair<std::string, std::string>> incompatible; ///< Kinds of hosts and pools that the platform does not combine.
 };
 
 } // namespace Loomreach::Jobs
--- a/Loomreach/Fleet/RollingPlan.h
+++ b/Loomreach/Fleet/RollingPlan.h
@@ -1,5 +1,6 @@
-// Starts maintenance waves by itself, pool by pool, so that every host is maintained once in the period that the settings state.
-// Pools take their turns spread over the period. The date only schedules: no promise rests on it. Pure.
+// Rolling maintenance: starts one wave per pool, so that every host is maintained once in the period that the settings state. The waves
+// of the pools are spread over the period. The date is used for scheduling only; no guarantee depends on it. Pure: does no I/O, time is
+// passed in.
 
 #pragma once
 
@@ -8,8 +9,8 @@
 namespace Loomreach
 {
 
-/// What `maintain_every_days` of a pool asks for now.
-/// `inDateS`: seconds since 1970 by the steward's own clock; a clock that is off shifts a turn, nothing else.
+/// The wave that `maintain_every_days` of a pool requires now, if any.
+/// `inDateS`: seconds since 1970 by the clock of the assigned planner; a wrong clock shifts the due time and has no other effect.
 std::optional<StartWave> PlanRolling(const FleetState &inState, const PoolSpec &inPool, int64 inDateS);
 
 } // namespace Loomreach
--- a/Loomreach/Fleet/TeamShares.cpp
+++ b/Loomreach/Fleet/TeamShares.cpp
@@ -1,4 +1,4 @@
-// Shares out the teams' limits.
+// Divides the limits of teams among the cells.
 
 #include <Loomreach/Loomreach.h>
 
@@ -8,10 +8,10 @@
 namespace Loomreach::Jobs
 {
 
-/// What a cell wants counts against other cells this long after it was told: five questions (TeamUse.cpp).
-static constexpr Millis cWantFreshMs = 1000;
+/// The demand of a cell counts against other cells for this long after its last question: five question intervals (TeamUse.cpp).
+static constexpr Millis cDemandFreshMs = 1000;
 
-/// How much of its limit a team uses, in thousandths, by the resource that is scarcest.
+/// Share of its limit that a team uses, in thousandths, of the resource that is scarcest for it.
 static int64 UsedPerMille(const Resources &inUsed, const Resources &inLimit)
 {
 	const Resources shares =
@@ -39,22 +39,23 @@
 	this->limits.Take(inCatalogue);
 }
 
-bool TeamShares::KnowsAll(Millis inNow) const
+bool TeamShares::KnowsAllGrants(Millis inNow) const
 {
-	// Whoever has not been heard of holds nothing any more by then, and what it had begun has ended
-	if (inNow - this->began_at >= cShareGoodMs + this->runs_over_ms)
+	// By then, a cell that has not asked holds nothing any more, and the runs that it started have ended
+	if (inNow - this->began_at >= cShareGoodMs + this->runs_ended_ms)
 		return true;
-	const auto is_sure = [this](uint32 inCell)
+	const auto has_asked = [this](uint32 inCell)
 	{
-		auto standing = this->standings.find(inCell);
-		return standing != this->standings.end() && standing->second.sure;
+		auto state = this->cell_states.find(inCell);
+		return state != this->cell_states.end() && state->second.asked_this_owner;
 	};
-	return !this->cells.empty() && std::all_of(this->cells.begin(), this->cells.end(), is_sure);
+	return !this->cells.empty() && std::all_of(this->cells.begin(), this->cells.end(), has_asked);
 }
 
-bool TeamShares::GoesBefore(uint32 inOther, const TeamClaim &inOthers, uint32 inCell, const TeamClaim &inClaim, const Resources &inLimit)
+bool TeamShares::Precedes(uint32 inOther, const TeamClaim &inOthers, uint32 inCell, const TeamClaim &inClaim, const Resources &inLimit)
 {
-	// Who has least of it goes first. So cells come to equal parts by whole tasks, where a limit cut into parts could be too small for any
+	// The cell that uses the least goes first. So cells approach equal parts in whole tasks; a limit divided into equal parts could be
+	// too small for a task in each of them
 	const int64 other = UsedPerMille(inOthers.used, inLimit);
 	const int64 own = UsedPerMille(inClaim.used, inLimit);
 	return other != own ? other < own : inOther < inCell;
@@ -68,61 +69,61 @@
 	Resources left = inLimit;
 	Resources spare = inLimit;
 	spare.Subtract(demand);
-	for (const auto &[cell, standing] : this->standings)
+	for (const auto &[cell, state] : this->cell_states)
 	{
-		auto found = standing.teams.find(inClaim.team);
-		if (cell == inCell || found == standing.teams.end())
+		auto found = state.teams.find(inClaim.team);
+		if (cell == inCell || found == state.teams.end())
 			continue;
-		const Standing &other = found->second;
-		free.Subtract(other.most);
-		const bool before = inNow - standing.heard_at < cWantFreshMs && TeamShares::GoesBefore(cell, other.claim, inCell, inClaim, inLimit);
+		const TeamState &other = found->second;
+		free.Subtract(other.may_hold);
+		const bool before = inNow - state.heard_at < cDemandFreshMs && TeamShares::Precedes(cell, other.claim, inCell, inClaim, inLimit);
 		left.Subtract(other.claim.used);
 		spare.Subtract(other.claim.used);
 		spare.Subtract(other.claim.wanted);
 		if (before)
 			left.Subtract(other.claim.wanted);
 	}
-	// What nobody wants is dealt out ahead, so that new work need not wait for an answer: worth 0.344 against 0.313, mean of five days with
-	// trouble, one play each
+	// Resources without demand are granted in advance, so that new work need not wait for an answer: the score was 0.344 with and 0.313
+	// without it (mean of five scenarios with faults, one run each)
 	const auto cells = static_cast<int64>(std::max<size_t>(this->cells.size(), 1));
-	const Resources ahead = EachOf(spare, demand, [cells](int64 inSpare, int64) { return std::max<int64>(inSpare, 0) / cells; });
-	demand.Add(ahead);
+	const Resources in_advance = EachOf(spare, demand, [cells](int64 inSpare, int64) { return std::max<int64>(inSpare, 0) / cells; });
+	demand.Add(in_advance);
 	return GreatestOf(LeastOf(demand, LeastOf(free, left)), Resources{});
 }
 
 ShareAnswer TeamShares::OnQuestion(const ShareQuestion &inQuestion, Millis inNow)
 {
 	ShareAnswer answer;
-	CellStanding &known = this->standings[inQuestion.cell];
-	// Questions and answers may pass each other, and an owner that was succeeded may still ask
+	CellState &known = this->cell_states[inQuestion.cell];
+	// Questions and answers may be reordered, and a superseded owner may still ask
 	if (inQuestion.fleet_epoch > this->epoch || inQuestion.epoch < known.epoch ||
 		(inQuestion.epoch == known.epoch && inQuestion.number < known.number))
 		return answer;
 	const bool repeated = inQuestion.epoch == known.epoch && inQuestion.number == known.number;
-	std::map<std::string, Standing> teams;
+	std::map<std::string, TeamState> teams;
 	for (const TeamClaim &claim : inQuestion.claims)
 	{
-		Standing &standing = teams[claim.team];
-		standing.claim = claim;
-		standing.most = GreatestOf(claim.used, claim.held);
-		// The first answer to it may be on its way
+		TeamState &state = teams[claim.team];
+		state.claim = claim;
+		state.may_hold = GreatestOf(claim.used, claim.held);
+		// The answer to the first copy of the question may still be in flight
 		if (auto earlier = known.teams.find(claim.team); repeated && earlier != known.teams.end())
-			standing.most = GreatestOf(standing.most, earlier->second.most);
+			state.may_hold = GreatestOf(state.may_hold, earlier->second.may_hold);
 	}
-	const bool sure = inQuestion.fleet_epoch == this->epoch;
-	known = {inQuestion.epoch, inQuestion.number, inNow, sure, std::move(teams)};
+	const bool asked_this_owner = inQuestion.fleet_epoch == this->epoch;
+	known = {inQuestion.epoch, inQuestion.number, inNow, asked_this_owner, std::move(teams)};
 	answer.number = inQuestion.number;
 	answer.fleet_epoch = this->epoch;
-	const bool knows_all = this->KnowsAll(inNow);
-	for (auto &[team, standing] : known.teams)
+	const bool knows_all = this->KnowsAllGrants(inNow);
+	for (auto &[team, state] : known.teams)
 	{
 		const Resources *limit = this->limits.Find(team);
 		if (limit == nullptr)
 			continue;
-		Resources share = this->LimitOf(inQuestion.cell, standing.claim, *limit, inNow);
-		if (!knows_all || !sure)
-			share = LeastOf(share, standing.claim.held);
-		standing.most = GreatestOf(standing.most, share);
+		Resources share = this->LimitOf(inQuestion.cell, state.claim, *limit, inNow);
+		if (!knows_all || !asked_this_owner)
+			share = LeastOf(share, state.claim.held);
+		state.may_hold = GreatestOf(state.may_hold, share);
 		answer.shares.push_back({team, share});
 	}
 	return answer;
--- a/Loomreach/Fleet/TeamShares.h
+++ b/Loomreach/Fleet/TeamShares.h
@@ -1,4 +1,5 @@
-// Shares out the teams' limits over the cells. Pure; the fleet cell's owner drives it. See TeamClaims.h for what keeps the limits.
+// Divides the limits of teams among the cells. Pure: does no I/O, time is passed in; the owner of the fleet cell drives it. TeamClaims.h
+// has the rules that keep the limits.
 
 #pragma once
 
@@ -8,49 +9,52 @@
 namespace Loomreach::Jobs
 {
 
-/// See the head of the file.
+/// Answers the questions of the cells; see the head of the file.
 class TeamShares
 {
 public:
-	/// `inEpoch`: of this owner of the fleet, which began at `inNow`; `inRunsOverMs`: what nobody has asked for since runs no longer then.
-	TeamShares(uint64 inEpoch, Millis inNow, Millis inRunsOverMs) : epoch(inEpoch), began_at(inNow), runs_over_ms(inRunsOverMs) {}
+	/// `inEpoch`: epoch of this owner of the fleet cell, whose ownership began at `inNow`. `inRunsEndedMs`: runs for which no owner has
+	/// asked since have ended after this long.
+	TeamShares(uint64 inEpoch, Millis inNow, Millis inRunsEndedMs) : epoch(inEpoch), began_at(inNow), runs_ended_ms(inRunsEndedMs) {}
 
+	/// Sets the limits of the teams; keeps the present ones if the catalogue has none.
 	void SetTeams(const Catalogue &inCatalogue);
-	/// The cells that have pools.
+	/// Sets the cells that have pools.
 	void SetCells(std::set<uint32> inCells) { this->cells = std::move(inCells); }
-	/// A cell's owner asks. An answer with number 0: the question is older than what is known, or for a later owner of the fleet.
+	/// Answers the owner of a cell. Answer number 0: the question is older than the newest one of the cell, or meant for a later owner of
+	/// the fleet cell.
 	ShareAnswer OnQuestion(const ShareQuestion &inQuestion, Millis inNow);
 
 private:
-	/// What is known of a team in a cell.
-	struct Standing
+	/// State of a team in a cell.
+	struct TeamState
 	{
 		TeamClaim claim;
-		Resources most; ///< The most that the cell may hold.
+		Resources may_hold; ///< The most that the cell may hold.
 	};
-	/// What a cell's owner told last.
-	struct CellStanding
+	/// The last question of the owner of a cell.
+	struct CellState
 	{
 		uint64 epoch = 0;
 		uint64 number = 0;
 		Millis heard_at = 0;
-		bool sure = false; ///< Whether it asked knowing of this owner.
-		std::map<std::string, Standing> teams;
+		bool asked_this_owner = false; ///< Whether it was asked after an answer of this owner of the fleet cell.
+		std::map<std::string, TeamState> teams;
 	};
 
-	/// Whether nothing unknown of an earlier owner's shares can be left.
-	bool KnowsAll(Millis inNow) const;
-	/// What the cell may have of a team's limit.
+	/// Whether everything that an earlier owner granted is known or has expired.
+	bool KnowsAllGrants(Millis inNow) const;
+	/// Part of the limit of a team that the cell may hold.
 	Resources LimitOf(uint32 inCell, const TeamClaim &inClaim, const Resources &inLimit, Millis inNow) const;
-	/// Whether another cell's want goes before that of the cell that asks.
-	static bool GoesBefore(uint32 inOther, const TeamClaim &inOthers, uint32 inCell, const TeamClaim &inClaim, const Resources &inLimit);
+	/// Whether the demand of another cell goes before that of the cell that asks.
+	static bool Precedes(uint32 inOther, const TeamClaim &inOthers, uint32 inCell, const TeamClaim &inClaim, const Resources &inLimit);
 
 	uint64 epoch;
 	Millis began_at;
-	Millis runs_over_ms;
+	Millis runs_ended_ms;
 	TeamLimits limits;
 	std::set<uint32> cells;
-	std::map<uint32, CellStanding> standings;
+	std::map<uint32, CellState> cell_states;
 };
 
 } // namespace Loomreach::Jobs
