--- a/Loomreach/Fleet/Upkeep.cpp
+++ b/Loomreach/Fleet/Upkeep.cpp
@@ -1,4 +1,4 @@
-// Chooses hosts of a wave: empty spare hosts first, then as many at once as the wave allows.
+// Chooses the hosts of a wave to drain and to take down: idle hosts first, as many at a time as the wave allows.
 
 #include <Loomreach/Loomreach.h>
 
@@ -20,7 +20,7 @@
 		Item &item = wave.items[host];
 		item.since = inNow;
 		if (inDone.contains(host))
-			item.step = EUpkeepStep::Done;
+			item.step = EMaintenanceStep::Done;
 	}
 	LogEvent(ELogLevel::Info, "wave_begun")
 		.Field("wave", inWave.number)
@@ -30,12 +30,12 @@
 		.Field("within_ms", inWave.within_ms);
 }
 
-size_t UpkeepPlanner::WavesNaming(const std::string &inHost) const
+size_t UpkeepPlanner::CountWavesOf(const std::string &inHost) const
 {
-	size_t naming = 0;
+	size_t count = 0;
 	for (const auto &[number, wave] : this->waves)
-		naming += wave.items.contains(inHost) ? 1 : 0;
-	return naming;
+		count += wave.items.contains(inHost) ? 1 : 0;
+	return count;
 }
 
 void UpkeepPlanner::SetHosts(const std::vector<HostEntry> &inHosts, Millis inNow)
@@ -48,43 +48,43 @@
 		for (auto &[name, item] : wave.items)
 		{
 			auto host = this->hosts.find(name);
-			// An earlier owner's order: the host is down all the same. Where several waves name it, nobody knows for which: ordering it
-			// again is safe, and calling a wave done that has not had it is not
+			// The host may be down on the order of an earlier owner. If several waves contain it, it is not known for which one: ordering
+			// it again is safe, counting it as done for a wave that has not had it is not
 			const bool shown_down = host != this->hosts.end() && host->second.state == EHostState::Maintenance;
-			const bool taken_down = shown_down && this->WavesNaming(name) == 1;
-			// Not yet carried out this long after, it will not be
-			if (!shown_down && item.doubt_at >= 0 && inNow - item.doubt_at > this->tuning.again_ms)
-				item.doubt_at = -1;
-			const bool in_doubt = item.step == EUpkeepStep::Ordered && !item.sent;
-			if (taken_down &&
-				(in_doubt || item.step == EUpkeepStep::Waiting || item.step == EUpkeepStep::Emptying || item.step == EUpkeepStep::Done))
+			const bool taken_down = shown_down && this->CountWavesOf(name) == 1;
+			// An order that has not been carried out after this long will not be any more
+			if (!shown_down && item.uncertain_since >= 0 && inNow - item.uncertain_since > this->tuning.resend_after_ms)
+				item.uncertain_since = -1;
+			const bool in_doubt = item.step == EMaintenanceStep::Ordered && !item.sent;
+			if (taken_down && (in_doubt || item.step == EMaintenanceStep::Waiting || item.step == EMaintenanceStep::Draining ||
+							   item.step == EMaintenanceStep::Done))
 			{
-				item.step = EUpkeepStep::Down;
+				item.step = EMaintenanceStep::Down;
 				item.since = inNow;
 			}
 			const bool up = host != this->hosts.end() && host->second.state == EHostState::Up;
-			// The order was carried out, so the time is over when the list says that it is up again
-			const bool over = item.step == EUpkeepStep::Down && inNow - item.since > this->tuning.down_ms + this->tuning.settle_ms;
+			// The order was carried out, so its maintenance is over when the list shows the host as up again
+			const bool over = item.step == EMaintenanceStep::Down && inNow - item.since > this->tuning.down_ms + this->tuning.settle_ms;
 			if (over && (up || host == this->hosts.end()))
-				item.step = EUpkeepStep::Done;
+				item.step = EMaintenanceStep::Done;
 		}
 }
 
-uint32 UpkeepPlanner::DownOf(const Wave &inWave) const
+uint32 UpkeepPlanner::CountDown(const Wave &inWave) const
 {
 	uint32 down = 0;
 	for (const auto &[name, item] : inWave.items)
-		down += item.step == EUpkeepStep::Ordered || item.step == EUpkeepStep::Down ? 1 : 0;
+		down += item.step == EMaintenanceStep::Ordered || item.step == EMaintenanceStep::Down ? 1 : 0;
 	return down;
 }
 
-bool UpkeepPlanner::IsPressed(const Wave &inWave, Millis inNow) const
+bool UpkeepPlanner::IsBehindSchedule(const Wave &inWave, Millis inNow) const
 {
 	int64 left = 0;
 	for (const auto &[name, item] : inWave.items)
-		left += item.step == EUpkeepStep::Done ? 0 : 1;
+		left += item.step == EMaintenanceStep::Done ? 0 : 1;
 	const int64 rounds = (left + inWave.asked.at_most - 1) / inWave.asked.at_most;
-	return inNow + rounds * this->tuning.host_ms + this->tuning.spare_ms >= inWave.begun_at + inWave.asked.within_ms;
+	return inNow + rounds * this->tuning.per_host_ms + this->tuning.reserve_ms >= inWave.begun_at + inWave.asked.within_ms;
 }
 
 std::vector<HostEntry> UpkeepPlanner::ToEmpty(Millis inNow)
@@ -92,12 +92,12 @@
 	std::vector<HostEntry> wanted;
 	for (auto &[number, wave] : this->waves)
 	{
-		const uint32 most = wave.asked.at_most + this->tuning.ahead;
-		const bool pressed = this->IsPressed(wave, inNow);
-		uint32 under_way = this->DownOf(wave);
+		const uint32 max_under_way = wave.asked.at_most + this->tuning.drains_ahead;
+		const bool behind_schedule = this->IsBehindSchedule(wave, inNow);
+		uint32 under_way = this->CountDown(wave);
 		for (const auto &[name, item] : wave.items)
-			under_way += item.step == EUpkeepStep::Emptying ? 1 : 0;
-		// Hosts without a worker first: nothing is displaced there
+			under_way += item.step == EMaintenanceStep::Draining ? 1 : 0;
+		// Idle hosts first: nothing is displaced there
 		for (const bool idle : {true, false})
 			for (auto &[name, item] : wave.items)
 			{
@@ -105,17 +105,17 @@
 				const bool is_up = host != this->hosts.end() && host->second.state == EHostState::Up;
 				if (!is_up || this->moving.contains(name) || this->IsIdle(host->second) != idle)
 					continue;
-				const bool may_go = pressed || idle || !this->tight.contains(host->second.pool);
-				if (item.step == EUpkeepStep::Waiting && under_way < most && may_go)
+				const bool may_drain = behind_schedule || idle || !this->tight.contains(host->second.pool);
+				if (item.step == EMaintenanceStep::Waiting && under_way < max_under_way && may_drain)
 				{
-					item.step = EUpkeepStep::Emptying;
+					item.step = EMaintenanceStep::Draining;
 					item.since = inNow;
 					++under_way;
 				}
-				// An order that is out may be carried out late: until its outcome is known the host stays empty
-				if (item.step != EUpkeepStep::Emptying && item.step != EUpkeepStep::Ordered)
+				// An order may be carried out late: the host stays drained until the outcome is known
+				if (item.step != EMaintenanceStep::Draining && item.step != EMaintenanceStep::Ordered)
 					continue;
-				// Nothing is to be asked about a host on which nothing runs
+				// A host on which nothing runs need not be drained
 				if (!idle)
 				{
 					wanted.push_back(host->second);
@@ -134,7 +134,7 @@
 	{
 		auto item = wave.items.find(inHost);
 		const bool counts =
-			item != wave.items.end() && (item->second.step == EUpkeepStep::Emptying || item->second.step == EUpkeepStep::Ordered);
+			item != wave.items.end() && (item->second.step == EMaintenanceStep::Draining || item->second.step == EMaintenanceStep::Ordered);
 		if (!counts)
 			continue;
 		item->second.empty_until = inAskedAt + this->tuning.ready_for_ms;
@@ -142,80 +142,81 @@
 	}
 }
 
-bool UpkeepPlanner::GoesAgain(const std::string &inHost, const Item &inItem, Millis inNow) const
+bool UpkeepPlanner::ShouldResend(const std::string &inHost, const Item &inItem, Millis inNow) const
 {
-	const bool due = inItem.step == EUpkeepStep::Ordered && !inItem.sent && inNow - inItem.since > this->tuning.again_ms;
+	const bool due = inItem.step == EMaintenanceStep::Ordered && !inItem.sent && inNow - inItem.since > this->tuning.resend_after_ms;
 	auto host = this->hosts.find(inHost);
-	// If the first order never came, work may have come instead: as empty as for a first one. What is not up runs nothing
+	// If the first order never arrived, the host may have received work since: it must be as empty as for a first order. A host that is
+	// not up runs nothing
 	const bool up = host != this->hosts.end() && host->second.state == EHostState::Up;
 	return due && (!up || inNow < inItem.empty_until);
 }
 
 std::vector<HostDuty> UpkeepPlanner::TakeDuties(Millis inNow)
 {
-	std::vector<HostDuty> duties;
+	std::vector<HostDuty> orders;
 	for (auto &[number, wave] : this->waves)
 	{
-		uint32 down = this->DownOf(wave);
+		uint32 down = this->CountDown(wave);
 		for (auto &[name, item] : wave.items)
 		{
-			const bool again = this->GoesAgain(name, item, inNow);
-			const bool first = item.step == EUpkeepStep::Emptying && inNow < item.empty_until && down < wave.asked.at_most;
-			if (!again && !first)
+			const bool resend = this->ShouldResend(name, item, inNow);
+			const bool first = item.step == EMaintenanceStep::Draining && inNow < item.empty_until && down < wave.asked.at_most;
+			if (!resend && !first)
 				continue;
 			down += first ? 1 : 0;
-			item.step = EUpkeepStep::Ordered;
+			item.step = EMaintenanceStep::Ordered;
 			item.since = inNow;
 			item.sent = true;
-			HostDuty duty;
-			duty.kind = EDuty::Maintain;
-			duty.host = name;
-			duty.wave = number;
+			HostDuty order;
+			order.kind = EDuty::Maintain;
+			order.host = name;
+			order.wave = number;
 			if (item.asked_at >= 0 && inNow < item.empty_until)
-				duty.not_after = item.asked_at + cEmptyForMs - cDutyWayMs;
+				order.not_after = item.asked_at + cEmptyForMs - cDutyWayMs;
 			auto host = this->hosts.find(name);
 			if (host != this->hosts.end())
 			{
-				duty.from = host->second.pool;
-				duty.worker = host->second.worker;
+				order.from = host->second.pool;
+				order.worker = host->second.worker;
 			}
-			duties.push_back(std::move(duty));
+			orders.push_back(std::move(order));
 		}
 	}
-	return duties;
+	return orders;
 }
 
-void UpkeepPlanner::OnDuty(const HostDuty &inDuty, EDutyResult inResult, Millis inNow)
+void UpkeepPlanner::OnDuty(const HostDuty &inOrder, EDutyResult inResult, Millis inNow)
 {
-	auto wave = this->waves.find(inDuty.wave);
+	auto wave = this->waves.find(inOrder.wave);
 	if (wave == this->waves.end())
 		return;
-	auto found = wave->second.items.find(inDuty.host);
-	if (found == wave->second.items.end() || found->second.step != EUpkeepStep::Ordered)
+	auto found = wave->second.items.find(inOrder.host);
+	if (found == wave->second.items.end() || found->second.step != EMaintenanceStep::Ordered)
 		return;
 	Item &item = found->second;
 	item.sent = false;
 	item.since = inNow;
 	LogEvent(ELogLevel::Info, "host_maintained")
-		.Field("host", inDuty.host)
-		.Field("wave", inDuty.wave)
-		.Field("token", inDuty.token)
+		.Field("host", inOrder.host)
+		.Field("wave", inOrder.wave)
+		.Field("token", inOrder.token)
 		.Field("result", NameOf(cDutyResultNames, inResult));
 	switch (inResult)
 	{
-	case EDutyResult::Done: item.step = EUpkeepStep::Down; break;
+	case EDutyResult::Done: item.step = EMaintenanceStep::Down; break;
 	case EDutyResult::NotOfWave:
-	case EDutyResult::Impossible: item.step = EUpkeepStep::Done; break;
+	case EDutyResult::Impossible: item.step = EMaintenanceStep::Done; break;
 	case EDutyResult::Busy:
 	case EDutyResult::Refused:
 	case EDutyResult::StaleToken:
-		// That this one was not done says nothing of an earlier one
-		if (item.doubt_at >= 0)
+		// This order was not carried out, but an earlier one with an unknown outcome may still be
+		if (item.uncertain_since >= 0)
 			break;
-		item.step = EUpkeepStep::Waiting;
+		item.step = EMaintenanceStep::Waiting;
 		item.empty_until = 0;
 		break;
-	case EDutyResult::Unknown: item.doubt_at = inNow; break;
+	case EDutyResult::Unknown: item.uncertain_since = inNow; break;
 	}
 }
 
@@ -226,7 +227,7 @@
 	if (wave == this->waves.end())
 		return done;
 	for (const auto &[name, item] : wave->second.items)
-		if (item.step == EUpkeepStep::Done || item.step == EUpkeepStep::Down)
+		if (item.step == EMaintenanceStep::Done || item.step == EMaintenanceStep::Down)
 			done.insert(name);
 	return done;
 }
@@ -238,9 +239,9 @@
 		return false;
 	for (const auto &[name, item] : wave->second.items)
 	{
-		// A host that the list no longer has is gone for good: nothing is left to maintain
-		const bool gone = !this->hosts.contains(name) && item.step == EUpkeepStep::Waiting;
-		if (item.step != EUpkeepStep::Done && !gone)
+		// A host that is no longer on the list has been removed: nothing is left to maintain
+		const bool gone = !this->hosts.contains(name) && item.step == EMaintenanceStep::Waiting;
+		if (item.step != EMaintenanceStep::Done && !gone)
 			return false;
 	}
 	return true;
@@ -259,7 +260,7 @@
 	std::set<std::string> names;
 	for (const auto &[number, wave] : this->waves)
 		for (const auto &[name, item] : wave.items)
-			if (item.step == EUpkeepStep::Emptying || item.step == EUpkeepStep::Ordered || item.step == EUpkeepStep::Down)
+			if (item.step == EMaintenanceStep::Draining || item.step == EMaintenanceStep::Ordered || item.step == EMaintenanceStep::Down)
 				names.insert(name);
 	return names;
 }
--- a/Loomreach/Fleet/Upkeep.h
+++ b/Loomreach/Fleet/Upkeep.h
@@ -1,7 +1,9 @@
-// Waves of maintenance over the platform's hosts: which host goes down next. Pure; the fleet cell's owner drives it.
+// Plans maintenance waves over the platform's hosts: which host goes down next. Pure: does no I/O, time is passed in; the owner of the
+// fleet cell drives it.
 //
-// A wave asks for every host of a list to have its maintenance within a time, with at most so many down at once. A host is emptied
-// by the owner of its pool before it goes down: the planner only names it, asks until it is empty, and then sends the order.
+// A wave asks for the maintenance of every host on a list within a time, with a maximum number of hosts down at the same time. The owner
+// of a host's pool drains the host before it goes down: the planner names the host, asks until it is empty, and then orders the
+// maintenance.
 
 #pragma once
 
@@ -11,7 +13,7 @@
 namespace Loomreach::Jobs
 {
 
-/// What a host is doing.
+/// State of a host on the host list.
 enum class EHostState : uint8
 {
 	Up,
@@ -20,7 +22,7 @@
 	Down
 };
 
-/// A host as the platform's machine service shows it.
+/// A host as the machine service of the platform lists it.
 struct HostEntry
 {
 	std::string name;
@@ -29,20 +31,21 @@
 	std::string availability_zone;
 	std::string kind;
 	std::string rack;
-	std::string worker; ///< Life of the worker on it; empty when it has none.
+	std::string worker; ///< Incarnation of the worker on it; empty: none.
 	Resources capacity;
 };
 
-/// What a host is told.
+/// Kind of an order to a host.
 enum class EDuty : uint8
 {
 	Move,
 	Maintain
 };
 
-/// A worker's pool is asked to keep it empty this long after each question.
+/// Length of a drain grant: the owner of a pool keeps a worker empty for this long after each question, ms.
 inline constexpr Millis cEmptyForMs = 1500;
-/// An order must leave this much before that is over: the way to the platform (its answers take 5 to 60 ms) and a lost packet's repeat.
+/// An order must be sent this much before the grant ends, ms: the platform takes 5 to 60 ms to answer, and a lost packet must be
+/// repeated.
 inline constexpr Millis cDutyWayMs = 300;
 
 /// One order to a host.
@@ -50,28 +53,29 @@
 {
 	EDuty kind = EDuty::Maintain;
 	std::string host;
-	std::string from;   ///< Its pool, as the host list showed it;
-	std::string worker; ///< and the life of the worker on it, which ends once the order is carried out.
-	std::string pool;   ///< Move: where to.
-	int64 wave = 0;     ///< Maintain: of which wave.
+	std::string from;   ///< Its pool on the host list.
+	std::string worker; ///< Incarnation of the worker on it, which ends when the order is carried out.
+	std::string pool;   ///< Move: the destination.
+	int64 wave = 0;     ///< Maintain: number of the wave.
 	std::string holder;
 	uint64 token = 0;
-	Millis not_after =
-		0; ///< Later it must not leave: end of the promise that the host is empty (0: needs none), then of the sender's ownership.
+	/// It must not be sent later: the end of the drain grant (0: none is needed), limited by the end of the ownership of the sender.
+	Millis not_after = 0;
 };
 
-/// How an order to a host came out.
+/// Outcome of an order to a host.
 enum class EDutyResult : uint8
 {
 	Done,
 	StaleToken,
-	Busy, ///< Not up, or leaving.
+	Busy, ///< The host is not up, or it is leaving.
 	NotOfWave,
-	Impossible, ///< No such host, or a pool of other hosts.
-	Refused,    ///< Certainly not done; later perhaps.
+	Impossible, ///< There is no such host, or the pool takes other kinds of hosts.
+	Refused,    ///< Certainly not carried out; a later attempt may succeed.
 	Unknown
 };
 
+/// Names of the outcomes in logs and answers.
 inline constexpr std::array cDutyResultNames = {
 	EnumName<EDutyResult>{EDutyResult::Done, "done"},
 	EnumName<EDutyResult>{EDutyResult::StaleToken, "stale-token"},
@@ -82,82 +86,88 @@
 	EnumName<EDutyResult>{EDutyResult::Unknown, "unknown"},
 };
 
-/// A wave as the operator asks for it.
+/// A maintenance wave as the operator requests it.
 struct UpkeepWave
 {
 	int64 number = 0;
 	std::vector<std::string> hosts;
-	Millis within_ms = 0;
-	uint32 at_most = 1;
+	Millis within_ms = 0; ///< Time within which all its hosts are to be maintained.
+	uint32 at_most = 1;   ///< Maximum number of its hosts that are down at the same time.
 };
 
 /// Times of the planner, ms.
 struct UpkeepTuning
 {
-	Millis down_ms = 2000;      ///< A host's maintenance takes this. Setting.
-	Millis settle_ms = 600;     ///< A host counts as down this much longer than it is shown down: the list lags.
-	Millis again_ms = 1500;     ///< An order with an unknown outcome is sent again after this, if the host is still promised empty.
-	Millis ready_for_ms = 1000; ///< An empty host is trusted to stay empty this long after its pool's owner was asked.
-	Millis host_ms = 4500;      ///< Emptying, maintenance and news of its end, for one host.
-	Millis spare_ms = 5000;     ///< A wave should be over this much before its time.
-	uint32 ahead = 3;           ///< Hosts that are being emptied beyond those that may be down.
+	Millis down_ms = 2000;  ///< Length of the maintenance of a host. Setting.
+	Millis settle_ms = 600; ///< A host counts as down this much longer than that, because the list lags.
+	/// An order with an unknown outcome is sent again after this long, while the drain grant holds.
+	Millis resend_after_ms = 1500;
+	Millis ready_for_ms = 1000; ///< An empty host is relied on to stay empty for this long after the owner of its pool was asked.
+	Millis per_host_ms = 4500;  ///< Time to drain and maintain one host and to learn that it is done.
+	Millis reserve_ms = 5000;   ///< A wave is planned to end this much before its time is over.
+	uint32 drains_ahead = 3;    ///< Hosts that are drained in addition to those that may be down.
 };
 
-/// One host of a wave.
-enum class EUpkeepStep : uint8
+/// Progress of one host of a wave.
+enum class EMaintenanceStep : uint8
 {
 	Waiting,
-	Emptying,
-	Ordered, ///< The order is out, its outcome not known.
+	Draining,
+	Ordered, ///< The order has been sent, its outcome is not known.
 	Down,
 	Done
 };
 
-/// The planner.
+/// Plans the waves; see the head of the file.
 class UpkeepPlanner
 {
 public:
 	explicit UpkeepPlanner(const UpkeepTuning &inTuning) : tuning(inTuning) {}
 
-	/// A wave was asked for. `inDone`: hosts that the log says are done.
+	/// Adds a wave. `inDone`: hosts of it that are done according to the log.
 	void AddWave(const UpkeepWave &inWave, const std::set<std::string> &inDone, Millis inNow);
 	bool HasWave(int64 inNumber) const { return this->waves.contains(inNumber); }
-	/// The host list is this now.
+	/// Sets the host list.
 	void SetHosts(const std::vector<HostEntry> &inHosts, Millis inNow);
-	/// Hosts whose workers' pools should be asked to empty them now.
+	/// Hosts that the owners of their pools should be asked to drain now.
 	std::vector<HostEntry> ToEmpty(Millis inNow);
-	/// Hosts that were ordered to move and may not have arrived yet, whatever the list shows: they are left alone.
+	/// Sets the hosts that were ordered to move and may not have arrived yet, whatever the list shows: they are left alone.
 	void SetMoving(std::set<std::string> inHosts) { this->moving = std::move(inHosts); }
-	/// Pools that lack hosts: theirs go down only when a wave's time demands it.
+	/// Sets the pools that lack hosts: theirs go down only when a wave would otherwise be late.
 	void SetTight(std::set<std::string> inPools) { this->tight = std::move(inPools); }
-	/// Spare pools: nothing runs on their hosts.
+	/// Sets the spare pools: nothing runs on their hosts.
 	void SetSpare(std::set<std::string> inPools) { this->spare = std::move(inPools); }
-	/// A pool's owner was asked at `inAskedAt` and says that the host is empty.
+	/// Call when the owner of a pool, asked at `inAskedAt`, has answered that the host is empty.
 	void OnEmpty(const std::string &inHost, Millis inAskedAt, Millis inNow);
-	/// Orders to send now, each at once.
+	/// Orders to send now. Each is returned once.
 	std::vector<HostDuty> TakeDuties(Millis inNow);
-	void OnDuty(const HostDuty &inDuty, EDutyResult inResult, Millis inNow);
-	/// Hosts of a wave that are done.
+	/// Call with the outcome of an order.
+	void OnDuty(const HostDuty &inOrder, EDutyResult inResult, Millis inNow);
+	/// Hosts of a wave that are done, or down for it.
 	std::set<std::string> DoneOf(int64 inWave) const;
-	/// Waves all of whose hosts are done or gone.
+	/// Whether all hosts of a wave are done or have been removed.
 	bool IsCompleted(int64 inWave) const;
+	/// Numbers of all waves.
 	std::vector<int64> Waves() const;
-	/// Hosts that are being emptied or are down for their maintenance.
+	/// Hosts that are being drained or are down for their maintenance.
 	std::set<std::string> Busy() const;
-	/// Whether any wave is open.
+	/// Whether any wave is not completed.
 	bool IsBusy() const;
 
 private:
-	/// One host of one wave.
+	/// State of one host in one wave.
 	struct Item
 	{
-		EUpkeepStep step = EUpkeepStep::Waiting;
+		EMaintenanceStep step = EMaintenanceStep::Waiting;
 		Millis since = 0;
-		Millis empty_until = 0; ///< Trusted to be empty until then;
-		Millis asked_at = -1;   ///< as its pool's owner said when asked then; -1: nothing runs there, nobody was asked.
-		bool sent = false;      ///< An order is under way.
-		Millis doubt_at = -1;   ///< When an order to it came to nothing known; -1: none, or the list has shown since that it was not done.
+		Millis empty_until = 0; ///< Until then it is relied on to be empty.
+		/// When the question was asked to which its owner answered that it is empty; -1: nothing runs there, no question was asked.
+		Millis asked_at = -1;
+		bool sent = false; ///< An order is in flight.
+		/// When an order had an unknown outcome; -1: none had, or the list has since shown that it was not carried out.
+		Millis uncertain_since = -1;
 	};
+	/// A wave and its progress.
 	struct Wave
 	{
 		UpkeepWave asked;
@@ -165,22 +175,25 @@
 		std::map<std::string, Item> items;
 	};
 
-	/// How many waves there are for a host, done ones included.
-	size_t WavesNaming(const std::string &inHost) const;
-	/// Whether an order in doubt goes again now.
-	bool GoesAgain(const std::string &inHost, const Item &inItem, Millis inNow) const;
-	uint32 DownOf(const Wave &inWave) const;
-	bool IsPressed(const Wave &inWave, Millis inNow) const;
+	/// Number of waves that contain the host, completed ones included.
+	size_t CountWavesOf(const std::string &inHost) const;
+	/// Whether to send an order with an unknown outcome again now.
+	bool ShouldResend(const std::string &inHost, const Item &inItem, Millis inNow) const;
+	/// Number of hosts of the wave that are down, or ordered to go down.
+	uint32 CountDown(const Wave &inWave) const;
+	/// Whether the rest of the wave would be late unless hosts of pools that lack hosts go down as well.
+	bool IsBehindSchedule(const Wave &inWave, Millis inNow) const;
 
 	UpkeepTuning tuning;
 	std::map<int64, Wave> waves;
 	std::map<std::string, HostEntry> hosts;
+	/// Whether nothing runs on the host.
 	bool IsIdle(const HostEntry &inHost) const { return inHost.worker.empty() || this->spare.contains(inHost.pool); }
 
 	std::set<std::string> tight;
 	std::set<std::string> moving;
 	std::set<std::string> spare;
-	bool listed = false; ///< Whether a host list was had.
+	bool listed = false; ///< Whether a host list has been set.
 };
 
 } // namespace Loomreach::Jobs
--- a/Loomreach/Fleet/WavePlanner.cpp
+++ b/Loomreach/Fleet/WavePlanner.cpp
@@ -1,4 +1,4 @@
-// Widths of the wave policies and the reckoning of a pool's buffer.
+// The widths of the wave policies, and the spare capacity of a pool.
 
 #include <Loomreach/Loomreach.h>
 
@@ -9,17 +9,17 @@
 
 static constexpr uint32 cFixedShareDivisor = 10;
 
-uint32 LargestSafeSet::MayTake(const FleetState &, const PoolSpec &inPool, uint32 inOut)
+uint32 LargestSafeSet::MaxDrains(const FleetState &, const PoolSpec &inPool, uint32 inOutCount)
 {
-	return inPool.wave_width > inOut ? inPool.wave_width - inOut : 0;
+	return inPool.wave_width > inOutCount ? inPool.wave_width - inOutCount : 0;
 }
 
-uint32 FixedShare::MayTake(const FleetState &inState, const PoolSpec &inPool, uint32 inOut)
+uint32 FixedShare::MaxDrains(const FleetState &inState, const PoolSpec &inPool, uint32 inOutCount)
 {
 	auto counts = inState.pool_counts.find(inPool.path);
 	const uint32 hosts = counts == inState.pool_counts.end() ? 0 : counts->second.hosts;
 	const uint32 width = std::max<uint32>(1, hosts / cFixedShareDivisor);
-	return width > inOut ? width - inOut : 0;
+	return width > inOutCount ? width - inOutCount : 0;
 }
 
 bool IsPendingInWave(const FleetState &inState, const std::string &inHost)
@@ -35,25 +35,25 @@
 	return false;
 }
 
-Buffer ReckonBuffer(const FleetState &inState, const PoolSpec &inPool, const std::set<std::string> &inWithout)
+Buffer ReckonBuffer(const FleetState &inState, const PoolSpec &inPool, const std::set<std::string> &inExcluded)
 {
 	Buffer buffer;
-	std::map<std::string, int64> rack_firm;
+	std::map<std::string, int64> rack_service_cpu;
 	for (const auto &[name, host] : inState.hosts)
 	{
 		if (host.pool != inPool.path)
 			continue;
-		const bool stays = host.IsAvailable() && inWithout.count(name) == 0;
+		const bool stays = host.IsAvailable() && inExcluded.count(name) == 0;
 		if (stays)
 			buffer.capacity += host.spec.capacity.cpu_milli;
 		for (const ReplicaKey &replica : host.replicas)
 		{
 			const Placement &placement = inState.placements.find(replica)->second;
 			auto job = inState.jobs.find(replica.job);
-			const bool firm = job != inState.jobs.end() && job->second.is_service;
-			(firm ? buffer.firm : buffer.soft) += placement.need.cpu_milli;
-			if (firm && stays)
-				rack_firm[host.spec.rack] += placement.need.cpu_milli;
+			const bool is_service = job != inState.jobs.end() && job->second.is_service;
+			(is_service ? buffer.firm : buffer.soft) += placement.need.cpu_milli;
+			if (is_service && stays)
+				rack_service_cpu[host.spec.rack] += placement.need.cpu_milli;
 		}
 	}
 	if (inPool.buffer_percent >= 0)
@@ -61,9 +61,9 @@
 		buffer.wanted = buffer.capacity * inPool.buffer_percent / 100;
 		return buffer;
 	}
-	// The largest rack may be lost while the wave is under way
-	for (const auto &[rack, firm] : rack_firm)
-		buffer.wanted = std::max(buffer.wanted, firm);
+	// The largest rack may be lost during the wave
+	for (const auto &[rack, service_cpu] : rack_service_cpu)
+		buffer.wanted = std::max(buffer.wanted, service_cpu);
 	return buffer;
 }
 
--- a/Loomreach/Fleet/WavePlanner.h
+++ b/Loomreach/Fleet/WavePlanner.h
@@ -1,5 +1,5 @@
-// Decides which hosts of one pool leave for maintenance, and takes drains back when failures use up the budget.
-// Pure: accepted state in, proposals out; the fold refuses whatever would break a budget.
+// Decides which hosts of one pool are drained for maintenance, and cancels drains when failures use up the availability budget. Pure:
+// accepted state in, proposals out. Whatever would exceed a budget is refused when the proposal is applied.
 
 #pragma once
 
@@ -8,91 +8,96 @@
 namespace Loomreach
 {
 
-/// What a planning round wants.
+/// Result of a planning round.
 struct WavePlan
 {
 	std::vector<ProposalBody> proposals;
 	uint32 drains = 0;
 	uint32 taken_back = 0;
-	std::string held_by; ///< What keeps the next host from leaving, for `wave status`; empty: nothing.
+	std::string held_by; ///< What keeps the next host from being drained, for `wave status`; empty: nothing.
 };
 
-/// What varies between policies: how many hosts may leave at once, and whether the spare capacity is reckoned.
+/// A wave policy: how many hosts may leave at the same time, whether spare capacity is checked, and the order of hosts.
 template <class P>
-concept WavePolicy = requires(const FleetState &inState, const PoolSpec &inPool, uint32 inOut)
+concept WavePolicy = requires(const FleetState &inState, const PoolSpec &inPool, uint32 inOutCount)
 {
 	{
-		P::MayTake(inState, inPool, inOut)
+		P::MaxDrains(inState, inPool, inOutCount)
 		} -> std::same_as<uint32>;
 	{
-		P::cChecksRoom
+		P::cChecksCapacity
 		} -> std::convertible_to<bool>;
 	{
 		P::cFewestReplicasFirst
 		} -> std::convertible_to<bool>;
 };
 
-/// The policy in use: as many as the budget and the width allow, the emptiest first, as long as their replicas find room
-/// on hosts that stay and the largest rack's worth (or the share that the settings state) is still spare. A pool that cannot
-/// have that buffer still goes one host at a time. Pools that weigh moves take no more than hosts that the wave no longer wants can take
-/// in.
+/// The policy in use: as many hosts as the budget and the wave width allow, those with the fewest replicas first, as long as their
+/// replicas fit on the hosts that stay and the buffer is kept: the load of the largest rack, or the percentage that the settings state. A
+/// pool that cannot have that buffer still proceeds one host at a time. In pools that weigh moves over buffer, only as many hosts are
+/// drained as the hosts that no wave has yet to take can absorb.
 struct LargestSafeSet
 {
-	static constexpr bool cChecksRoom = true;
+	static constexpr bool cChecksCapacity = true;
 	static constexpr bool cFewestReplicasFirst = true;
-	static uint32 MayTake(const FleetState &inState, const PoolSpec &inPool, uint32 inOut);
+	static uint32 MaxDrains(const FleetState &inState, const PoolSpec &inPool, uint32 inOutCount);
 };
 
-/// Baseline: one host at a time, in order of names.
+/// Baseline: one host at a time, by name.
 struct OneAtATime
 {
-	static constexpr bool cChecksRoom = false;
+	static constexpr bool cChecksCapacity = false;
 	static constexpr bool cFewestReplicasFirst = false;
-	static uint32 MayTake(const FleetState &, const PoolSpec &, uint32 inOut) { return inOut == 0 ? 1 : 0; }
+	static uint32 MaxDrains(const FleetState &, const PoolSpec &, uint32 inOutCount) { return inOutCount == 0 ? 1 : 0; }
 };
 
-/// Baseline: a fixed tenth of the pool at a time, in order of names.
+/// Baseline: a tenth of the pool at a time, by name.
 struct FixedShare
 {
-	static constexpr bool cChecksRoom = false;
+	static constexpr bool cChecksCapacity = false;
 	static constexpr bool cFewestReplicasFirst = false;
-	static uint32 MayTake(const FleetState &inState, const PoolSpec &inPool, uint32 inOut);
+	static uint32 MaxDrains(const FleetState &inState, const PoolSpec &inPool, uint32 inOutCount);
 };
 
-/// Spare capacity of a pool, as `pool show` and the planner reckon it. Processor time in thousandths of a core.
+/// Spare capacity of a pool, as `pool show` and the planner compute it. Processor time in thousandths of a core.
 struct Buffer
 {
 	int64 capacity = 0; ///< Of available hosts.
-	int64 firm = 0;     ///< Held by replicas that may not be displaced for the buffer (services).
-	int64 soft = 0;     ///< Held by batch replicas, which give way first.
-	int64 wanted = 0;   ///< To be spare: the largest rack's firm load, or the stated share of the capacity.
+	int64 firm = 0;     ///< Used by replicas of services, which are not displaced for the buffer.
+	int64 soft = 0;     ///< Used by batch replicas, which are displaced first.
+	int64 wanted = 0;   ///< Required spare capacity: the service load of the largest rack, or the stated percentage of the capacity.
 	int64 Spare() const { return this->capacity - this->firm; }
 };
 
-/// Reckons a pool's buffer, as if the hosts in `inWithout` were gone and their firm load stayed to be placed.
-Buffer ReckonBuffer(const FleetState &inState, const PoolSpec &inPool, const std::set<std::string> &inWithout);
+/// Computes the spare capacity of a pool as if the hosts in `inExcluded` were unavailable and their service load still had to be placed.
+Buffer ReckonBuffer(const FleetState &inState, const PoolSpec &inPool, const std::set<std::string> &inExcluded);
 
-/// Whether a wave that is running or paused has yet to take a host out.
+/// Whether a running or paused wave has yet to take the host out.
 bool IsPendingInWave(const FleetState &inState, const std::string &inHost);
 
-/// Plans waves and operators' drains of one pool.
+/// Plans the waves of one pool, and the drains that operators order.
 template <WavePolicy P>
 class BasicWavePlanner
 {
 public:
-	/// Hosts in `inUnheard` are counted as unavailable: nobody of their availability zone has been heard lately.
+	/// Hosts in `inUnheard` count as unavailable: no entry host of their availability zone has been heard from recently.
 	BasicWavePlanner(const FleetState &inState, std::string inPool, const std::set<std::string> &inUnheard)
 		: state(inState), pool(std::move(inPool)), unheard(inUnheard)
 	{
 	}
-	/// One round.
+	/// One planning round.
 	WavePlan Plan();
 
 private:
-	void TakeBack(const std::vector<const Host *> &inHosts);
+	/// Cancels as many drains as the availability budget lacks hosts.
+	void CancelDrains(const std::vector<const Host *> &inHosts);
+	/// Hosts that running waves have yet to drain, in the order in which to drain them, each with the name of its wave.
 	std::vector<std::pair<const Host *, std::string>> Pending(const std::vector<const Host *> &inHosts) const;
-	bool LeavesRoom(const PoolSpec &inPool, const std::set<std::string> &inGone, bool inAnyOut) const;
-	int64 SettledRoom(const std::vector<const Host *> &inHosts) const;
+	/// Whether the pool keeps enough spare capacity without these hosts. The buffer is required only if a host is out already
+	/// (`inAnyOut`).
+	bool KeepsBuffer(const PoolSpec &inPool, const std::set<std::string> &inUnavailable, bool inAnyOut) const;
+	/// Free capacity of the hosts that no wave has yet to take, minus what draining hosts will move there.
+	int64 SettledCapacity(const std::vector<const Host *> &inHosts) const;
 
 	const FleetState &state;
 	std::string pool;
--- a/Loomreach/Fleet/WavePlanner.inl
+++ b/Loomreach/Fleet/WavePlanner.inl
@@ -1,4 +1,4 @@
-// Bodies of the wave planner's templates.
+// Template definitions of the wave planner.
 
 #pragma once
 
@@ -14,7 +14,7 @@
 	std::vector<const Host *> hosts;
 	uint32 out = 0;
 	uint32 available = 0;
-	std::set<std::string> gone;
+	std::set<std::string> unavailable;
 	for (const auto &[name, host] : this->state.hosts)
 	{
 		if (host.pool != this->pool)
@@ -25,64 +25,65 @@
 		const bool counts = host.IsAvailable() && this->unheard.count(name) == 0;
 		available += counts ? 1 : 0;
 		if (!counts)
-			gone.insert(name);
+			unavailable.insert(name);
 	}
 	const uint32 required = this->state.RequiredAvailable(this->pool);
-	// Failures on top of a wave: drains that have not begun to reboot are taken back
+	// Failures during a wave: drains of hosts that have not begun to reboot are cancelled
 	if (available < required)
 	{
-		this->TakeBack(hosts);
+		this->CancelDrains(hosts);
 		this->plan.held_by = "the availability budget is used up by failures";
 		return std::move(this->plan);
 	}
-	uint32 room = available - required;
-	int64 settled_room = this->SettledRoom(hosts);
-	const bool spares_moves = spec->second.weight_moves > spec->second.weight_buffer;
-	uint32 may_take = P::MayTake(this->state, spec->second, out);
+	uint32 spare_hosts = available - required;
+	int64 settled_capacity = this->SettledCapacity(hosts);
+	const bool avoids_moves = spec->second.weight_moves > spec->second.weight_buffer;
+	uint32 max_drains = P::MaxDrains(this->state, spec->second, out);
 	for (const auto &[host, wave] : this->Pending(hosts))
 	{
-		if (may_take == 0)
+		if (max_drains == 0)
 		{
-			this->plan.held_by = "as many hosts are out as the wave's width allows";
+			this->plan.held_by = "the width of the wave: no more hosts may be out at the same time";
 			break;
 		}
-		// A replica that goes to a host which the wave has yet to take is moved twice. One host must begin where none is settled
-		const bool fits_settled = host->used.cpu_milli <= settled_room;
-		if (P::cChecksRoom && spares_moves && !fits_settled && out + this->plan.drains > 0)
+		// A replica that moves to a host which the wave has yet to take is moved twice. The first host must be drained even if no host is
+		// settled
+		const bool fits_settled = host->used.cpu_milli <= settled_capacity;
+		if (P::cChecksCapacity && avoids_moves && !fits_settled && out + this->plan.drains > 0)
 		{
-			this->plan.held_by = "moves: the hosts that are done have no room yet for the replicas of one more";
+			this->plan.held_by = "moves: the hosts that are done do not have the free capacity yet for the replicas of one more host";
 			break;
 		}
-		const bool counts = gone.count(host->spec.name) == 0;
-		if (counts && room == 0)
+		const bool counts = unavailable.count(host->spec.name) == 0;
+		if (counts && spare_hosts == 0)
 		{
-			this->plan.held_by = "the availability budget (" + std::to_string(required) + " hosts)";
+			this->plan.held_by = "the availability budget (" + std::to_string(required) + " hosts must stay available)";
 			break;
 		}
-		if (counts && P::cChecksRoom)
+		if (counts && P::cChecksCapacity)
 		{
-			std::set<std::string> with = gone;
-			with.insert(host->spec.name);
-			if (!this->LeavesRoom(spec->second, with, out + this->plan.drains > 0))
+			std::set<std::string> unavailable_then = unavailable;
+			unavailable_then.insert(host->spec.name);
+			if (!this->KeepsBuffer(spec->second, unavailable_then, out + this->plan.drains > 0))
 			{
-				this->plan.held_by = "the buffer: the replicas of one more host would find no room";
+				this->plan.held_by = "the buffer: the replicas of one more host would not fit";
 				continue;
 			}
 		}
 		this->plan.proposals.emplace_back(StepHost{host->spec.name, EHostStep::Drain, host->generation, wave, "wave"});
-		settled_room -= host->used.cpu_milli;
+		settled_capacity -= host->used.cpu_milli;
 		++this->plan.drains;
-		--may_take;
-		room -= counts ? 1 : 0;
-		gone.insert(host->spec.name);
+		--max_drains;
+		spare_hosts -= counts ? 1 : 0;
+		unavailable.insert(host->spec.name);
 	}
 	return std::move(this->plan);
 }
 
 template <WavePolicy P>
-void BasicWavePlanner<P>::TakeBack(const std::vector<const Host *> &inHosts)
+void BasicWavePlanner<P>::CancelDrains(const std::vector<const Host *> &inHosts)
 {
-	// The fullest first: they need the least to serve again
+	// The hosts with the most replicas first: they need the least to take requests again
 	std::vector<const Host *> draining;
 	for (const Host *host : inHosts)
 		if (host->phase == EHostPhase::Draining && host->health == EHostHealth::Healthy && !host->quarantined && !host->wave.empty())
@@ -116,14 +117,14 @@
 		{
 			auto entry = wave.hosts.find(host->spec.name);
 			const bool waits = entry != wave.hosts.end() && entry->second == EWaveHost::Pending;
-			// A failed host may be at work behind a cut; it waits until it answers or is gone
+			// A failed host may still be running behind a network partition; it waits until it answers or is removed
 			if (waits && host->phase == EHostPhase::Active && host->health != EHostHealth::Failed)
 				pending.emplace_back(host, name);
 		}
 	}
 	if (P::cFewestReplicasFirst)
 	{
-		// Hosts that already count as unavailable leave for nothing; then the emptiest
+		// Hosts that already count as unavailable cost no availability, so they go first; then those with the fewest replicas
 		std::stable_sort(pending.begin(), pending.end(),
 						 [](const auto &inA, const auto &inB)
 						 {
@@ -136,24 +137,24 @@
 }
 
 template <WavePolicy P>
-bool BasicWavePlanner<P>::LeavesRoom(const PoolSpec &inPool, const std::set<std::string> &inGone, bool inAnyOut) const
+bool BasicWavePlanner<P>::KeepsBuffer(const PoolSpec &inPool, const std::set<std::string> &inUnavailable, bool inAnyOut) const
 {
-	const Buffer buffer = ReckonBuffer(this->state, inPool, inGone);
+	const Buffer buffer = ReckonBuffer(this->state, inPool, inUnavailable);
 	return buffer.Spare() >= (inAnyOut ? buffer.wanted : 0);
 }
 
 template <WavePolicy P>
-int64 BasicWavePlanner<P>::SettledRoom(const std::vector<const Host *> &inHosts) const
+int64 BasicWavePlanner<P>::SettledCapacity(const std::vector<const Host *> &inHosts) const
 {
-	int64 room = 0;
+	int64 free_cpu = 0;
 	for (const Host *host : inHosts)
 	{
 		const bool stays = host->IsAvailable() && !IsPendingInWave(this->state, host->spec.name);
-		room += stays ? host->Free().cpu_milli : 0;
-		// What is on its way off a draining host will take its part of the room
-		room -= host->phase == EHostPhase::Draining ? host->used.cpu_milli : 0;
+		free_cpu += stays ? host->Free().cpu_milli : 0;
+		// The replicas of a draining host will take their part of the capacity
+		free_cpu -= host->phase == EHostPhase::Draining ? host->used.cpu_milli : 0;
 	}
-	return room;
+	return free_cpu;
 }
 
 } // namespace Loomreach
--- a/Loomreach/Forward/ForwardPlan.cpp
+++ b/Loomreach/Forward/ForwardPlan.cpp
@@ -66,7 +66,7 @@
 	const Millis elapsed = inNow - this->window_began;
 	if (elapsed < this->tuning.window_ms)
 		return;
-	// If more than a window has passed without an order, the count of the window before says nothing about the present load
+	// If no order arrived for more than a window, the count says nothing about the present load
 	const int64 orders = elapsed < 2 * this->tuning.window_ms ? this->orders_in_window : 0;
 	const int64 percent = orders * this->tuning.order_cost_us * 100 / std::max<int64>(1, elapsed * this->tuning.processor_milli);
 	const bool was_forwarding = this->forwarding;
