--- a/Loomreach/Fleet/PlacementPlanner.cpp
+++ b/Loomreach/Fleet/PlacementPlanner.cpp
@@ -25,7 +25,7 @@
 	if (found == inState.jobs.end())
 		return "The settings declare no such job.";
 	const JobSpec &job = found->second;
-	const std::string size = std::to_string(job.need.cpu_milli) + " thousandths of a CPU core, " + std::to_string(job.need.memory_mb) +
+	const std::string size = std::to_string(job.need.cpu_milli) + " thousandths of a core, " + std::to_string(job.need.memory_mb) +
 							 " MB and " + std::to_string(job.need.accelerators) + " accelerators";
 	switch (inUnplaced.why)
 	{
@@ -37,8 +37,8 @@
 		return "Every host of " + job.pool + " that could hold " + size + " is full with work of priority " + std::to_string(job.priority) +
 			   " or higher.";
 	case EUnplaced::WaitsForHosts:
-		return "It waits briefly for hosts of " + job.pool + " that are starting, rather than share a host with another replica.";
-	case EUnplaced::BackingOff: return "It failed on several hosts and waits before its next attempt.";
+		return "It waits briefly for hosts of " + job.pool + " that are starting up, rather than share a host with another replica.";
+	case EUnplaced::BackingOff: return "It failed on several hosts and waits before it is tried again.";
 	}
 	return {};
 }
--- a/Loomreach/Fleet/TeamShares.cpp
+++ b/Loomreach/Fleet/TeamShares.cpp
@@ -46,8 +46,8 @@
 		return true;
 	const auto has_asked = [this](uint32 inCell)
 	{
-		auto state = this->cell_states.find(inCell);
-		return state != this->cell_states.end() && state->second.asked_this_owner;
+		auto found = this->known_cells.find(inCell);
+		return found != this->known_cells.end() && found->second.asked_this_owner;
 	};
 	return !this->cells.empty() && std::all_of(this->cells.begin(), this->cells.end(), has_asked);
 }
@@ -69,14 +69,15 @@
 	Resources left = inLimit;
 	Resources spare = inLimit;
 	spare.Subtract(demand);
-	for (const auto &[cell, state] : this->cell_states)
+	for (const auto &[cell, other_cell] : this->known_cells)
 	{
-		auto found = state.teams.find(inClaim.team);
-		if (cell == inCell || found == state.teams.end())
+		auto found = other_cell.teams.find(inClaim.team);
+		if (cell == inCell || found == other_cell.teams.end())
 			continue;
-		const TeamState &other = found->second;
+		const KnownTeam &other = found->second;
 		free.Subtract(other.may_hold);
-		const bool before = inNow - state.heard_at < cDemandFreshMs && TeamShares::Precedes(cell, other.claim, inCell, inClaim, inLimit);
+		const bool before =
+			inNow - other_cell.heard_at < cDemandFreshMs && TeamShares::Precedes(cell, other.claim, inCell, inClaim, inLimit);
 		left.Subtract(other.claim.used);
 		spare.Subtract(other.claim.used);
 		spare.Subtract(other.claim.wanted);
@@ -94,36 +95,36 @@
 ShareAnswer TeamShares::OnQuestion(const ShareQuestion &inQuestion, Millis inNow)
 {
 	ShareAnswer answer;
-	CellState &known = this->cell_states[inQuestion.cell];
+	KnownCell &known = this->known_cells[inQuestion.cell];
 	// Questions and answers may be reordered, and a superseded owner may still ask
 	if (inQuestion.fleet_epoch > this->epoch || inQuestion.epoch < known.epoch ||
 		(inQuestion.epoch == known.epoch && inQuestion.number < known.number))
 		return answer;
 	const bool repeated = inQuestion.epoch == known.epoch && inQuestion.number == known.number;
-	std::map<std::string, TeamState> teams;
+	std::map<std::string, KnownTeam> teams;
 	for (const TeamClaim &claim : inQuestion.claims)
 	{
-		TeamState &state = teams[claim.team];
-		state.claim = claim;
-		state.may_hold = GreatestOf(claim.used, claim.held);
+		KnownTeam &known_team = teams[claim.team];
+		known_team.claim = claim;
+		known_team.may_hold = GreatestOf(claim.used, claim.held);
 		// The answer to the first copy of the question may still be in flight
 		if (auto earlier = known.teams.find(claim.team); repeated && earlier != known.teams.end())
-			state.may_hold = GreatestOf(state.may_hold, earlier->second.may_hold);
+			known_team.may_hold = GreatestOf(known_team.may_hold, earlier->second.may_hold);
 	}
 	const bool asked_this_owner = inQuestion.fleet_epoch == this->epoch;
 	known = {inQuestion.epoch, inQuestion.number, inNow, asked_this_owner, std::move(teams)};
 	answer.number = inQuestion.number;
 	answer.fleet_epoch = this->epoch;
 	const bool knows_all = this->KnowsAllGrants(inNow);
-	for (auto &[team, state] : known.teams)
+	for (auto &[team, known_team] : known.teams)
 	{
 		const Resources *limit = this->limits.Find(team);
 		if (limit == nullptr)
 			continue;
-		Resources share = this->LimitOf(inQuestion.cell, state.claim, *limit, inNow);
+		Resources share = this->LimitOf(inQuestion.cell, known_team.claim, *limit, inNow);
 		if (!knows_all || !asked_this_owner)
-			share = LeastOf(share, state.claim.held);
-		state.may_hold = GreatestOf(state.may_hold, share);
+			share = LeastOf(share, known_team.claim.held);
+		known_team.may_hold = GreatestOf(known_team.may_hold, share);
 		answer.shares.push_back({team, share});
 	}
 	return answer;
--- a/Loomreach/Fleet/TeamShares.h
+++ b/Loomreach/Fleet/TeamShares.h
@@ -27,19 +27,19 @@
 
 private:
 	/// State of a team in a cell.
-	struct TeamState
+	struct KnownTeam
 	{
 		TeamClaim claim;
 		Resources may_hold; ///< The most that the cell may hold.
 	};
 	/// The last question of the owner of a cell.
-	struct CellState
+	struct KnownCell
 	{
 		uint64 epoch = 0;
 		uint64 number = 0;
 		Millis heard_at = 0;
 		bool asked_this_owner = false; ///< Whether it was asked after an answer of this owner of the fleet cell.
-		std::map<std::string, TeamState> teams;
+		std::map<std::string, KnownTeam> teams;
 	};
 
 	/// Whether everything that an earlier owner granted is known or has expired.
@@ -54,7 +54,7 @@
 	Millis runs_ended_ms;
 	TeamLimits limits;
 	std::set<uint32> cells;
-	std::map<uint32, CellState> cell_states;
+	std::map<uint32, KnownCell> known_cells;
 };
 
 } // namespace Loomreach::Jobs
--- a/Loomreach/Fleet/WavePlanner.inl
+++ b/Loomreach/Fleet/WavePlanner.inl
@@ -51,7 +51,7 @@
 		const bool fits_settled = host->used.cpu_milli <= settled_capacity;
 		if (P::cChecksCapacity && avoids_moves && !fits_settled && out + this->plan.drains > 0)
 		{
-			this->plan.held_by = "moves: the hosts that are done do not have the free capacity yet for the replicas of one more host";
+			this->plan.held_by = "moves: the hosts that are done have no room yet for the replicas of one more host";
 			break;
 		}
 		const bool counts = unavailable.count(host->spec.name) == 0;
@@ -66,7 +66,7 @@
 			unavailable_then.insert(host->spec.name);
 			if (!this->KeepsBuffer(spec->second, unavailable_then, out + this->plan.drains > 0))
 			{
-				this->plan.held_by = "the buffer: the replicas of one more host would not fit";
+				this->plan.held_by = "the buffer: there would be no room for the replicas of one more host";
 				continue;
 			}
 		}
--- a/Loomreach/Job/JobRecord.cpp
+++ b/Loomreach/Job/JobRecord.cpp
@@ -36,7 +36,7 @@
 		return FailFalse(EError::BadRequest, name + ": resources must not be negative");
 	for (uint32 before : inStep.after)
 		if (before >= inNumber)
-			return FailFalse(EError::BadRequest, name + ": may only depend on earlier steps");
+			return FailFalse(EError::BadRequest, name + ": may only run after earlier steps");
 	return true;
 }
 
@@ -56,7 +56,7 @@
 		tasks += static_cast<uint64>(inSpec.steps[i].count) * inSpec.Rounds();
 	}
 	if (tasks > cMaxTasks)
-		return FailFalse(EError::BadRequest, "the job has too many tasks over all steps and rounds");
+		return FailFalse(EError::BadRequest, "the job has too many tasks in all its steps and rounds");
 	return true;
 }
 
