--- a/Loomreach/Request/ClaimTable.cpp
+++ b/Loomreach/Request/ClaimTable.cpp
@@ -1,4 +1,4 @@
-// Granting, handing over and expiring claims.
+// Grants, hands over and expires claims.
 
 #include <Loomreach/Loomreach.h>
 
@@ -21,14 +21,15 @@
 			this->groups[range] = ClaimGroupOf(inState.view, range);
 		const bool held = this->holders[range].count(this->self) != 0;
 		this->holders[range] = inState.claim_holders[range];
-		// Its predecessor under the same name held the range; this process holds nothing of it
+		// An earlier process of the same name may have held the range; this process has none of its claims
 		if (!is_member)
 		{
 			std::erase(this->groups[range], this->self);
 			this->holders[range].erase(this->self);
 		}
 		const bool holds = this->holders[range].count(this->self) != 0;
-		// What this member no longer holds is incomplete from now on; what it took in under an older view is too
+		// Claims of a range that this member no longer holds are incomplete from now on; so are those that it took over under an older
+		// view
 		if (!holds && (held || new_view))
 		{
 			this->size -= this->claims[range].size();
@@ -59,8 +60,8 @@
 	if (inView != this->view)
 		return inView < this->view ? EClaim::OldView : EClaim::NotReady;
 	const std::vector<std::string> &group = this->groups[inRange];
-	const bool guards = std::find(group.begin(), group.end(), this->self) != group.end();
-	if (!guards || this->holders[inRange].count(this->self) == 0 || !inLeaseHolds)
+	const bool is_in_group = std::find(group.begin(), group.end(), this->self) != group.end();
+	if (!is_in_group || this->holders[inRange].count(this->self) == 0 || !inLeaseHolds)
 		return EClaim::NotReady;
 	auto found = this->claims[inRange].find(inId);
 	if (found != this->claims[inRange].end())
@@ -68,10 +69,10 @@
 		outHolder = found->second.owner;
 		return found->second.owner == inOwner ? EClaim::Granted : EClaim::Taken;
 	}
-	// A full table refuses; it never forgets a claim early
+	// A full table refuses new claims; it never drops one before it expires
 	if (this->size >= cMaxClaims)
 		return EClaim::NotReady;
-	this->claims[inRange].emplace(inId, Kept{inOwner, inNow});
+	this->claims[inRange].emplace(inId, StoredClaim{inOwner, inNow});
 	this->order.emplace_back(inNow, std::pair(inRange, inId));
 	++this->size;
 	outHolder = inOwner;
@@ -83,8 +84,8 @@
 	if (inRange >= cClaimRanges || this->view < inView || this->holders[inRange].count(this->self) == 0)
 		return Fail(EError::ViewRejected, "this member does not hold the range at that view");
 	std::vector<Claim> all;
-	for (const auto &[id, kept] : this->claims[inRange])
-		all.push_back({id, kept.owner});
+	for (const auto &[id, stored] : this->claims[inRange])
+		all.push_back({id, stored.owner});
 	return all;
 }
 
@@ -92,7 +93,7 @@
 {
 	for (const Claim &claim : inClaims)
 	{
-		if (!this->claims[inRange].emplace(claim.id, Kept{claim.owner, inNow}).second)
+		if (!this->claims[inRange].emplace(claim.id, StoredClaim{claim.owner, inNow}).second)
 			continue;
 		this->order.emplace_back(inNow, std::pair(inRange, claim.id));
 		++this->size;
@@ -105,8 +106,8 @@
 	for (uint32 range = 0; range < cClaimRanges; ++range)
 	{
 		const std::vector<std::string> &group = this->groups[range];
-		const bool guards = std::find(group.begin(), group.end(), this->self) != group.end();
-		if (guards && this->holders[range].count(this->self) == 0 && !this->holders[range].empty())
+		const bool is_in_group = std::find(group.begin(), group.end(), this->self) != group.end();
+		if (is_in_group && this->holders[range].count(this->self) == 0 && !this->holders[range].empty())
 			missing.emplace_back(range, *this->holders[range].begin());
 	}
 	return missing;
--- a/Loomreach/Request/ClaimTable.h
+++ b/Loomreach/Request/ClaimTable.h
@@ -1,5 +1,5 @@
-// Claims on callers' own ids, as one member of a claim group keeps them: which entry host alone may dispatch an id.
-// Pure: views, readiness and time come in. docs/design/at-most-once.md has the argument.
+// Claims on ids that callers chose, as one member of a claim group stores them: only the entry host that claimed an id may dispatch it.
+// Pure: does no I/O; views, readiness and time are passed in. docs/design/at-most-once.md explains why an id is dispatched at most once.
 
 #pragma once
 
@@ -9,7 +9,7 @@
 namespace Loomreach
 {
 
-/// A claim: the entry host's incarnation that alone may dispatch the id.
+/// A claim: only this incarnation of an entry host may dispatch the id.
 struct Claim
 {
 	std::string id; ///< Service and id, joined.
@@ -31,47 +31,50 @@
 	NotReady ///< The member does not hold the range yet, its lease has run out, or its table is full.
 };
 
-/// One member's table.
+/// The claims that one member stores.
 class ClaimTable
 {
 public:
+	/// Claims over all ranges; a full table refuses new ones.
 	static constexpr size_t cMaxClaims = 200'000;
+	/// A claim expires after six hours.
 	static constexpr Millis cKeepMs = Millis(6) * 3600 * 1000;
 
 	ClaimTable(std::string inSelf, uint64 inIncarnation) : self(std::move(inSelf)), incarnation(inIncarnation) {}
 
-	/// Takes note of the accepted view and of who holds which range. Never goes back to an older view.
+	/// Applies the accepted view and who holds which range. The view never goes back to an older one.
 	void Update(const FleetState &inState);
-	/// The view that the table is at.
+	/// Number of the view that was applied last.
 	uint64 ViewNumber() const { return this->view; }
-	/// Answers a claim of `inOwner` made under `inView`. With Taken, `outHolder` is the other incarnation.
+	/// Answers a claim that `inOwner` made under `inView`. With Taken, `outHolder` is the other incarnation.
 	EClaim Answer(const std::string &inId, uint32 inRange, uint64 inOwner, uint64 inView, bool inLeaseHolds, Millis inNow,
 				  uint64 &outHolder);
-	/// All claims of a range, for a member that takes over; nothing unless this member holds the range and is at the view asked for or a
-	/// later one.
+	/// All claims of a range, for a member that takes it over. Fails with view-rejected unless this member holds the range and has
+	/// applied that view or a later one.
 	std::optional<std::vector<Claim>> HandOver(uint32 inRange, uint64 inView) const;
-	/// Takes over claims that a holder has handed over.
+	/// Stores claims that a holder has handed over.
 	void TakeIn(uint32 inRange, const std::vector<Claim> &inClaims, Millis inNow);
-	/// Ranges that this member guards under its view and does not hold yet, with a holder to ask for each.
+	/// Ranges whose group this member belongs to under its view and that it does not hold yet, each with a holder to ask.
 	std::vector<std::pair<uint32, std::string>> Missing() const;
 	size_t Size() const { return this->size; }
 
 private:
-	/// A claim with its age.
-	struct Kept
+	/// A claim, and when it was stored.
+	struct StoredClaim
 	{
 		uint64 owner = 0;
 		Millis since = 0;
 	};
 
+	/// Drops claims older than cKeepMs.
 	void Expire(Millis inNow);
 
 	std::string self;
-	uint64 incarnation; ///< A view that names another incarnation of this member speaks of a process whose memory is gone.
+	uint64 incarnation; ///< If a view names another incarnation of this member, it refers to an earlier process, whose memory is lost.
 	uint64 view = 0;
 	std::array<std::vector<std::string>, cClaimRanges> groups;
 	std::array<std::set<std::string>, cClaimRanges> holders;
-	std::array<std::unordered_map<std::string, Kept>, cClaimRanges> claims;
+	std::array<std::unordered_map<std::string, StoredClaim>, cClaimRanges> claims;
 	std::deque<std::pair<Millis, std::pair<uint32, std::string>>> order; ///< By age, for expiry.
 	size_t size = 0;
 };
--- a/Loomreach/Request/IdWindow.cpp
+++ b/Loomreach/Request/IdWindow.cpp
@@ -1,4 +1,4 @@
-// Bounded memory of request ids.
+// Remembers request ids within fixed bounds.
 
 #include <Loomreach/Loomreach.h>
 
@@ -26,7 +26,7 @@
 
 IdVerdict IdWindow::BeginIssued(uint64 inSequence)
 {
-	if (inSequence == 0 || inSequence > this->last_issued || inSequence <= this->floor)
+	if (inSequence == 0 || inSequence > this->last_issued || inSequence <= this->forgotten_up_to)
 		return {EIdUse::Forgotten, nullptr};
 	const IdVerdict verdict = this->Begin(this->issued[inSequence]);
 	if (this->issued.size() > cMaxIds)
@@ -37,8 +37,8 @@
 void IdWindow::ForgetOldest()
 {
 	auto oldest = this->issued.begin();
-	LOOM_INVARIANT(oldest->first > this->floor, "the window only moves forward");
-	this->floor = oldest->first;
+	LOOM_INVARIANT(oldest->first > this->forgotten_up_to, "the window only moves forward");
+	this->forgotten_up_to = oldest->first;
 	if (oldest->second.answer.has_value())
 		this->answer_bytes -= oldest->second.answer->body.size();
 	this->issued.erase(oldest);
@@ -55,7 +55,7 @@
 bool IdWindow::AddOwn(const std::string &inId)
 {
 	if (this->own.size() >= cMaxIds)
-		return FailFalse(EError::NotAccepted, "the window of callers' own ids is full");
+		return FailFalse(EError::NotAccepted, "the table of callers' own ids is full");
 	this->own.try_emplace(inId);
 	return true;
 }
@@ -78,7 +78,7 @@
 	Record *record = this->FindKey(inKey);
 	if (record == nullptr)
 		return;
-	LOOM_INVARIANT(record->begun && !record->answer.has_value(), "only what was taken and has no answer can turn out as not run");
+	LOOM_INVARIANT(record->begun && !record->answer.has_value(), "only a request that began and has no answer can be reported as not run");
 	record->begun = false;
 }
 
@@ -91,7 +91,7 @@
 	this->answer_bytes += inAnswer.body.size();
 	record->answer = std::move(inAnswer);
 	this->answer_order.push_back(inKey);
-	// Answers go before ids do: a repeat of a forgotten answer is "unknown", never run
+	// Answers are dropped before ids: a repeat of a request whose answer was dropped is "unknown" and never runs again
 	while (this->answer_bytes > cMaxAnswerBytes || this->answer_order.size() > cMaxIds)
 	{
 		Record *oldest = this->FindKey(this->answer_order.front());
--- a/Loomreach/Request/IdWindow.h
+++ b/Loomreach/Request/IdWindow.h
@@ -1,5 +1,5 @@
-// What one entry host remembers of the ids that it alone may dispatch: the ones it issued, and callers' own ones that it has claimed.
-// An id begins at most once; a repeat gets the first run's answer, or "unknown".
+// What one entry host remembers of the ids that only it may dispatch: the ids that it issued, and those that callers chose and it has
+// claimed. A request begins at most once per id; a repeat gets the answer of the first run, or "unknown".
 
 #pragma once
 
@@ -8,7 +8,7 @@
 namespace Loomreach
 {
 
-/// An endpoint's whole answer, kept for repeats of its request.
+/// A complete answer of an endpoint, kept for repeats of the request.
 struct KeptAnswer
 {
 	uint32 status = 0;
@@ -16,23 +16,23 @@
 	std::string body;
 };
 
-/// What a request with an id may do.
+/// What may be done with a request that has an id.
 enum class EIdUse : uint8
 {
-	MayRun,   ///< It has certainly not begun.
-	Answered, ///< It ran; the answer is kept.
-	Begun,    ///< It began and has no kept answer: running, broken off, or too large to keep.
-	Forgotten ///< It fell out of the window: it may have run.
+	MayRun,   ///< It has certainly not begun and may run.
+	Answered, ///< It has run and its answer is kept.
+	Begun,    ///< It has begun and no answer is kept: still running, broken off, or the answer is too large.
+	Forgotten ///< The id is no longer in the window: it may have run.
 };
 
-/// A verdict on one id.
+/// The result for one id.
 struct IdVerdict
 {
 	EIdUse use = EIdUse::Forgotten;
-	const KeptAnswer *answer = nullptr; ///< With Answered; valid until the next call.
+	const KeptAnswer *answer = nullptr; ///< With Answered: the answer, valid until the next call.
 };
 
-/// The window. Memory is bounded by cMaxIds and cMaxAnswerBytes; what falls out is never run again.
+/// The window of ids. Memory is bounded by cMaxIds and cMaxAnswerBytes; a request whose id was dropped never runs again.
 class IdWindow
 {
 public:
@@ -42,23 +42,24 @@
 
 	/// The next sequence number to issue.
 	uint64 Issue() { return ++this->last_issued; }
-	/// Takes an issued id for running. MayRun marks it as begun.
+	/// Takes an issued id to run its request. MayRun marks it as begun.
 	IdVerdict BeginIssued(uint64 inSequence);
-	/// Takes a claimed id of a caller's own for running. MayRun marks it as begun.
+	/// Takes an id that a caller chose and this host has claimed, to run its request. MayRun marks it as begun.
 	IdVerdict BeginOwn(const std::string &inId);
-	/// Whether a caller's own id has a record here.
+	/// Whether there is a record of an id that a caller chose.
 	bool KnowsOwn(const std::string &inId) const { return this->own.count(inId) != 0; }
-	/// Makes a record for a caller's own id that is about to be claimed. False when the window is full.
+	/// Adds a record of an id that a caller chose and that is about to be claimed. False, with the error not-accepted, when the table is
+	/// full.
 	bool AddOwn(const std::string &inId);
-	/// The request certainly was not run after all: it may be taken again.
+	/// Call when the request has certainly not run after all: the id may be taken again.
 	void NotRun(const std::string &inKey);
-	/// The request ran, with this answer.
+	/// Call when the request has run with this answer.
 	void Ran(const std::string &inKey, KeptAnswer inAnswer);
-	/// The key under which NotRun and Ran know an issued id.
+	/// The key of an issued id for NotRun and Ran.
 	static std::string IssuedKey(uint64 inSequence);
 
 private:
-	/// One id that began or is claimed.
+	/// An id that has begun or is claimed.
 	struct Record
 	{
 		bool begun = false;
@@ -70,11 +71,11 @@
 	void ForgetOldest();
 
 	uint64 last_issued = 0;
-	uint64 floor = 0; ///< Issued ids up to this one have fallen out.
-	std::map<uint64, Record> issued;
-	std::unordered_map<std::string, Record> own;
-	size_t answer_bytes = 0;
-	std::deque<std::string> answer_order; ///< Keys with kept answers, the oldest first.
+	uint64 forgotten_up_to = 0;                  ///< Issued ids up to this one have been dropped.
+	std::map<uint64, Record> issued;             ///< By sequence number.
+	std::unordered_map<std::string, Record> own; ///< Ids that callers chose.
+	size_t answer_bytes = 0;                     ///< Total size of the kept answers.
+	std::deque<std::string> answer_order;        ///< Keys with kept answers, oldest first.
 };
 
 } // namespace Loomreach
