--- a/Loomreach/Request/Dispatcher.cpp
+++ b/Loomreach/Request/Dispatcher.cpp
@@ -13,7 +13,7 @@
 
 static constexpr uint32 cMaxAttempts = 16;
 static constexpr double cMaxRetryTokens = 10.0;
-static constexpr double cFirstRetryTokens = 3.0;
+static constexpr double cInitialRetryTokens = 3.0;
 static constexpr Millis cRateWindowMs = 1000;
 static constexpr double cRateSmoothing = 0.5;
 static constexpr uint32 cMaxRetryAfterS = 60;
@@ -43,9 +43,9 @@
 		auto [queue, is_new] = this->queues.try_emplace(path);
 		queue->second.policy = {job.priority, job.queue_limit, job.queue_share, job.long_requests, job.retry_budget_percent};
 		if (is_new)
-			queue->second.retry_tokens = cFirstRetryTokens;
+			queue->second.retry_tokens = cInitialRetryTokens;
 	}
-	// A service that is declared no longer refuses what waits; its queue goes with its last attempt
+	// Waiting requests of a service that is no longer declared are refused; its queue is removed after its last attempt
 	std::vector<RequestId> orphans;
 	for (const auto &[path, queue] : this->queues)
 		if (auto job = inState.jobs.find(path); job == inState.jobs.end() || !job->second.is_service)
@@ -80,19 +80,19 @@
 
 Millis Dispatcher::ExpectedWait(const Queue &inQueue, size_t inAhead) const
 {
-	// Without a rate yet there is no evidence to refuse by
+	// Without a rate so far there is no evidence for a refusal
 	if (inQueue.starts_per_s <= 0.0)
 		return 0;
 	return static_cast<Millis>(1000.0 * static_cast<double>(inAhead) / inQueue.starts_per_s);
 }
 
-bool Dispatcher::MakePlace(Queue &ioQueue, const Request &inRequest, std::vector<Decision> &outDecisions)
+bool Dispatcher::EvictLowerPriority(Queue &ioQueue, const Request &inRequest, std::vector<Decision> &outDecisions)
 {
 	if (ioQueue.waiting.size() < ioQueue.policy.queue_limit)
 		return true;
 	if (ioQueue.waiting.empty())
 		return false;
-	// The least important of the youngest gives way, if it is less important
+	// The youngest request of the lowest priority is evicted, if that priority is lower
 	const auto last = std::prev(ioQueue.waiting.end());
 	if (-last->first.first >= inRequest.spec.priority)
 		return false;
@@ -115,24 +115,24 @@
 	queue.retry_tokens = std::min(cMaxRetryTokens, queue.retry_tokens + queue.policy.retry_budget_percent / 100.0);
 	if (!this->endpoints.HasAny(request.spec.job))
 		return this->Refuse(id, EError::NoEndpoint, outDecisions);
-	// Ahead of it: all that wait with its priority or a higher one
+	// Ahead of it are all waiting requests of the same or a higher priority
 	const auto behind = queue.waiting.upper_bound({-request.spec.priority, request.arrival});
 	const size_t ahead = static_cast<size_t>(std::distance(queue.waiting.begin(), behind));
 	if (ahead > 0 && inNow + this->ExpectedWait(queue, ahead) >= this->LatestStart(queue, request))
 		return this->Refuse(id, EError::DeadlineUnmet, outDecisions);
 	this->Enqueue(request);
 	this->StartAll(inNow, outDecisions);
-	// What could not start waits only if its queue has room
+	// A request that could not start waits only if its queue has a free place
 	auto still = this->requests.find(id);
 	if (still == this->requests.end() || !still->second.host.empty() || queue.waiting.size() <= queue.policy.queue_limit)
 		return;
 	this->Dequeue(still->second);
-	if (!this->MakePlace(queue, still->second, outDecisions))
+	if (!this->EvictLowerPriority(queue, still->second, outDecisions))
 		return this->Refuse(id, EError::QueueFull, outDecisions);
 	this->Enqueue(still->second);
 }
 
-void Dispatcher::NoteStart(Queue &ioQueue, Millis inNow)
+void Dispatcher::RecordStart(Queue &ioQueue, Millis inNow)
 {
 	++ioQueue.rate_starts;
 	const Millis window = inNow - ioQueue.rate_since;
@@ -144,7 +144,7 @@
 	ioQueue.rate_starts = 0;
 }
 
-void Dispatcher::NoteDuration(Queue &ioQueue, Millis inDuration)
+void Dispatcher::RecordDuration(Queue &ioQueue, Millis inDuration)
 {
 	const double duration = static_cast<double>(inDuration);
 	if (ioQueue.duration_ms <= 0.0)
@@ -153,15 +153,15 @@
 		ioQueue.deviation_ms = duration / 2;
 		return;
 	}
-	// Smoothed mean and deviation, as TCP keeps them of round trips
+	// Smoothed mean and deviation, as TCP estimates round-trip times
 	ioQueue.deviation_ms += cDeviationGain * (std::abs(duration - ioQueue.duration_ms) - ioQueue.deviation_ms);
 	ioQueue.duration_ms += cDurationGain * (duration - ioQueue.duration_ms);
 }
 
 Millis Dispatcher::LatestStart(const Queue &inQueue, const Request &inRequest) const
 {
-	// A request that starts too late to end in time is work for nobody. At most half its time is kept for running, so that
-	// a wrong figure cannot refuse everything
+	// A request that starts too late to meet its deadline is wasted work. At most half of its time is reserved for running, so that a
+	// wrong estimate cannot refuse every request
 	const Millis half = (inRequest.spec.deadline - inRequest.arrived) / 2;
 	const Millis needed = inQueue.policy.is_long ? 0 : static_cast<Millis>(inQueue.duration_ms + 2 * inQueue.deviation_ms);
 	return inRequest.spec.deadline - std::min(needed, half);
@@ -179,7 +179,7 @@
 	++ioRequest.attempts;
 	++queue.in_flight;
 	++this->attempts;
-	this->NoteStart(queue, inNow);
+	this->RecordStart(queue, inNow);
 	Decision decision;
 	decision.request = ioRequest.spec.id;
 	decision.kind = EDecision::Start;
@@ -207,7 +207,7 @@
 
 bool Dispatcher::StartNext(Millis inNow, std::vector<Decision> &outDecisions)
 {
-	// Order of services: those owed a start by their share, then by the priority of their first request
+	// Services that are owed a start by their share first, then by the priority of their first request
 	std::vector<std::pair<std::pair<int, int64>, Queue *>> order;
 	for (auto &[path, queue] : this->queues)
 		if (!queue.waiting.empty())
@@ -248,7 +248,7 @@
 		this->Dequeue(found->second);
 		if (AnswerOf(inError).come_back)
 		{
-			// Come back when what waits now has gone
+			// The caller should retry when the requests that wait now have been started
 			const Millis wait = this->ExpectedWait(queue->second, queue->second.waiting.size());
 			const uint32 seconds = static_cast<uint32>((wait + 999) / 1000);
 			decision.retry_after_s = std::clamp(seconds, cDefaultRetryAfterS, cMaxRetryAfterS);
@@ -282,7 +282,7 @@
 	switch (inResult)
 	{
 	case EAttempt::NotBegun:
-		// The endpoint's word that no slot was free is a wait, not a failure; it costs no budget
+		// An endpoint without a free slot is a reason to wait, not a failure: the retry costs no budget
 		reason = ERetry::EndpointFull;
 		ioRequest.tried.clear();
 		break;
@@ -311,12 +311,12 @@
 	request.host.clear();
 	--queue.in_flight;
 	if (inResult == EAttempt::Answered)
-		this->NoteDuration(queue, inNow - request.started);
+		this->RecordDuration(queue, inNow - request.started);
 	if (inResult == EAttempt::Broke || inResult == EAttempt::TimedOut)
 		request.may_have_run = true;
 	if (this->MayRetry(request, inResult, inRelayed, inNow))
 	{
-		// It keeps its place by age, so a retry does not go to the end of the queue
+		// It keeps its place by arrival, so a retry does not go to the end of the queue
 		this->Enqueue(request);
 		return this->StartAll(inNow, outDecisions);
 	}
--- a/Loomreach/Request/EndpointTable.cpp
+++ b/Loomreach/Request/EndpointTable.cpp
@@ -1,4 +1,4 @@
-// Choice, ejection and probation of endpoints.
+// Chooses, ejects and readmits endpoints.
 
 #include <Loomreach/Loomreach.h>
 
@@ -12,7 +12,7 @@
 static constexpr Millis cFirstEjectionMs = 1000;
 static constexpr Millis cMaxEjectionMs = 30'000;
 static constexpr Millis cFullPauseMs = 20;
-static constexpr Millis cLeavingMemoryMs = 10'000;
+static constexpr Millis cLeavingRememberedMs = 10'000;
 static constexpr uint32 cMaxEjectionShift = 5;
 
 void EndpointTable::Update(const FleetState &inState, const std::set<std::string> &inLeaving)
@@ -52,7 +52,7 @@
 			if (auto endpoint = this->endpoints.find(host); endpoint != this->endpoints.end() && host_state == EWaveHost::Pending)
 				endpoint->second.will_leave = true;
 	}
-	// An endpoint that carries nothing is kept until its last request has ended
+	// An endpoint without services is kept until its last request has ended
 	std::erase_if(this->endpoints, [](const auto &inEntry) { return inEntry.second.services.empty() && inEntry.second.in_flight == 0; });
 }
 
@@ -62,7 +62,7 @@
 		return false;
 	if (inEndpoint.in_flight >= inEndpoint.limit)
 		return false;
-	// Long requests leave a quarter of the slots to the short ones that live on the same worker
+	// Long requests leave a quarter of the slots to the short requests on the same worker
 	const uint32 long_limit = inEndpoint.has_short ? std::max<uint32>(1, inEndpoint.limit * 3 / 4) : inEndpoint.limit;
 	return !inLong || inEndpoint.long_in_flight < long_limit;
 }
@@ -92,7 +92,7 @@
 	for (const std::string &host : inTried)
 		if (const Endpoint *endpoint = this->Find(host); endpoint != nullptr)
 			tried_racks.insert(endpoint->rack);
-	// When every endpoint is ejected, ejection is ignored: a guess beats a certain refusal
+	// When every endpoint is ejected, ejection is ignored: an attempt is better than a certain refusal
 	bool all_ejected = true;
 	for (const std::string &host : hosts->second)
 	{
@@ -110,7 +110,8 @@
 			continue;
 		if (!all_ejected && endpoint.IsSuspect() && endpoint.in_flight > 0)
 			continue;
-		// Not tried before, another rack, own availability zone, not about to leave, trusted, least loaded
+		// Compared in this order, lowest first: not tried before, in a rack not tried before, in the own availability zone, not about to
+		// leave (long requests), always equal, least loaded
 		const std::array<double, 6> score = {
 			inTried.count(host) != 0 ? 1.0 : 0.0,
 			tried_racks.count(endpoint.rack) != 0 ? 1.0 : 0.0,
@@ -138,8 +139,8 @@
 
 void EndpointTable::Eject(Endpoint &ioEndpoint, Millis inNow)
 {
-	const Millis pause = std::min(cMaxEjectionMs, cFirstEjectionMs << std::min(ioEndpoint.ejections, cMaxEjectionShift));
-	ioEndpoint.ejected_until = inNow + pause;
+	const Millis ejection_ms = std::min(cMaxEjectionMs, cFirstEjectionMs << std::min(ioEndpoint.ejections, cMaxEjectionShift));
+	ioEndpoint.ejected_until = inNow + ejection_ms;
 	++ioEndpoint.ejections;
 	ioEndpoint.failures = 0;
 }
@@ -164,7 +165,7 @@
 	case EAttempt::Refused: this->Eject(*endpoint, inNow); break;
 	case EAttempt::Broke:
 	case EAttempt::TimedOut:
-		// On probation one failure is enough
+		// During probation one failure is enough
 		if (++endpoint->failures >= cFailuresToEject || endpoint->IsSuspect())
 			this->Eject(*endpoint, inNow);
 		break;
@@ -177,7 +178,7 @@
 void EndpointTable::SawLeaving(const std::string &inHost, Millis inNow)
 {
 	if (Endpoint *endpoint = this->Find(inHost); endpoint != nullptr)
-		endpoint->leaving_until = inNow + cLeavingMemoryMs;
+		endpoint->leaving_until = inNow + cLeavingRememberedMs;
 }
 
 Endpoint *EndpointTable::Find(const std::string &inHost)
--- a/Loomreach/Request/EndpointTable.h
+++ b/Loomreach/Request/EndpointTable.h
@@ -1,5 +1,5 @@
-// What one entry host knows of each endpoint: whether it takes new work, its share of slots, what is in flight,
-// and the evidence by which a failing one is ejected and tried again.
+// What one entry host knows of each endpoint: whether it takes new requests, how many of its slots this entry host may use, what is in
+// flight, and the failures that lead to its ejection and probation.
 
 #pragma once
 
@@ -8,73 +8,75 @@
 namespace Loomreach
 {
 
-/// How one attempt at an endpoint ended.
+/// Outcome of one attempt at an endpoint.
 enum class EAttempt : uint8
 {
-	Answered, ///< A whole answer came.
-	NotBegun, ///< The endpoint's own word that it did not begin: no slot free, or it is leaving.
+	Answered, ///< A complete answer arrived.
+	NotBegun, ///< The endpoint answered that it did not begin: no slot is free, or it is leaving.
 	Refused,  ///< The connection was refused: it cannot have begun.
 	Broke,    ///< The connection or the answer broke off: it may have begun.
-	TimedOut, ///< No whole answer in time: it may have begun.
-	Abandoned ///< The caller went away.
+	TimedOut, ///< No complete answer in time: it may have begun.
+	Abandoned ///< The caller disconnected.
 };
 
-/// One worker as an endpoint.
+/// A worker that serves requests.
 struct Endpoint
 {
 	std::string host;
 	Address address;
 	std::string availability_zone;
 	std::string rack;
-	bool takes_work = false; ///< Placed, healthy, not leaving by any sign.
-	bool will_leave = false; ///< A running wave has yet to take it out: the last choice for long requests.
-	bool has_short = false;  ///< Carries a service whose requests are short.
-	uint32 slots = 0;
+	bool takes_work = false;        ///< Placed, healthy, and leaving by no indication.
+	bool will_leave = false;        ///< A running wave has yet to take its host out: last choice for long requests.
+	bool has_short = false;         ///< It carries a service with short requests.
+	uint32 slots = 0;               ///< Slots that the worker offers.
 	uint32 limit = 0;               ///< Slots that this entry host may use.
 	std::set<std::string> services; ///< Job paths placed on it.
 
-	uint32 in_flight = 0; ///< Of this entry host.
+	uint32 in_flight = 0; ///< Requests of this entry host.
 	uint32 long_in_flight = 0;
-	uint32 failures = 0;      ///< In a row.
-	Millis ejected_until = 0; ///< On probation afterwards: one request at a time until one is answered.
-	Millis full_until = 0;    ///< It said that it has no slot free.
-	Millis leaving_until = 0; ///< It said that it is leaving; kept until the log or the list tells the same.
-	uint32 ejections = 0;     ///< In a row, for the back-off.
+	uint32 failures = 0;      ///< Consecutive failures.
+	Millis ejected_until = 0; ///< Followed by probation: one request at a time until one is answered.
+	Millis full_until = 0;    ///< It answered that no slot is free.
+	Millis leaving_until = 0; ///< It answered that it is leaving; remembered until the log or the host list shows it.
+	uint32 ejections = 0;     ///< Consecutive ejections, for the back-off.
 
-	/// Ejected or on probation.
+	/// Whether it is ejected or on probation.
 	bool IsSuspect() const { return this->ejections > 0; }
 };
 
-/// The table.
+/// The endpoints that one entry host knows.
 class EndpointTable
 {
 public:
-	/// Takes over hosts and placements from the accepted state. Hosts in `inLeaving` take no new work whatever the log says.
+	/// Applies hosts and placements of the accepted state. Hosts in `inLeaving` take no new requests, whatever the log says.
 	void Update(const FleetState &inState, const std::set<std::string> &inLeaving);
-	/// The best endpoint for a request of a job, or nullptr. `inTried` and the racks of those come last.
+	/// The best endpoint for a request of a job, or nullptr. Endpoints in `inTried` and those in the same racks come last.
 	Endpoint *Choose(const std::string &inJob, bool inLong, const std::string &inZone, const std::set<std::string> &inTried, Millis inNow);
-	/// Whether any endpoint of the job takes work at all, now or when slots are free.
+	/// Whether any endpoint of the job takes requests, now or when a slot becomes free.
 	bool HasAny(const std::string &inJob) const;
-	/// How many endpoints carry a job.
+	/// Number of endpoints that carry a job.
 	uint32 CountOf(const std::string &inJob) const;
-	/// Notes the start of an attempt.
+	/// Records the start of an attempt.
 	void Started(Endpoint &ioEndpoint, bool inLong);
-	/// Notes the end of an attempt. The endpoint may meanwhile have left the table.
+	/// Records the end of an attempt. The endpoint may have been removed from the table meanwhile.
 	void Ended(const std::string &inHost, bool inLong, EAttempt inResult, Millis inNow);
-	/// Notes the endpoint's own sign that it is leaving.
+	/// Records that the endpoint has answered that it is leaving.
 	void SawLeaving(const std::string &inHost, Millis inNow);
 	/// The endpoint of a host, or nullptr.
 	Endpoint *Find(const std::string &inHost);
-	/// All endpoints, for shares and reports.
+	/// All endpoints by host.
 	std::map<std::string, Endpoint> &All() { return this->endpoints; }
 	const std::map<std::string, Endpoint> &All() const { return this->endpoints; }
 
 private:
+	/// Whether a request may start there now.
 	bool HasSlot(const Endpoint &inEndpoint, bool inLong, Millis inNow) const;
+	/// Ejects the endpoint. Each consecutive ejection lasts twice as long as the one before, up to a maximum.
 	void Eject(Endpoint &ioEndpoint, Millis inNow);
 
 	std::map<std::string, Endpoint> endpoints;
-	std::map<std::string, std::vector<std::string>> by_job; ///< Job path to hosts that carry it.
+	std::map<std::string, std::vector<std::string>> by_job; ///< Hosts that carry each job, by job path.
 };
 
 } // namespace Loomreach
--- a/Loomreach/Request/ShareUpdate.cpp
+++ b/Loomreach/Request/ShareUpdate.cpp
@@ -1,4 +1,4 @@
-// Limits from demands.
+// Computes slot limits from demands.
 
 #include <Loomreach/Loomreach.h>
 
@@ -16,7 +16,7 @@
 	return table;
 }
 
-/// A member's demand at one endpoint: that of each service it carries, spread over the endpoints that carry it.
+/// Demand of a member at one endpoint: its demand for each service there, divided by the number of endpoints that carry the service.
 static uint32 DemandAt(const Dispatcher &inDispatcher, const MemberDemand &inMember, const Endpoint &inEndpoint)
 {
 	uint32 demand = 0;
@@ -39,7 +39,7 @@
 		return;
 	for (auto &[host, endpoint] : ioDispatcher.Endpoints().All())
 	{
-		// An endpoint elsewhere that this entry host does not use needs no share
+		// An endpoint in another zone that this entry host does not use needs no share
 		if (endpoint.availability_zone != inOwnZone && endpoint.in_flight == 0)
 			continue;
 		std::vector<std::pair<uint64, const MemberDemand *>> order;
--- a/Loomreach/Request/ShareUpdate.h
+++ b/Loomreach/Request/ShareUpdate.h
@@ -1,4 +1,4 @@
-// Sets the slot limits of all endpoints that requests go to now, from the demand that members of the zone have reported.
+// Sets the slot limits of all endpoints in use from the demand that the members of the zone have reported.
 
 #pragma once
 
@@ -9,18 +9,18 @@
 namespace Loomreach
 {
 
-/// What one member of the zone has reported.
+/// Demand that one member of the zone has reported.
 struct MemberDemand
 {
 	std::string name;
-	bool is_self = false;                          ///< Its demand is then read from the dispatcher.
-	std::unordered_map<uint32, uint32> by_service; ///< Requests in flight and waiting, by short hash of the job's path.
+	bool is_self = false;                          ///< Whether it is this entry host; its demand is then read from the dispatcher.
+	std::unordered_map<uint32, uint32> by_service; ///< Requests in flight and waiting, by short hash of the job path.
 };
 
-/// A digest's demands as a table.
+/// The demands in a heartbeat message, by service.
 std::unordered_map<uint32, uint32> DemandByService(const Digest &inDigest);
 
-/// Works out the limits of all endpoints of services for which some member has demand, by the policy in use.
+/// Computes the limits of all endpoints in the own zone, and of those elsewhere that have requests in flight, with the policy in use.
 void UpdateLimits(Dispatcher &ioDispatcher, const std::string &inOwnZone, std::span<const MemberDemand> inMembers);
 
 } // namespace Loomreach
--- a/Loomreach/Request/SlotShare.cpp
+++ b/Loomreach/Request/SlotShare.cpp
@@ -1,4 +1,4 @@
-// The arithmetic of slot shares.
+// Computes slot shares.
 
 #include <Loomreach/Loomreach.h>
 
@@ -19,7 +19,7 @@
 uint32 DemandSlotShare::Limit(const ShareInput &inInput)
 {
 	const uint64 total = std::accumulate(inInput.demands.begin(), inInput.demands.end(), uint64(0));
-	// Where all demand fits there is nothing to share out: the free slots are anybody's
+	// If all demand fits, every member may use its own slots and all free ones
 	if (total <= inInput.slots)
 		return inInput.slots - static_cast<uint32>(total) + inInput.demands[inInput.self];
 	uint64 given = 0;
@@ -30,7 +30,7 @@
 		given += product / total;
 		remainders.emplace_back(product % total, i);
 	}
-	// Largest remainder first; equal ones in rendezvous order, the same at every entry host
+	// Largest remainder first; equal ones in rendezvous order, which is the same at every entry host
 	std::stable_sort(remainders.begin(), remainders.end(), [](const auto &inA, const auto &inB) { return inA.first > inB.first; });
 	uint32 limit = static_cast<uint32>(static_cast<uint64>(inInput.slots) * inInput.demands[inInput.self] / total);
 	for (uint64 i = 0; i < inInput.slots - given && i < remainders.size(); ++i)
--- a/Loomreach/Request/SlotShare.h
+++ b/Loomreach/Request/SlotShare.h
@@ -1,5 +1,5 @@
-// How entry hosts that do not see each other's requests share one worker's slots. Three policies were weighed;
-// docs/design/requests.md has the figures.
+// Policies by which entry hosts that do not see each other's requests share the slots of one worker. docs/design/requests.md compares the
+// three.
 
 #pragma once
 
@@ -8,7 +8,7 @@
 namespace Loomreach
 {
 
-/// What a share is worked out from.
+/// Input of a share.
 struct ShareInput
 {
 	uint32 slots = 0; ///< Slots that the worker offers.
@@ -17,7 +17,7 @@
 		demands; ///< Requests in flight and waiting of each member, as last reported; in rendezvous order for the worker.
 };
 
-/// A policy for the limit of one entry host at one worker.
+/// A policy computes the limit of one entry host at one worker.
 template <class P>
 concept SharePolicy = requires(const ShareInput &inInput)
 {
@@ -26,20 +26,21 @@
 		} -> std::same_as<uint32>;
 };
 
-/// An equal share, the remainder by rendezvous order. Never oversubscribes; wastes slots when the load is skewed.
+/// Equal shares; the remainder is assigned in rendezvous order. Never exceeds the slots of the worker, but wastes slots when the load is
+/// uneven.
 struct FixedSlotShare
 {
 	static uint32 Limit(const ShareInput &inInput);
 };
 
-/// Shares that follow the reported demand by largest remainders. A member without a share may borrow one slot: the worker
-/// has the last word and refuses what does not fit. The policy in use.
+/// The policy in use: shares in proportion to the reported demand, by largest remainders. A member without a share may still use one
+/// slot: the worker has the final decision and refuses requests for which it has no slot.
 struct DemandSlotShare
 {
 	static uint32 Limit(const ShareInput &inInput);
 };
 
-/// Every entry host takes all slots and the worker refuses what does not fit.
+/// Every entry host may use all slots, and the worker refuses requests for which it has none.
 struct EndpointRefusal
 {
 	static uint32 Limit(const ShareInput &inInput) { return inInput.slots; }
