--- a/Loomreach/Fleet/JobBackoff.cpp
+++ b/Loomreach/Fleet/JobBackoff.cpp
@@ -7,8 +7,8 @@
 namespace Loomreach
 {
 
-static constexpr Millis cFirstBackoffMs = 5000;
-static constexpr Millis cMaxBackoffMs = 300'000;
+static constexpr Millis cFirstJobBackoffMs = 5000;
+static constexpr Millis cMaxJobBackoffMs = 300'000;
 static constexpr uint32 cMaxDoublings = 6;
 
 std::set<std::string> JobBackoff::Waiting(const FleetState &inState, Millis inNow)
@@ -26,7 +26,7 @@
 		if (entry.last_failure != history.last_failure)
 		{
 			entry.last_failure = history.last_failure;
-			entry.until = inNow + std::min(cMaxBackoffMs, cFirstBackoffMs << std::min(entry.failures, cMaxDoublings));
+			entry.until = inNow + std::min(cMaxJobBackoffMs, cFirstJobBackoffMs << std::min(entry.failures, cMaxDoublings));
 			++entry.failures;
 		}
 		if (inNow < entry.until)
--- a/Loomreach/Fleet/PlacementPlanner.h
+++ b/Loomreach/Fleet/PlacementPlanner.h
@@ -94,12 +94,12 @@
 		Resources free;
 		std::map<std::string, int64> planned; ///< Replicas of each job that the plan places here.
 	};
-	/// A replica to be placed.
+	/// A declared replica that is not placed on an available host.
 	struct MissingReplica
 	{
 		ReplicaKey replica;
 		const JobSpec *job = nullptr;
-		const Placement *old = nullptr;
+		const Placement *old = nullptr; ///< Its placement on an unavailable host; nullptr: none.
 	};
 	/// Replicas of one job, counted by rack and zone.
 	struct Siblings
--- a/Loomreach/Fleet/PoolBalancer.cpp
+++ b/Loomreach/Fleet/PoolBalancer.cpp
@@ -50,7 +50,7 @@
 {
 	std::map<std::string, int64> current;
 	Resources total;
-	int64 hosts_up = 0;
+	int64 host_count = 0;
 	for (const auto &[name, host] : this->hosts)
 	{
 		auto move = this->moves.find(name);
@@ -59,17 +59,17 @@
 		if ((host.state == EHostState::Up || is_arriving) && !this->busy.contains(name) && !this->IsEvacuated(host))
 			++current[pool];
 		total.Add(host.capacity);
-		++hosts_up;
+		++host_count;
 	}
 	std::map<std::string, PoolSize> sizes;
 	for (const auto &[pool, latest] : this->demands)
 	{
-		if (inNow - latest.asked_at > this->tuning.fresh_ms || this->IsSpare(pool) || !this->pools.contains(pool) || hosts_up == 0)
+		if (inNow - latest.asked_at > this->tuning.fresh_ms || this->IsSpare(pool) || !this->pools.contains(pool) || host_count == 0)
 			continue;
 		// Number of hosts for the scarcer of processor and memory, at the mean capacity of a host
 		const auto hosts_for = [&](int64 inNeed, int64 inTotal)
 		{
-			const int64 mean_capacity = std::max<int64>(1, inTotal / hosts_up);
+			const int64 mean_capacity = std::max<int64>(1, inTotal / host_count);
 			return (inNeed * this->tuning.headroom_percent / 100 + mean_capacity - 1) / mean_capacity;
 		};
 		Resources need = latest.demand.need;
@@ -130,11 +130,11 @@
 
 std::set<std::string> PoolBalancer::Tight(Millis inNow) const
 {
-	std::set<std::string> tight;
+	std::set<std::string> pools_in_deficit;
 	for (const auto &[pool, deficit] : this->Deficits(EDemandScope::InTime, inNow))
 		if (deficit > 0)
-			tight.insert(pool);
-	return tight;
+			pools_in_deficit.insert(pool);
+	return pools_in_deficit;
 }
 
 const HostEntry *PoolBalancer::SpareHost(const std::string &inPool, Millis) const
--- a/Loomreach/Fleet/Upkeep.cpp
+++ b/Loomreach/Fleet/Upkeep.cpp
@@ -55,8 +55,8 @@
 			// An order that has not been carried out after this long will not be any more
 			if (!shown_down && item.uncertain_since >= 0 && inNow - item.uncertain_since > this->tuning.resend_after_ms)
 				item.uncertain_since = -1;
-			const bool in_doubt = item.step == EMaintenanceStep::Ordered && !item.sent;
-			if (taken_down && (in_doubt || item.step == EMaintenanceStep::Waiting || item.step == EMaintenanceStep::Draining ||
+			const bool uncertain = item.step == EMaintenanceStep::Ordered && !item.sent;
+			if (taken_down && (uncertain || item.step == EMaintenanceStep::Waiting || item.step == EMaintenanceStep::Draining ||
 							   item.step == EMaintenanceStep::Done))
 			{
 				item.step = EMaintenanceStep::Down;
@@ -105,7 +105,7 @@
 				const bool is_up = host != this->hosts.end() && host->second.state == EHostState::Up;
 				if (!is_up || this->moving.contains(name) || this->IsIdle(host->second) != idle)
 					continue;
-				const bool may_drain = behind_schedule || idle || !this->tight.contains(host->second.pool);
+				const bool may_drain = behind_schedule || idle || !this->pools_in_deficit.contains(host->second.pool);
 				if (item.step == EMaintenanceStep::Waiting && under_way < max_under_way && may_drain)
 				{
 					item.step = EMaintenanceStep::Draining;
@@ -240,8 +240,8 @@
 	for (const auto &[name, item] : wave->second.items)
 	{
 		// A host that is no longer on the list has been removed: nothing is left to maintain
-		const bool gone = !this->hosts.contains(name) && item.step == EMaintenanceStep::Waiting;
-		if (item.step != EMaintenanceStep::Done && !gone)
+		const bool removed = !this->hosts.contains(name) && item.step == EMaintenanceStep::Waiting;
+		if (item.step != EMaintenanceStep::Done && !removed)
 			return false;
 	}
 	return true;
--- a/Loomreach/Fleet/Upkeep.h
+++ b/Loomreach/Fleet/Upkeep.h
@@ -134,7 +134,7 @@
 	/// Sets the hosts that were ordered to move and may not have arrived yet, whatever the list shows: they are left alone.
 	void SetMoving(std::set<std::string> inHosts) { this->moving = std::move(inHosts); }
 	/// Sets the pools that lack hosts: theirs go down only when a wave would otherwise be late.
-	void SetTight(std::set<std::string> inPools) { this->tight = std::move(inPools); }
+	void SetTight(std::set<std::string> inPools) { this->pools_in_deficit = std::move(inPools); }
 	/// Sets the spare pools: nothing runs on their hosts.
 	void SetSpare(std::set<std::string> inPools) { this->spare = std::move(inPools); }
 	/// Call when the owner of a pool, asked at `inAskedAt`, has answered that the host is empty.
@@ -190,7 +190,7 @@
 	/// Whether nothing runs on the host.
 	bool IsIdle(const HostEntry &inHost) const { return inHost.worker.empty() || this->spare.contains(inHost.pool); }
 
-	std::set<std::string> tight;
+	std::set<std::string> pools_in_deficit;
 	std::set<std::string> moving;
 	std::set<std::string> spare;
 	bool listed = false; ///< Whether a host list has been set.
--- a/Loomreach/Job/JobRecord.cpp
+++ b/Loomreach/Job/JobRecord.cpp
@@ -11,7 +11,7 @@
 /// Bounds against damaged submissions, not policy: far above what users submit (32 tasks per step, 5 steps, 8 rounds).
 static constexpr uint32 cMaxTasksPerStep = 10'000;
 static constexpr size_t cMaxSteps = 256;
-static constexpr uint32 cMaxRounds = 10'000;
+static constexpr uint32 cMaxRoundsPerJob = 10'000;
 static constexpr uint64 cMaxTasks = 100'000;
 
 JobRecord NewRecord(const JobSpec &inSpec)
@@ -46,7 +46,7 @@
 		return FailFalse(EError::BadRequest, "the job has no id");
 	if (inSpec.steps.empty() || inSpec.steps.size() > cMaxSteps)
 		return FailFalse(EError::BadRequest, "a job has from 1 to " + std::to_string(cMaxSteps) + " steps");
-	if (inSpec.Rounds() > cMaxRounds || inSpec.interval_ms < 0)
+	if (inSpec.Rounds() > cMaxRoundsPerJob || inSpec.interval_ms < 0)
 		return FailFalse(EError::BadRequest, "times or interval out of range");
 	uint64 tasks = 0;
 	for (size_t i = 0; i < inSpec.steps.size(); ++i)
--- a/Loomreach/Job/JobSpec.h
+++ b/Loomreach/Job/JobSpec.h
@@ -58,7 +58,7 @@
 	std::string image;          ///< Tasks of the same image behave alike.
 	uint32 max_per_worker = 0;  ///< Maximum number of tasks of the step on one worker; 0: no limit.
 	uint32 may_miss = 0;        ///< Maximum number of long-running tasks that the system itself may make unavailable at the same time.
-	bool limits_misses = false; ///< Whether `may_miss` was given.
+	bool limits_misses = false; ///< Whether `may_miss` was set.
 	Millis target_ms = 0;       ///< Target for the tail latency of the task's own answers; 0: none.
 
 	/// Resources that one task reserves on its worker. Best-effort tasks reserve no processor time: they use what others leave idle.
@@ -82,8 +82,8 @@
 /// One job as accepted, with the settings that its queue had at that time.
 struct JobSpec
 {
-	std::string id;      ///< 16 hex digits, chosen by the caller.
-	std::string queue;   ///< Name of the queue.
+	std::string id; ///< 16 hex digits, chosen by the caller.
+	std::string queue;
 	std::string pool;    ///< Pool that runs the job. It stays the same when the queue moves to another pool.
 	std::string team;    ///< Team that owns the job; empty: none.
 	std::string payload; ///< Passed to every task uninterpreted.
--- a/Loomreach/Ownership/OwnerTable.cpp
+++ b/Loomreach/Ownership/OwnerTable.cpp
@@ -121,10 +121,10 @@
 	return heard == this->hosts.end() ? 0 : heard->second.beat.start;
 }
 
-uint32 OwnerTable::BeatPart(uint32 inParts, bool inOwner, Millis inNow) const
+uint32 OwnerTable::BeatPart(uint32 inPartitions, bool inOwner, Millis inNow) const
 {
-	if (inParts < 2)
-		return inParts - 1;
+	if (inPartitions < 2)
+		return inPartitions - 1;
 	uint32 owners = 0;
 	uint32 before = 0;
 	for (const auto &[name, heard] : this->hosts)
@@ -134,11 +134,11 @@
 		before += owns && name < this->self ? 1 : 0;
 	}
 	if (inOwner)
-		return before % (inParts - 1);
+		return before % (inPartitions - 1);
 	// Hosts that all start at the same time would queue behind each other in one partition; there is no owner yet that the others would
 	// delay
 	const bool all_start = owners == 0 && !this->hosts.empty();
-	return all_start ? static_cast<uint32>(HashBytes(this->self) % inParts) : inParts - 1;
+	return all_start ? static_cast<uint32>(HashBytes(this->self) % inPartitions) : inPartitions - 1;
 }
 
 bool OwnerTable::IsLive(const HeardHost &inHeard, Millis inNow) const
@@ -385,15 +385,15 @@
 		// After a restart, the heartbeats of the hosts' earlier processes can still be read
 		const Millis first_wait = first_start && !this->WasOwned(cell) ? this->tuning.first_claim_ms : 0;
 		const Millis wait = static_cast<Millis>(rank) * this->tuning.rank_ms + first_wait;
-		const bool wants = rank < order.size() && inNow - since >= wait;
+		const bool claims_now = rank < order.size() && inNow - since >= wait;
 		if (!order.empty())
 		{
 			// The host that takes it counts with one cell more for the next cell
-			Claimer &taker = claimers[wants ? this->self : std::get<std::string>(order[0])];
-			++taker.cells;
-			++in_zone[taker.availability_zone];
+			Claimer &next_owner = claimers[claims_now ? this->self : std::get<std::string>(order[0])];
+			++next_owner.cells;
+			++in_zone[next_owner.availability_zone];
 		}
-		if (!wants)
+		if (!claims_now)
 			continue;
 		wanted.push_back(cell);
 		this->claim_reasons += (this->claim_reasons.empty() ? "" : " ") + std::to_string(cell) + ":rank" + std::to_string(rank) + "of" +
--- a/Loomreach/Ownership/OwnerTable.h
+++ b/Loomreach/Ownership/OwnerTable.h
@@ -158,7 +158,7 @@
 	uint64 StartsOf(const std::string &inHost) const;
 	/// Partition for the heartbeats of this host: the last for hosts without cells, the others shared evenly by the owners that are
 	/// known.
-	uint32 BeatPart(uint32 inParts, bool inOwner, Millis inNow) const;
+	uint32 BeatPart(uint32 inPartitions, bool inOwner, Millis inNow) const;
 	/// Heartbeat interval of a host without cells. Grows with the number of hosts, to stay within the rates of the store.
 	Millis IdleInterval(Millis inNow) const;
 	/// Interval at which a host reads the heartbeats of the others.
--- a/Loomreach/Request/SlotShare.h
+++ b/Loomreach/Request/SlotShare.h
@@ -13,8 +13,8 @@
 {
 	uint32 slots = 0; ///< Slots that the worker offers.
 	uint32 self = 0;  ///< Index of this entry host among the members.
-	std::span<const uint32>
-		demands; ///< Requests in flight and waiting of each member, as last reported; in rendezvous order for the worker.
+	/// Requests in flight and waiting of each member as last reported, in rendezvous order for the worker.
+	std::span<const uint32> demands;
 };
 
 /// A policy computes the limit of one entry host at one worker.
