--- a/Loomreach/Request/IdWindow.cpp
+++ b/Loomreach/Request/IdWindow.cpp
@@ -78,7 +78,7 @@
 	Record *record = this->FindKey(inKey);
 	if (record == nullptr)
 		return;
-	LOOM_INVARIANT(record->begun && !record->answer.has_value(), "only a request that began and has no answer can be reported as not run");
+	LOOM_INVARIANT(record->begun && !record->answer.has_value(), "only a taken id without an answer can turn out not to have run");
 	record->begun = false;
 }
 
