--- a/Loomreach/Platform/ConnectionCare.h
+++ b/Loomreach/Platform/ConnectionCare.h
@@ -1,5 +1,6 @@
-// Options of every TCP socket of ours, at both ends: an open connection may fall silent for good, without a reset, and then only the
-// system's own probes give its memory and descriptor back. Sockets that a listener accepts inherit them.
+// Keep-alive options of every TCP socket that this software opens, at both ends. A peer may become unresponsive for good without a reset;
+// then only the system's own probes free the memory and the descriptor of the connection. Sockets that a listener accepts inherit the
+// options.
 
 #pragma once
 
@@ -8,7 +9,7 @@
 namespace Loomreach
 {
 
-/// Has the system probe a connection when it is idle, and give it up when nothing is acknowledged.
+/// Makes the system probe the connection when it is idle, and close it when sent data or probes stay unacknowledged.
 void CareFor(int inSocket);
 
 } // namespace Loomreach
