--- a/Loomreach/Platform/PeerTrust.cpp
+++ b/Loomreach/Platform/PeerTrust.cpp
@@ -1,4 +1,4 @@
-// The usual time of answers, and what is expected.
+// Estimates the typical response time, and computes when expected answers become overdue.
 
 #include <Loomreach/Loomreach.h>
 
@@ -7,27 +7,30 @@
 namespace Loomreach
 {
 
-/// No answer is overdue sooner, ms: the store's usual one takes 4 ms and a worker's few; a scheduling gap of an entry host with a quarter
-/// of a core is up to 75 ms.
-static constexpr Millis cLeastPatienceMs = 100;
-static constexpr double cPatience = 10.0;      ///< Or not before this many times the usual.
-static constexpr double cBackoff = 2.0;        ///< Growth of the patience when it was exceeded,
-static constexpr Millis cMostBackoffMs = 2000; ///< up to this, ms: calls have run out of their time by then.
-static constexpr double cSlowerShare = 0.5;    ///< Weight of a longer answer in the usual time: a slow server must be known as such soon.
-static constexpr double cFasterShare = 0.1;    ///< Of a shorter one.
+/// Minimum time until an answer is overdue, ms: the store typically answers in 4 ms and a worker in a few, and an entry host with a quarter
+/// of a core has scheduling gaps of up to 75 ms.
+static constexpr Millis cMinAnswerTimeoutMs = 100;
+static constexpr double cAnswerTimeoutFactor = 10.0; ///< Multiple of the typical response time after which an answer is overdue.
+static constexpr double cBackoff = 2.0;              ///< Growth of the answer timeout when it was exceeded.
+static constexpr Millis cMaxBackoffMs = 2000;        ///< Limit of that growth, ms: calls have timed out by then.
+static constexpr double cSlowerWeight = 0.5;         ///< Weight of a slower answer in the average: it must adapt to a slow server soon.
+static constexpr double cFasterWeight = 0.1;         ///< Weight of a faster answer.
 
-Millis PeerTrust::Patience() const { return std::max(cLeastPatienceMs, static_cast<Millis>(this->usual_ms * cPatience)); }
+Millis PeerTrust::AnswerTimeout() const
+{
+	return std::max(cMinAnswerTimeoutMs, static_cast<Millis>(this->typical_ms * cAnswerTimeoutFactor));
+}
 
 void PeerTrust::OnSent(Key inCall, Millis inWaitMs, Millis inNow)
 {
 	this->OnOver(inCall);
-	this->expected.emplace_back(inNow + inWaitMs + this->Patience(), inCall);
+	this->expected.emplace_back(inNow + inWaitMs + this->AnswerTimeout(), inCall);
 }
 
 void PeerTrust::OnAnswered(Millis inTookMs)
 {
-	const double more = static_cast<double>(inTookMs) - this->usual_ms;
-	this->usual_ms += more * (more > 0 ? cSlowerShare : cFasterShare);
+	const double difference = static_cast<double>(inTookMs) - this->typical_ms;
+	this->typical_ms += difference * (difference > 0 ? cSlowerWeight : cFasterWeight);
 }
 
 void PeerTrust::OnOver(Key inCall)
@@ -38,8 +41,8 @@
 void PeerTrust::OnGivenUp()
 {
 	this->expected.clear();
-	const double next = std::min(static_cast<double>(this->Patience()) * cBackoff, static_cast<double>(cMostBackoffMs));
-	this->usual_ms = std::max(this->usual_ms, next / cPatience);
+	const double increased = std::min(static_cast<double>(this->AnswerTimeout()) * cBackoff, static_cast<double>(cMaxBackoffMs));
+	this->typical_ms = std::max(this->typical_ms, increased / cAnswerTimeoutFactor);
 }
 
 bool PeerTrust::IsExpected(Key inCall) const
--- a/Loomreach/Platform/PeerTrust.h
+++ b/Loomreach/Platform/PeerTrust.h
@@ -1,8 +1,8 @@
-// Whether kept connections to one address can be trusted, by how long answers over them take. Pure: time comes in.
+// Tracks the response times of one address, to detect kept connections that have become unresponsive. Pure: the caller passes the time.
 //
-// A connection may fall silent for good while new ones work. A call over a kept connection whose answer is overdue, by what is usual for
-// the address, is the sign: then all kept connections of that age are given up, not only the one that it used. A server that has
-// become slow gives the same sign once or twice, until the usual time has followed.
+// A connection may become unresponsive for good while new ones work. It is detected by an answer over a kept connection that is overdue by
+// the typical response time of the address. All kept connections of that age are then closed, not only the one that the call used. A server
+// that has become slow also triggers this, once or twice, until the typical response time has adapted.
 
 #pragma once
 
@@ -11,33 +11,34 @@
 namespace Loomreach
 {
 
-/// See the head of the file.
+/// Response times of one address, and the answers that are expected from it.
 class PeerTrust
 {
 public:
-	/// A call that is under way, of whatever kind.
+	/// Identifies a call in flight.
 	using Key = const void *;
 
-	/// A call leaves over a kept connection; the other side may keep its answer back for `inWaitMs`.
+	/// A call is sent over a kept connection; the server may delay its answer by up to `inWaitMs`.
 	void OnSent(Key inCall, Millis inWaitMs, Millis inNow);
-	/// An answer came, `inTookMs` after the call left, to one that did not wait.
+	/// A call without a wait was answered, `inTookMs` after it was sent.
 	void OnAnswered(Millis inTookMs);
-	/// A call is over, whichever way.
+	/// A call has ended, with an answer or without.
 	void OnOver(Key inCall);
-	/// Whether a call's answer is expected over a kept connection, and none was given up since it left.
+	/// Whether the answer to a call is expected over a kept connection, and no connections were closed since the call was sent.
 	bool IsExpected(Key inCall) const;
-	/// When the first answer is overdue; nothing: none is expected.
+	/// When the first of the expected answers becomes overdue; nothing if none is expected.
 	std::optional<Millis> OverdueAt() const;
-	/// Kept connections have just been given up: what was sent before says nothing about those that are there now. Until answers come
-	/// again, the next ones are waited for twice as long: a server that is only slow must not be asked for more and more.
+	/// The kept connections have just been closed: calls sent before say nothing about the connections that are open now. Until answers
+	/// arrive again, the next ones get twice the time, so that a server that is only slow does not get more and more repeated calls.
 	void OnGivenUp();
 
 private:
-	/// How long an answer may take before it is overdue.
-	Millis Patience() const;
+	/// Time after which an answer is overdue, ms.
+	Millis AnswerTimeout() const;
 
-	double usual_ms = 0.0; ///< How long answers take, a mean that forgets.
-	/// Calls over kept connections, and when their answers are overdue. They are a handful: connections to one address are limited.
+	double typical_ms = 0.0; ///< Response time, as a moving average.
+	/// When the answers to calls over kept connections become overdue. A short list, as the connections to an address are limited in
+	/// number.
 	std::vector<std::pair<Millis, Key>> expected;
 };
 
