--- a/Loomreach/Platform/HttpClient.cpp
+++ b/Loomreach/Platform/HttpClient.cpp
@@ -1,4 +1,4 @@
-// HTTP calls by libcurl with a timeout for the whole call.
+// HTTP calls over libcurl, each with a timeout for the whole call.
 
 #include <Loomreach/Loomreach.h>
 
@@ -15,15 +15,15 @@
 namespace Loomreach
 {
 
-static constexpr long cMaxConnections = 2048; ///< Below the 4,100 descriptors of the smallest host; kept ones spare new connections.
-static constexpr size_t cMostIdle = 64;       ///< Handles kept for later calls.
-static constexpr int cEventsAtOnce = 64;
-static constexpr int cMostRounds = 32;     ///< Of reading ready sockets before calls are given up: all connections, 64 at a time.
-static constexpr size_t cMostPeers = 2048; ///< Addresses remembered: workers come and go at new ones.
-static constexpr long cGoodFrom = 200;     ///< Statuses that say that a call was carried out: from this
-static constexpr long cGoodBelow = 300;    ///< to below this.
+static constexpr long cMaxConnections = 2048; ///< Below the 4,100 descriptors of the smallest host. Kept ones save the cost of new ones.
+static constexpr size_t cMaxIdleHandles = 64; ///< Handles kept for later calls.
+static constexpr int cEventsPerWait = 64;
+static constexpr int cMaxReadRounds = 32;  ///< Reads of ready sockets before calls time out: covers all connections, 64 at a time.
+static constexpr size_t cMaxPeers = 2048;  ///< Addresses kept in memory: new workers have new addresses.
+static constexpr long cSuccessFrom = 200;  ///< First status that says that a call was carried out.
+static constexpr long cSuccessBelow = 300; ///< First status above that range.
 
-/// One call under way, and its handle.
+/// One call in flight, and its libcurl handle.
 struct HttpClient::Pending
 {
 	~Pending()
@@ -35,39 +35,40 @@
 	CURL *easy = curl_easy_init();
 	curl_slist *headers = nullptr;
 	std::string url;
-	std::string request;
-	std::string answer;
+	std::string request_body;
+	std::string response_body;
 	Callback done;
 	Millis not_after = 0;
-	Millis limit_at = 0;  ///< When its time is over.
-	uint32 sent = 0;      ///< How often the request was about to leave: libcurl repeats it where a kept connection turns out closed.
-	bool changes = false; ///< Whether carrying it out changes anything.
+	Millis deadline = 0;   ///< When the call times out.
+	uint32 send_count = 0; ///< How often the request was about to be sent: libcurl repeats it if a kept connection turns out closed.
+	bool has_side_effects = false; ///< Whether the call changes anything at the server.
 	HttpClient *client = nullptr;
 	std::shared_ptr<Peer> peer;
 	Millis timeout_ms = 0;
 	Millis wait_ms = 0;
-	Millis sent_at = 0;   ///< When the request was about to leave.
-	bool made = false;    ///< A connection was made for it.
-	bool is_anew = false; ///< It was asked anew already.
+	Millis sent_at = 0;     ///< When the request was about to be sent.
+	bool opened = false;    ///< A connection was opened for this call.
+	bool is_resent = false; ///< It has been sent again by `ResendWaiting`.
 	bool repeatable = false;
 
-	/// Whether the answer to what waits can still come when it is asked anew. A change keeps its time: whoever made the call counts on it.
-	bool MayAskAnew(Millis inNow) const
+	/// Whether a waiting call may be sent again. One with side effects keeps its deadline, on which its caller relies, so it needs enough
+	/// time for its whole wait.
+	bool MayResend(Millis inNow) const
 	{
-		const bool waits = this->wait_ms > 0 && this->sent > 0 && this->answer.empty();
-		const bool has_time = !this->changes || this->limit_at - inNow > this->wait_ms;
-		return waits && has_time && this->repeatable && !this->is_anew;
+		const bool waits = this->wait_ms > 0 && this->send_count > 0 && this->response_body.empty();
+		const bool has_time = !this->has_side_effects || this->deadline - inNow > this->wait_ms;
+		return waits && has_time && this->repeatable && !this->is_resent;
 	}
 };
 
-/// libcurl's own set-up, once a process.
+/// Initializes libcurl, once per process.
 static void StartCurl()
 {
 	static const CURLcode started = curl_global_init(CURL_GLOBAL_DEFAULT);
 	static_cast<void>(started);
 }
 
-HttpClient::HttpClient(int inPerHost, EClose inClose) : close_by(inClose), alive(std::make_shared<bool>(true))
+HttpClient::HttpClient(int inPerHost, EClose inClose) : on_close(inClose), alive(std::make_shared<bool>(true))
 {
 	StartCurl();
 	this->multi = curl_multi_init();
@@ -86,10 +87,10 @@
 {
 	*this->alive = false;
 	g_source_remove(this->epoll_source);
-	for (auto &[easy, pending] : this->under_way)
+	for (auto &[easy, pending] : this->in_flight)
 		curl_multi_remove_handle(this->multi, easy);
-	this->under_way.clear();
-	this->idle.clear();
+	this->in_flight.clear();
+	this->idle_handles.clear();
 	curl_multi_cleanup(this->multi);
 	close(this->epoll);
 }
@@ -97,7 +98,7 @@
 int HttpClient::OnSocket(CURL *inEasy, curl_socket_t inSocket, int inWhat, void *inSelf, void *inKnown)
 {
 	HttpClient *self = static_cast<HttpClient *>(inSelf);
-	self->SetUser(inSocket, inWhat == CURL_POLL_REMOVE ? nullptr : inEasy);
+	self->SetSocketUser(inSocket, inWhat == CURL_POLL_REMOVE ? nullptr : inEasy);
 	if (inWhat == CURL_POLL_REMOVE)
 	{
 		epoll_ctl(self->epoll, EPOLL_CTL_DEL, inSocket, nullptr);
@@ -106,7 +107,7 @@
 	epoll_event event{};
 	event.events = (inWhat & CURL_POLL_IN ? EPOLLIN : 0u) | (inWhat & CURL_POLL_OUT ? EPOLLOUT : 0u);
 	event.data.fd = inSocket;
-	// A mark that the socket is in the set already
+	// `inKnown` is set if the socket is in the epoll set already
 	const int operation = inKnown == nullptr ? EPOLL_CTL_ADD : EPOLL_CTL_MOD;
 	if (epoll_ctl(self->epoll, operation, inSocket, &event) != 0)
 		epoll_ctl(self->epoll, operation == EPOLL_CTL_ADD ? EPOLL_CTL_MOD : EPOLL_CTL_ADD, inSocket, &event);
@@ -118,23 +119,23 @@
 {
 	HttpClient *self = static_cast<HttpClient *>(inSelf);
 	if (inMillis < 0)
-		self->timer.Stop();
+		self->curl_timer.Stop();
 	else
-		self->timer.Once(inMillis, [self] { self->Act(CURL_SOCKET_TIMEOUT, 0); });
+		self->curl_timer.Once(inMillis, [self] { self->ProcessSocket(CURL_SOCKET_TIMEOUT, 0); });
 	return 0;
 }
 
-bool HttpClient::TakeReady()
+bool HttpClient::ProcessReadySockets()
 {
-	std::array<epoll_event, cEventsAtOnce> events;
-	const int count = epoll_wait(this->epoll, events.data(), cEventsAtOnce, 0);
+	std::array<epoll_event, cEventsPerWait> events;
+	const int count = epoll_wait(this->epoll, events.data(), cEventsPerWait, 0);
 	int running = 0;
 	for (int i = 0; i < count; ++i)
 	{
-		const uint32 seen = events[static_cast<size_t>(i)].events;
-		int what = seen & EPOLLIN ? CURL_CSELECT_IN : 0;
-		what |= seen & EPOLLOUT ? CURL_CSELECT_OUT : 0;
-		what |= seen & (EPOLLERR | EPOLLHUP) ? CURL_CSELECT_ERR : 0;
+		const uint32 ready = events[static_cast<size_t>(i)].events;
+		int what = ready & EPOLLIN ? CURL_CSELECT_IN : 0;
+		what |= ready & EPOLLOUT ? CURL_CSELECT_OUT : 0;
+		what |= ready & (EPOLLERR | EPOLLHUP) ? CURL_CSELECT_ERR : 0;
 		curl_multi_socket_action(this->multi, events[static_cast<size_t>(i)].data.fd, what, &running);
 	}
 	return count > 0;
@@ -143,49 +144,49 @@
 gboolean HttpClient::OnReadable(gint, GIOCondition, gpointer inSelf)
 {
 	HttpClient *self = static_cast<HttpClient *>(inSelf);
-	self->TakeReady();
-	self->Finish();
+	self->ProcessReadySockets();
+	self->EndCompleted();
 	return G_SOURCE_CONTINUE;
 }
 
-void HttpClient::WaitForNextLimit()
+void HttpClient::StartDeadlineTimer()
 {
-	if (!this->limits.empty() && !this->limit.IsRunning())
-		this->limit.Once(this->limits.begin()->first - NowMillis(), [this] { this->GiveUpLate(); });
+	if (!this->deadlines.empty() && !this->deadline_timer.IsRunning())
+		this->deadline_timer.Once(this->deadlines.begin()->first - NowMillis(), [this] { this->EndTimedOut(); });
 }
 
-void HttpClient::GiveUpLate()
+void HttpClient::EndTimedOut()
 {
-	// What has come in counts, however late this process looks at it
-	for (int round = 0; round < cMostRounds && this->TakeReady(); ++round)
+	// Answers that have arrived count, however late this process reads them
+	for (int round = 0; round < cMaxReadRounds && this->ProcessReadySockets(); ++round)
 		;
 	const Millis now = NowMillis();
-	std::vector<std::pair<Callback, HttpResult>> late;
-	const std::weak_ptr<bool> still = this->alive;
-	this->Finish();
-	while (!still.expired() && !this->limits.empty() && this->limits.begin()->first <= now)
+	std::vector<std::pair<Callback, HttpResult>> timed_out;
+	const std::weak_ptr<bool> still_alive = this->alive;
+	this->EndCompleted();
+	while (!still_alive.expired() && !this->deadlines.empty() && this->deadlines.begin()->first <= now)
 	{
-		CURL *easy = this->limits.begin()->second;
-		// Its time may be over sooner than its answer is overdue
-		const bool is_sign = this->under_way[easy]->peer->trust.IsExpected(this->under_way[easy].get());
-		std::unique_ptr<Pending> pending = this->Take(easy);
-		if (is_sign)
-			this->GiveUpKept(*pending->peer);
+		CURL *easy = this->deadlines.begin()->second;
+		// The timeout may pass before the answer counts as overdue
+		const bool was_expected = this->in_flight[easy]->peer->response_times.IsExpected(this->in_flight[easy].get());
+		std::unique_ptr<Pending> pending = this->Remove(easy);
+		if (was_expected)
+			this->CloseIdleConnections(*pending->peer);
 		HttpResult result = this->ResultOf(*pending, CURLE_OPERATION_TIMEDOUT);
-		late.emplace_back(std::move(pending->done), std::move(result));
-		this->Keep(std::move(pending));
+		timed_out.emplace_back(std::move(pending->done), std::move(result));
+		this->KeepHandle(std::move(pending));
 	}
-	if (!still.expired())
-		this->WaitForNextLimit();
-	for (auto &[done, result] : late)
-		if (!still.expired())
+	if (!still_alive.expired())
+		this->StartDeadlineTimer();
+	for (auto &[done, result] : timed_out)
+		if (!still_alive.expired())
 			done(std::move(result));
 }
 
-std::shared_ptr<HttpClient::Peer> HttpClient::PeerOf(const std::string &inAddress)
+std::shared_ptr<HttpClient::Peer> HttpClient::FindOrAddPeer(const std::string &inAddress)
 {
-	// Those that no call and no connection refers to
-	if (this->peers.size() > cMostPeers)
+	// Removes the peers to which no call and no connection refers
+	if (this->peers.size() > cMaxPeers)
 		std::erase_if(this->peers, [](const auto &inPeer) { return inPeer.second.use_count() == 1; });
 	std::shared_ptr<Peer> &peer = this->peers[inAddress];
 	if (peer == nullptr)
@@ -196,96 +197,99 @@
 	return peer;
 }
 
-void HttpClient::WaitForOverdue(std::optional<Millis> inAt)
+void HttpClient::StartOverdueTimer(std::optional<Millis> inAt)
 {
-	if (!inAt.has_value() || (this->overdue.IsRunning() && this->overdue_at <= *inAt))
+	if (!inAt.has_value() || (this->overdue_timer.IsRunning() && this->overdue_at <= *inAt))
 		return;
 	this->overdue_at = *inAt;
-	this->overdue.Once(*inAt - NowMillis(), [this] { this->LookForSilence(); });
+	this->overdue_timer.Once(*inAt - NowMillis(), [this] { this->CheckOverdue(); });
 }
 
-void HttpClient::LookForSilence()
+void HttpClient::CheckOverdue()
 {
-	// Mostly the answer that was waited for has come long ago
+	// In most cases the answer for which the timer was started has arrived long ago
 	std::optional<Millis> first;
 	for (const auto &[address, peer] : this->peers)
-		if (const std::optional<Millis> at = peer->trust.OverdueAt(); at.has_value())
+		if (const std::optional<Millis> at = peer->response_times.OverdueAt(); at.has_value())
 			first = std::min(first.value_or(*at), *at);
 	if (first.has_value() && *first <= NowMillis())
-		return this->GiveUpSilent();
-	this->WaitForOverdue(first);
+		return this->CloseOverdue();
+	this->StartOverdueTimer(first);
 }
 
-void HttpClient::GiveUpSilent()
+void HttpClient::CloseOverdue()
 {
-	// What has come in counts, however late this process looks at it
-	for (int round = 0; round < cMostRounds && this->TakeReady(); ++round)
+	// Answers that have arrived count, however late this process reads them
+	for (int round = 0; round < cMaxReadRounds && this->ProcessReadySockets(); ++round)
 		;
 	const Millis now = NowMillis();
-	const std::weak_ptr<bool> still = this->alive;
-	this->Finish();
-	if (still.expired())
+	const std::weak_ptr<bool> still_alive = this->alive;
+	this->EndCompleted();
+	if (still_alive.expired())
 		return;
 	for (const auto &[address, peer] : this->peers)
 	{
-		if (const std::optional<Millis> at = peer->trust.OverdueAt(); at.has_value() && *at <= now)
-			this->GiveUpKept(*peer);
-		this->WaitForOverdue(peer->trust.OverdueAt());
+		if (const std::optional<Millis> at = peer->response_times.OverdueAt(); at.has_value() && *at <= now)
+			this->CloseIdleConnections(*peer);
+		this->StartOverdueTimer(peer->response_times.OverdueAt());
 	}
 }
 
-void HttpClient::GiveUpKept(Peer &ioPeer)
+void HttpClient::CloseIdleConnections(Peer &ioPeer)
 {
-	ioPeer.trust.OnGivenUp();
-	// libcurl finds them closed when it would use them
-	for (curl_socket_t idle : ioPeer.idle)
+	ioPeer.response_times.OnGivenUp();
+	// libcurl notices the shutdown before it uses one of them
+	for (curl_socket_t idle : ioPeer.idle_sockets)
 		shutdown(idle, SHUT_RDWR);
-	const size_t given_up = ioPeer.idle.size();
-	const uint32 anew = this->AskAnew(ioPeer);
-	LogEvent(ELogLevel::Warning, "kept_connections_given_up").Field("to", ioPeer.address).Field("idle", given_up).Field("asked_anew", anew);
+	const size_t given_up = ioPeer.idle_sockets.size();
+	const uint32 resent = this->ResendWaiting(ioPeer);
+	LogEvent(ELogLevel::Warning, "kept_connections_given_up")
+		.Field("to", ioPeer.address)
+		.Field("idle", given_up)
+		.Field("asked_anew", resent);
 }
 
-uint32 HttpClient::AskAnew(const Peer &inPeer)
+uint32 HttpClient::ResendWaiting(const Peer &inPeer)
 {
 	const Millis now = NowMillis();
-	uint32 anew = 0;
-	for (const auto &[easy, pending] : this->under_way)
+	uint32 resent = 0;
+	for (const auto &[easy, pending] : this->in_flight)
 	{
-		if (pending->peer.get() != &inPeer || !pending->MayAskAnew(now))
+		if (pending->peer.get() != &inPeer || !pending->MayResend(now))
 			continue;
-		pending->is_anew = true;
-		pending->made = false;
-		++anew;
-		// Out of it a call's connection is closed; in again it takes another
+		pending->is_resent = true;
+		pending->opened = false;
+		++resent;
+		// Removing the handle closes the connection of the call; once added again, it uses another one
 		curl_multi_remove_handle(this->multi, easy);
-		this->limits.erase({pending->limit_at, easy});
-		pending->limit_at = pending->changes ? pending->limit_at : now + pending->timeout_ms;
-		this->limits.emplace(pending->limit_at, easy);
+		this->deadlines.erase({pending->deadline, easy});
+		pending->deadline = pending->has_side_effects ? pending->deadline : now + pending->timeout_ms;
+		this->deadlines.emplace(pending->deadline, easy);
 		curl_multi_add_handle(this->multi, easy);
 	}
-	return anew;
+	return resent;
 }
 
-void HttpClient::Act(curl_socket_t inSocket, int inEvents)
+void HttpClient::ProcessSocket(curl_socket_t inSocket, int inEvents)
 {
 	int running = 0;
 	curl_multi_socket_action(this->multi, inSocket, inEvents, &running);
-	this->Finish();
+	this->EndCompleted();
 }
 
 curl_socket_t HttpClient::OnOpen(void *inPending, curlsocktype, curl_sockaddr *inAddress)
 {
 	Pending *pending = static_cast<Pending *>(inPending);
-	const curl_socket_t made = socket(inAddress->family, inAddress->socktype | SOCK_CLOEXEC, inAddress->protocol);
-	if (made < 0)
+	const curl_socket_t opened = socket(inAddress->family, inAddress->socktype | SOCK_CLOEXEC, inAddress->protocol);
+	if (opened < 0)
 		return CURL_SOCKET_BAD;
-	CareFor(made);
+	CareFor(opened);
 	const linger at_once{1, 0};
-	if (pending->client->close_by == EClose::Discard)
-		setsockopt(made, SOL_SOCKET, SO_LINGER, &at_once, sizeof at_once);
-	pending->made = true;
-	pending->client->connections[made] = {pending->peer, nullptr};
-	return made;
+	if (pending->client->on_close == EClose::Discard)
+		setsockopt(opened, SOL_SOCKET, SO_LINGER, &at_once, sizeof at_once);
+	pending->opened = true;
+	pending->client->connections[opened] = {pending->peer, nullptr};
+	return opened;
 }
 
 int HttpClient::OnClose(void *inSelf, curl_socket_t inSocket)
@@ -294,56 +298,56 @@
 	auto found = self->connections.find(inSocket);
 	if (found != self->connections.end())
 	{
-		found->second.peer->idle.erase(inSocket);
+		found->second.peer->idle_sockets.erase(inSocket);
 		self->connections.erase(found);
 	}
 	return close(inSocket);
 }
 
-void HttpClient::SetUser(curl_socket_t inSocket, CURL *inUser)
+void HttpClient::SetSocketUser(curl_socket_t inSocket, CURL *inUser)
 {
 	auto found = this->connections.find(inSocket);
 	if (found == this->connections.end())
 		return;
 	found->second.user = inUser;
 	if (inUser == nullptr)
-		found->second.peer->idle.insert(inSocket);
+		found->second.peer->idle_sockets.insert(inSocket);
 	else
-		found->second.peer->idle.erase(inSocket);
+		found->second.peer->idle_sockets.erase(inSocket);
 }
 
 int HttpClient::OnBeforeSend(void *inPending, char *, char *, int, int)
 {
 	Pending *pending = static_cast<Pending *>(inPending);
-	// Just before the first byte: the process may have stood still since the call was made
+	// Checked just before the first byte is sent: the process may have been paused since the call was made
 	const Millis now = NowMillis();
-	if (now > pending->limit_at || (pending->not_after > 0 && now > pending->not_after))
+	if (now > pending->deadline || (pending->not_after > 0 && now > pending->not_after))
 		return CURL_PREREQFUNC_ABORT;
-	++pending->sent;
+	++pending->send_count;
 	pending->sent_at = NowMillis();
-	if (!pending->made)
-		pending->peer->trust.OnSent(pending, pending->wait_ms, pending->sent_at);
+	if (!pending->opened)
+		pending->peer->response_times.OnSent(pending, pending->wait_ms, pending->sent_at);
 	else
-		pending->peer->trust.OnOver(pending);
-	pending->client->WaitForOverdue(pending->peer->trust.OverdueAt());
+		pending->peer->response_times.OnOver(pending);
+	pending->client->StartOverdueTimer(pending->peer->response_times.OverdueAt());
 	return CURL_PREREQFUNC_OK;
 }
 
 size_t HttpClient::OnBody(char *inData, size_t inSize, size_t inCount, void *inPending)
 {
-	static_cast<Pending *>(inPending)->answer.append(inData, inSize * inCount);
+	static_cast<Pending *>(inPending)->response_body.append(inData, inSize * inCount);
 	return inSize * inCount;
 }
 
-/// Whether a call ended because the other side closed its connection or let none be made: its process has gone, or its host has reset it.
+/// Whether a call failed because the peer closed or refused the connection: its process has ended, or its host has reset the connection.
 static bool IsClosedByPeer(CURL *inEasy, CURLcode inCode)
 {
 	if (inCode == CURLE_GOT_NOTHING)
 		return true;
 	const bool on_connection = inCode == CURLE_COULDNT_CONNECT || inCode == CURLE_RECV_ERROR || inCode == CURLE_SEND_ERROR;
-	long why = 0;
-	curl_easy_getinfo(inEasy, CURLINFO_OS_ERRNO, &why);
-	return on_connection && (why == ECONNREFUSED || why == ECONNRESET || why == EPIPE);
+	long system_error = 0;
+	curl_easy_getinfo(inEasy, CURLINFO_OS_ERRNO, &system_error);
+	return on_connection && (system_error == ECONNREFUSED || system_error == ECONNRESET || system_error == EPIPE);
 }
 
 HttpResult HttpClient::ResultOf(Pending &ioPending, CURLcode inCode)
@@ -353,9 +357,9 @@
 	long status = 0;
 	curl_easy_getinfo(ioPending.easy, CURLINFO_REQUEST_SIZE, &request_bytes);
 	curl_easy_getinfo(ioPending.easy, CURLINFO_RESPONSE_CODE, &status);
-	// libcurl has repeated it on a new connection: the refusal is the repeat's, and the first may have been carried out
-	const bool in_doubt = ioPending.sent > 1 && ioPending.changes && (status < cGoodFrom || status >= cGoodBelow);
-	if (inCode == CURLE_OK && in_doubt)
+	// libcurl has repeated the request on a new connection: the error answers the repetition, while the first may have been carried out
+	const bool is_ambiguous = ioPending.send_count > 1 && ioPending.has_side_effects && (status < cSuccessFrom || status >= cSuccessBelow);
+	if (inCode == CURLE_OK && is_ambiguous)
 	{
 		result.error = "refused when repeated with " + std::to_string(status);
 		return result;
@@ -363,42 +367,42 @@
 	if (inCode == CURLE_OK)
 	{
 		result.status = static_cast<uint32>(status);
-		result.body = std::move(ioPending.answer);
+		result.body = std::move(ioPending.response_body);
 		curl_header *etag = nullptr;
 		if (curl_easy_header(ioPending.easy, "ETag", 0, CURLH_HEADER, -1, &etag) == CURLHE_OK)
 			result.etag = etag->value;
 		long header_bytes = 0;
 		curl_easy_getinfo(ioPending.easy, CURLINFO_HEADER_SIZE, &header_bytes);
-		this->bytes += static_cast<uint64>(request_bytes + header_bytes) + ioPending.request.size() + result.body.size();
+		this->bytes += static_cast<uint64>(request_bytes + header_bytes) + ioPending.request_body.size() + result.body.size();
 		return result;
 	}
-	// Without a request line on the wire nothing was asked; what is asked anew had one
-	result.refused = !ioPending.is_anew && (request_bytes == 0 || ioPending.sent == 0);
+	// A request that was never on the wire had no effect; a call that was sent again has been on the wire before
+	result.refused = !ioPending.is_resent && (request_bytes == 0 || ioPending.send_count == 0);
 	result.closed = IsClosedByPeer(ioPending.easy, inCode);
 	result.error = curl_easy_strerror(inCode);
 	return result;
 }
 
-std::unique_ptr<HttpClient::Pending> HttpClient::Take(CURL *inEasy)
+std::unique_ptr<HttpClient::Pending> HttpClient::Remove(CURL *inEasy)
 {
-	auto found = this->under_way.find(inEasy);
+	auto found = this->in_flight.find(inEasy);
 	std::unique_ptr<Pending> pending = std::move(found->second);
-	this->under_way.erase(found);
-	this->limits.erase({pending->limit_at, inEasy});
-	pending->peer->trust.OnOver(pending.get());
+	this->in_flight.erase(found);
+	this->deadlines.erase({pending->deadline, inEasy});
+	pending->peer->response_times.OnOver(pending.get());
 	curl_multi_remove_handle(this->multi, inEasy);
 	return pending;
 }
 
-void HttpClient::Keep(std::unique_ptr<Pending> inPending)
+void HttpClient::KeepHandle(std::unique_ptr<Pending> inPending)
 {
-	if (this->idle.size() < cMostIdle)
-		this->idle.push_back(std::move(inPending));
+	if (this->idle_handles.size() < cMaxIdleHandles)
+		this->idle_handles.push_back(std::move(inPending));
 }
 
-void HttpClient::Finish()
+void HttpClient::EndCompleted()
 {
-	// A call back may end this client, or make calls of its own
+	// A callback may destroy this client or start further calls
 	std::vector<std::pair<Callback, HttpResult>> finished;
 	int left = 0;
 	while (CURLMsg *message = curl_multi_info_read(this->multi, &left))
@@ -406,16 +410,16 @@
 		if (message->msg != CURLMSG_DONE)
 			continue;
 		const CURLcode code = message->data.result;
-		std::unique_ptr<Pending> pending = this->Take(message->easy_handle);
+		std::unique_ptr<Pending> pending = this->Remove(message->easy_handle);
 		HttpResult result = this->ResultOf(*pending, code);
 		if (code == CURLE_OK && pending->wait_ms == 0)
-			pending->peer->trust.OnAnswered(NowMillis() - pending->sent_at);
+			pending->peer->response_times.OnAnswered(NowMillis() - pending->sent_at);
 		finished.emplace_back(std::move(pending->done), std::move(result));
-		this->Keep(std::move(pending));
+		this->KeepHandle(std::move(pending));
 	}
-	const std::weak_ptr<bool> still = this->alive;
+	const std::weak_ptr<bool> still_alive = this->alive;
 	for (auto &[done, result] : finished)
-		if (!still.expired())
+		if (!still_alive.expired())
 			done(std::move(result));
 }
 
@@ -426,20 +430,20 @@
 	curl_easy_reset(easy);
 	curl_slist_free_all(ioPending.headers);
 	ioPending.headers = nullptr;
-	ioPending.answer.clear();
-	ioPending.sent = 0;
-	ioPending.changes = inCall.method != "GET";
+	ioPending.response_body.clear();
+	ioPending.send_count = 0;
+	ioPending.has_side_effects = inCall.method != "GET";
 	ioPending.client = this;
-	ioPending.peer = this->PeerOf(to);
+	ioPending.peer = this->FindOrAddPeer(to);
 	ioPending.timeout_ms = std::max<Millis>(inCall.timeout_ms, 1);
 	ioPending.wait_ms = inCall.wait_ms;
-	ioPending.made = false;
-	ioPending.is_anew = false;
-	ioPending.repeatable = inCall.repeatable || !ioPending.changes;
+	ioPending.opened = false;
+	ioPending.is_resent = false;
+	ioPending.repeatable = inCall.repeatable || !ioPending.has_side_effects;
 	ioPending.not_after = inCall.not_after;
 	ioPending.url = "http://" + to + inCall.path;
-	ioPending.request = inCall.body;
-	// No wait for the other side's leave to send the body
+	ioPending.request_body = inCall.body;
+	// Sends the body without waiting for the status 100 (Continue)
 	ioPending.headers = curl_slist_append(ioPending.headers, "Expect:");
 	if (!inCall.body.empty())
 		ioPending.headers = curl_slist_append(ioPending.headers, ("Content-Type: " + inCall.content_type).c_str());
@@ -454,8 +458,8 @@
 	curl_easy_setopt(easy, CURLOPT_CUSTOMREQUEST, inCall.method.c_str());
 	if (inCall.method != "GET" || !inCall.body.empty())
 	{
-		curl_easy_setopt(easy, CURLOPT_POSTFIELDS, ioPending.request.data());
-		curl_easy_setopt(easy, CURLOPT_POSTFIELDSIZE, static_cast<long>(ioPending.request.size()));
+		curl_easy_setopt(easy, CURLOPT_POSTFIELDS, ioPending.request_body.data());
+		curl_easy_setopt(easy, CURLOPT_POSTFIELDSIZE, static_cast<long>(ioPending.request_body.size()));
 	}
 	curl_easy_setopt(easy, CURLOPT_HTTPHEADER, ioPending.headers);
 	curl_easy_setopt(easy, CURLOPT_HTTP_VERSION, CURL_HTTP_VERSION_1_1);
@@ -470,7 +474,7 @@
 	curl_easy_setopt(easy, CURLOPT_OPENSOCKETDATA, &ioPending);
 	curl_easy_setopt(easy, CURLOPT_CLOSESOCKETFUNCTION, &HttpClient::OnClose);
 	curl_easy_setopt(easy, CURLOPT_CLOSESOCKETDATA, this);
-	// libcurl repeats by itself on a kept connection that turns out closed, which only repeatable calls may risk
+	// libcurl repeats a request by itself if a kept connection turns out closed, so only repeatable calls may use kept connections
 	if (!inCall.repeatable && inCall.method != "GET")
 		curl_easy_setopt(easy, CURLOPT_FRESH_CONNECT, 1L);
 }
@@ -478,24 +482,24 @@
 void HttpClient::Start(const HttpCall &inCall, Callback inDone)
 {
 	std::unique_ptr<Pending> pending;
-	if (this->idle.empty())
+	if (this->idle_handles.empty())
 		pending = std::make_unique<Pending>();
 	else
 	{
-		pending = std::move(this->idle.back());
-		this->idle.pop_back();
+		pending = std::move(this->idle_handles.back());
+		this->idle_handles.pop_back();
 	}
 	this->SetUp(*pending, inCall);
 	pending->done = std::move(inDone);
-	pending->limit_at = NowMillis() + pending->timeout_ms;
+	pending->deadline = NowMillis() + pending->timeout_ms;
 	CURL *easy = pending->easy;
-	this->limits.emplace(pending->limit_at, easy);
-	this->under_way[easy] = std::move(pending);
+	this->deadlines.emplace(pending->deadline, easy);
+	this->in_flight[easy] = std::move(pending);
 	curl_multi_add_handle(this->multi, easy);
-	// The one that is waited for may be later than this one
-	if (this->limits.begin()->second == easy)
-		this->limit.Stop();
-	this->WaitForNextLimit();
+	// The timer may have been started for a later deadline than this one
+	if (this->deadlines.begin()->second == easy)
+		this->deadline_timer.Stop();
+	this->StartDeadlineTimer();
 }
 
 std::string UrlEscape(std::string_view inText)
--- a/Loomreach/Platform/HttpClient.h
+++ b/Loomreach/Platform/HttpClient.h
@@ -1,16 +1,17 @@
-// Small HTTP calls to the platform, to workers' agents and, in the command-line tool, to an entry host: whole body in, whole body out.
+// HTTP client for small calls to the platform, to workers' agents and, in the command-line tool, to an entry host. Request and response
+// bodies are held whole in memory.
 //
-// By libcurl's multi interface, where the house style names libsoup: an entry host has a quarter of a core, and libsoup's client, with a
-// handful of GLib sources and objects a call, took 0.7 ms of it for each (docs/design/on-the-platform.md has the figures). The server side
-// stays libsoup's. All sockets of a client wait in one epoll set, which is one source of the main context.
+// It uses libcurl's multi interface, although the house style names libsoup: libsoup's client creates a handful of GLib sources and objects
+// per call and takes 0.7 ms for each, too much for an entry host with a quarter of a core (figures: docs/design/on-the-platform.md). The
+// server side uses libsoup. All sockets of a client are in one epoll set, which is a single source of the main context.
 //
-// The time of a call is watched here and not by libcurl, which looks at it before the socket: a process that stood still would throw away
-// the answers that came meanwhile, and decide without them. Here the sockets are read first, and only what has no answer then is given up.
+// Timeouts are checked here rather than by libcurl, which checks them before it reads the sockets: after a pause, the process would discard
+// the answers that arrived meanwhile, and decide without them. Here the sockets are read first, and only calls still unanswered time out.
 //
-// Open connections may fall silent for good, without a reset, while new ones work. Once an answer over a kept connection is overdue
-// (PeerTrust), the idle connections to that address are shut, which libcurl sees before it uses one; what waits there by itself, reads
-// and looks at workers, is asked anew over new ones. The overdue call itself keeps its time: it may yet be answered, and a change is not
-// sent twice for being slow.
+// A connection may become unresponsive for good, without a reset, while new ones work. Once an answer over a kept connection is overdue
+// (see PeerTrust), the idle connections to that address are shut down, which libcurl notices before it uses one, and waiting calls
+// (long-polling reads and polls of workers) are sent again over new connections. The overdue call itself keeps its timeout: it may still be
+// answered, and a change is not sent twice merely because it is slow.
 
 #pragma once
 
@@ -23,48 +24,48 @@
 namespace Loomreach
 {
 
-/// How a call ended.
+/// Outcome of a call.
 struct HttpResult
 {
-	uint32 status = 0; ///< 0: no whole answer came.
+	uint32 status = 0; ///< 0: no complete answer arrived.
 	std::string body;
-	std::string etag;     ///< The answer's entity tag, if it has one.
-	bool refused = false; ///< The request never left (no connection was had): the call certainly had no effect.
-	bool closed = false;  ///< With status 0: the other side closed the connection or turned it away; a silent one does neither.
-	std::string error;    ///< With status 0: why.
+	std::string etag;     ///< Entity tag of the answer; empty if it has none.
+	bool refused = false; ///< The request was never sent (there was no connection): the call certainly had no effect.
+	bool closed = false;  ///< With status 0: the peer closed or refused the connection, which an unresponsive peer does not do.
+	std::string error;    ///< With status 0: the reason.
 
 	bool IsOk() const { return this->status >= 200 && this->status < 300; }
 };
 
-/// One call.
+/// A call to make.
 struct HttpCall
 {
 	std::string method = "GET";
 	Address to;
-	std::string path; ///< With its query.
+	std::string path; ///< Including the query.
 	std::string body;
 	std::string content_type = "application/json";
 	std::vector<std::pair<std::string, std::string>> headers;
 	Millis timeout_ms = 3000;
-	Millis wait_ms = 0;      ///< The part of `timeout_ms` for which the other side may keep the answer back by itself.
-	Millis not_after = 0;    ///< On the process's clock: a request that could not be sent by then is not sent any more; 0: no bound.
-	bool repeatable = false; ///< Doing it twice is doing it once: it may go over a kept connection, and again if that turns out closed.
+	Millis wait_ms = 0;      ///< The part of `timeout_ms` for which the server may delay its answer on purpose (long poll).
+	Millis not_after = 0;    ///< On the process's clock: the request is not sent after this time; 0: no limit.
+	bool repeatable = false; ///< Idempotent: it may use a kept connection, and is sent again if that turns out to be closed.
 };
 
-/// Makes calls on the main context. Calls that are under way when it is destroyed never call back.
+/// Makes calls on the main context. Calls in flight when it is destroyed never call back.
 class HttpClient
 {
 public:
 	using Callback = std::function<void(HttpResult)>;
 
-	/// What happens to bytes of a call that was given up and that the network still holds.
+	/// What happens to the data of a timed-out call that the network still holds.
 	enum class EClose : uint8
 	{
-		Deliver, ///< They may arrive whenever a cut heals.
-		Discard  ///< They are lost: the connection is reset.
+		Deliver, ///< It may arrive as soon as a network partition ends.
+		Discard  ///< It is lost: the connection is reset.
 	};
 
-	/// `inPerHost`: connections to one address at once, at most; further calls wait.
+	/// `inPerHost`: maximum number of connections to one address; further calls are queued.
 	explicit HttpClient(int inPerHost = 16, EClose inClose = EClose::Deliver);
 	~HttpClient();
 	HttpClient(const HttpClient &) = delete;
@@ -72,19 +73,19 @@
 
 	/// Starts a call; `inDone` is called once.
 	void Start(const HttpCall &inCall, Callback inDone);
-	/// Bytes of HTTP sent and received, heads included, of calls that were answered.
+	/// HTTP bytes sent and received, headers included, by calls that were answered.
 	uint64 Bytes() const { return this->bytes; }
 
 private:
 	struct Pending;
-	/// What is known of one address.
+	/// State of one address.
 	struct Peer
 	{
 		std::string address;
-		PeerTrust trust;
-		std::set<curl_socket_t> idle; ///< Its kept connections that no call uses.
+		PeerTrust response_times;
+		std::set<curl_socket_t> idle_sockets; ///< Kept connections that no call uses.
 	};
-	/// Whose a socket is.
+	/// Peer of an open socket, and the call that uses it, if any.
 	struct Connection
 	{
 		std::shared_ptr<Peer> peer;
@@ -97,50 +98,51 @@
 	static int OnBeforeSend(void *inPending, char *, char *, int, int);
 	static size_t OnBody(char *inData, size_t inSize, size_t inCount, void *inPending);
 	static gboolean OnReadable(gint inDescriptor, GIOCondition inCondition, gpointer inSelf);
-	void Act(curl_socket_t inSocket, int inEvents);
-	/// Takes in what lies ready at the sockets; false: there was nothing.
-	bool TakeReady();
-	void Finish();
-	/// Takes a call out, whether it is over or not.
-	std::unique_ptr<Pending> Take(CURL *inEasy);
-	/// Keeps a finished handle for later calls.
-	void Keep(std::unique_ptr<Pending> inPending);
-	/// Ends the calls whose time is over.
-	void GiveUpLate();
-	void WaitForNextLimit();
-	/// Notes which call uses a connection, if any.
-	void SetUser(curl_socket_t inSocket, CURL *inUser);
-	std::shared_ptr<Peer> PeerOf(const std::string &inAddress);
-	/// Waits for an answer that would be overdue then.
-	void WaitForOverdue(std::optional<Millis> inAt);
-	/// Looks whether an answer is overdue.
-	void LookForSilence();
-	/// Gives up the kept connections to addresses whose answers are overdue, once what has come in is read.
-	void GiveUpSilent();
-	void GiveUpKept(Peer &ioPeer);
-	/// Asks what waits at an address anew; how many.
-	uint32 AskAnew(const Peer &inPeer);
+	void ProcessSocket(curl_socket_t inSocket, int inEvents);
+	/// Lets libcurl handle the sockets that are ready; false if there were none.
+	bool ProcessReadySockets();
+	/// Ends the calls that libcurl has completed.
+	void EndCompleted();
+	/// Removes a call, whether it has completed or not.
+	std::unique_ptr<Pending> Remove(CURL *inEasy);
+	/// Keeps the handle of a finished call for later calls.
+	void KeepHandle(std::unique_ptr<Pending> inPending);
+	/// Ends the calls that have timed out.
+	void EndTimedOut();
+	void StartDeadlineTimer();
+	/// Records which call uses a connection, if any.
+	void SetSocketUser(curl_socket_t inSocket, CURL *inUser);
+	std::shared_ptr<Peer> FindOrAddPeer(const std::string &inAddress);
+	/// Starts the timer for an answer that becomes overdue at the given time.
+	void StartOverdueTimer(std::optional<Millis> inAt);
+	/// Checks whether an answer is overdue.
+	void CheckOverdue();
+	/// Reads what has arrived, and then closes the kept connections to addresses whose answers are still overdue.
+	void CloseOverdue();
+	void CloseIdleConnections(Peer &ioPeer);
+	/// Sends the waiting calls to an address again over new connections; returns their number.
+	uint32 ResendWaiting(const Peer &inPeer);
 	void SetUp(Pending &ioPending, const HttpCall &inCall);
 	HttpResult ResultOf(Pending &ioPending, CURLcode inCode);
 
-	EClose close_by;
+	EClose on_close;
 	CURLM *multi = nullptr;
-	int epoll = -1; ///< All sockets of this client.
+	int epoll = -1; ///< Contains all sockets of this client.
 	guint epoll_source = 0;
-	Timer timer; ///< The one that libcurl asks for.
-	Timer limit; ///< Until the first of `limits`, or sooner.
-	std::map<CURL *, std::unique_ptr<Pending>> under_way;
-	std::set<std::pair<Millis, CURL *>> limits; ///< Until when each call under way has time. Invariant: one entry a call of `under_way`.
-	std::vector<std::unique_ptr<Pending>> idle; ///< Finished handles, to be used again.
+	Timer curl_timer;     ///< The timer that libcurl requests.
+	Timer deadline_timer; ///< Runs until the first of `deadlines`, or less long.
+	std::map<CURL *, std::unique_ptr<Pending>> in_flight;
+	std::set<std::pair<Millis, CURL *>> deadlines;      ///< When each call times out. Invariant: one entry for each call of `in_flight`.
+	std::vector<std::unique_ptr<Pending>> idle_handles; ///< Handles of finished calls, for reuse.
 	std::unordered_map<std::string, std::shared_ptr<Peer>> peers;
 	std::unordered_map<curl_socket_t, Connection> connections;
-	Timer overdue;         ///< Until an answer may be overdue, or sooner.
-	Millis overdue_at = 0; ///< When it is over.
-	std::shared_ptr<bool> alive;
+	Timer overdue_timer;         ///< Runs until an answer may be overdue, or less long.
+	Millis overdue_at = 0;       ///< When `overdue_timer` fires.
+	std::shared_ptr<bool> alive; ///< Expires with this client, so that a callback that destroys it is noticed.
 	uint64 bytes = 0;
 };
 
-/// Text made safe for one part of a URL's path or query.
+/// Percent-encodes a text for use as one part of a URL's path or query.
 std::string UrlEscape(std::string_view inText);
 
 } // namespace Loomreach
