--- a/Loomreach/Platform/PlatformClient.cpp
+++ b/Loomreach/Platform/PlatformClient.cpp
@@ -1,4 +1,4 @@
-// The platform's HTTP and JSON, by libsoup and nlohmann.
+// Encodes the calls to the platform and decodes its JSON.
 
 #include <Loomreach/Loomreach.h>
 
@@ -16,7 +16,7 @@
 static constexpr Millis cAppendTimeoutMs = 3000;
 static constexpr Millis cReadTimeoutMs = 3000;
 
-/// A whole number of an object, or nothing.
+/// Unsigned integer in a field of an object; nothing if absent or of another type.
 static std::optional<uint64> UnsignedOf(const Json &inObject, const char *inKey)
 {
 	auto found = inObject.find(inKey);
@@ -25,7 +25,7 @@
 	return found->get<uint64>();
 }
 
-/// A text of an object; empty when absent.
+/// String in a field of an object; empty if absent or of another type.
 static std::string TextOfKey(const Json &inObject, const char *inKey)
 {
 	auto found = inObject.find(inKey);
@@ -36,18 +36,18 @@
 {
 	const Json body = Json::parse(inBody, nullptr, false);
 	if (!body.is_object())
-		return Fail(EError::Corrupt, "the platform's page is no object");
+		return Fail(EError::Corrupt, "the platform's log page is not a JSON object");
 	const std::optional<uint64> first = UnsignedOf(body, "first");
 	const std::optional<uint64> next = UnsignedOf(body, "next");
 	auto records = body.find("records");
 	if (!first.has_value() || !next.has_value() || records == body.end() || !records->is_array())
-		return Fail(EError::Corrupt, "the platform's page lacks first, next or records");
+		return Fail(EError::Corrupt, "the platform's log page lacks first, next or records");
 	LogPage page{*first, *next, {}};
 	for (const Json &record : *records)
 	{
 		const std::optional<uint64> offset = record.is_object() ? UnsignedOf(record, "offset") : std::nullopt;
 		if (!offset.has_value())
-			return Fail(EError::Corrupt, "a record lacks its offset");
+			return Fail(EError::Corrupt, "a record of the platform's log page lacks its offset");
 		const std::string data = TextOfKey(record, "data");
 		gsize length = 0;
 		guchar *bytes = g_base64_decode(data.c_str(), &length);
@@ -57,16 +57,16 @@
 	return page;
 }
 
-/// One host of the list, or nothing when it lacks a name or an address.
+/// Decodes one host of the list; fails with `EError::Corrupt` if it lacks a name or a valid address.
 static std::optional<ListedHost> ParseHost(const Json &inHost)
 {
 	if (!inHost.is_object())
-		return Fail(EError::Corrupt, "a host is no object");
+		return Fail(EError::Corrupt, "an entry of the host list is not a JSON object");
 	ListedHost host;
 	host.spec.name = TextOfKey(inHost, "name");
 	std::optional<Address> address = ParseAddress(TextOfKey(inHost, "address"));
 	if (host.spec.name.empty() || !address.has_value())
-		return Fail(EError::Corrupt, "a host lacks its name or address");
+		return Fail(EError::Corrupt, "an entry of the host list lacks its name or a valid address");
 	host.spec.address = std::move(*address);
 	host.spec.region = TextOfKey(inHost, "region");
 	host.spec.availability_zone = TextOfKey(inHost, "availability_zone");
@@ -85,7 +85,7 @@
 {
 	const Json body = Json::parse(inBody, nullptr, false);
 	if (!body.is_array())
-		return Fail(EError::Corrupt, "the host list is no array");
+		return Fail(EError::Corrupt, "the host list is not a JSON array");
 	std::map<std::string, ListedHost> hosts;
 	for (const Json &element : body)
 	{
@@ -143,7 +143,7 @@
 						 {
 							 result.hosts = ParseHostList(inResult.body);
 							 result.answered = result.hosts.has_value();
-							 // A list that was not understood is asked for again
+							 // Without the entity tag, the next read fetches a malformed list again
 							 this->list_etag = result.answered ? inResult.etag : std::string();
 						 }
 						 done(std::move(result));
--- a/Loomreach/Platform/WorkerClient.cpp
+++ b/Loomreach/Platform/WorkerClient.cpp
@@ -1,4 +1,4 @@
-// The agent's JSON.
+// Encodes orders to workers' agents and decodes their status.
 
 #include <Loomreach/Loomreach.h>
 
@@ -48,11 +48,11 @@
 	status.leaving = body.value("leaving", Json(false)) == Json(true);
 	for (const Json &element : body["tasks"])
 	{
-		const bool whole = element.is_object() && element.value("replica", Json()).is_string() &&
-						   element.value("state", Json()).is_string() && element.value("generation", Json()).is_number_unsigned();
-		std::optional<ReplicaKey> replica = whole ? ParseReplica(element["replica"].get<std::string>()) : std::nullopt;
+		const bool well_formed = element.is_object() && element.value("replica", Json()).is_string() &&
+								 element.value("state", Json()).is_string() && element.value("generation", Json()).is_number_unsigned();
+		std::optional<ReplicaKey> replica = well_formed ? ParseReplica(element["replica"].get<std::string>()) : std::nullopt;
 		if (!replica.has_value())
-			return Fail(EError::Corrupt, "a task lacks replica, generation or state");
+			return Fail(EError::Corrupt, "a task of the worker's status lacks replica, generation or state");
 		TaskReport task;
 		task.replica = std::move(*replica);
 		task.generation = element["generation"].get<uint64>();
--- a/Loomreach/Platform/WorkerClient.h
+++ b/Loomreach/Platform/WorkerClient.h
@@ -1,5 +1,5 @@
-// A worker's agent as its published protocol shows it (docs/PLATFORM.md): one call renews the lease, sets the tasks
-// that the worker shall run, and brings back what it runs and sees.
+// Client of a worker's agent by its published protocol (docs/PLATFORM.md): one call renews the worker's lease, sets the tasks that it shall
+// run, and returns its status.
 
 #pragma once
 
@@ -18,16 +18,16 @@
 	int64 run_time_s = 0;
 };
 
-/// All that a worker shall run. The worker refuses one that was made on an older state than it has seen.
+/// The complete set of tasks that a worker shall run. A worker refuses an order that is based on an older state than an earlier one.
 struct WorkerOrder
 {
 	LogOffset state_offset = 0;
 	int64 lease_ms = 0;
-	bool accepts = true; ///< Whether it may begin new requests.
+	bool accepts = true; ///< Whether the worker may start new requests.
 	std::vector<WantedTask> tasks;
 };
 
-/// What a worker answers.
+/// Status that a worker returns.
 struct WorkerStatus
 {
 	uint64 boot = 0;
@@ -36,23 +36,24 @@
 	std::vector<TaskReport> tasks;
 };
 
-/// Calls workers' agents.
+/// Calls the agents of workers.
 class WorkerClient
 {
 public:
+	/// Sends an order; `inDone` gets the worker's status, or nothing if no valid answer arrived.
 	void Send(const Address &inWorker, const WorkerOrder &inOrder, Millis inTimeout,
 			  std::function<void(std::optional<WorkerStatus>)> inDone);
-	/// Bytes to and from workers' agents.
+	/// HTTP bytes to and from workers' agents.
 	uint64 Bytes() const { return this->http.Bytes(); }
 
 private:
 	HttpClient http;
 };
 
-/// Reads a status as a worker writes it; nothing when it is not well formed.
+/// Decodes a worker's status; fails with `EError::Corrupt` if it is malformed.
 std::optional<WorkerStatus> ParseWorkerStatus(const std::string &inBody);
 
-/// Reads "job#index".
+/// Parses "job#index"; fails with `EError::Corrupt` for anything else.
 std::optional<ReplicaKey> ParseReplica(std::string_view inText);
 
 } // namespace Loomreach
