--- a/SoakTests/FakePlatform.h
+++ b/SoakTests/FakePlatform.h
@@ -1,4 +1,4 @@
-// Fakes at the interfaces for the soak: the log with its faults, and workers that count what they begin and what is cut.
+// Fakes for the soak test: the log service with its faults, and workers with requests in flight.
 
 #pragma once
 
@@ -9,7 +9,7 @@
 namespace Loomreach
 {
 
-/// The log service. Appends take effect in order; answers may be lost, late, or refused.
+/// The log service. Appends take effect in order; their answers may be lost, and the service may be down.
 class FakeLog
 {
 public:
@@ -17,25 +17,25 @@
 	struct Stream
 	{
 		LogOffset first = 0;
-		std::vector<std::string> records; ///< All ever appended; those before `first` can't be read any more.
+		std::vector<std::string> records; ///< All records ever appended; those before `first` can no longer be read.
 		LogOffset Next() const { return this->records.size(); }
 	};
 
 	Stream records;
 	Stream snapshots;
 	bool down = false;
-	uint32 lose_percent = 0;
+	uint32 lost_answer_percent = 0;
 
-	/// Appends. False when no answer comes back, whether or not it took effect.
+	/// Appends a record. False if no answer arrives, whether or not the append took effect.
 	bool Append(Stream &ioStream, std::string inBytes, Random &ioRandom)
 	{
 		if (this->down)
 			return false;
 		ioStream.records.push_back(std::move(inBytes));
-		return !ioRandom.Chance(this->lose_percent);
+		return !ioRandom.Chance(this->lost_answer_percent);
 	}
 
-	/// Takes away all but the last records of a stream.
+	/// Makes all but the last `inKeep` records of a stream unreadable, as retention does.
 	static void Retain(Stream &ioStream, LogOffset inKeep)
 	{
 		if (ioStream.Next() > inKeep)
@@ -43,7 +43,7 @@
 	}
 };
 
-/// One worker as the soak plays it.
+/// A worker of the soak test.
 struct FakeWorker
 {
 	HostSpec spec;
@@ -53,7 +53,7 @@
 	bool accepts = true;
 	uint64 boot = 1;
 	uint32 in_flight = 0;
-	uint64 rebooted_at = 0; ///< Step at which it went down for its reboot; 0: not.
+	uint64 rebooted_at = 0; ///< Step at which its reboot began; 0: it is not rebooting.
 	LogOffset order_offset = 0;
 	std::map<ReplicaKey, TaskReport> tasks;
 };
--- a/SoakTests/Main.cpp
+++ b/SoakTests/Main.cpp
@@ -1,5 +1,6 @@
-// The soak: entry hosts' real decision code over fakes, with a seeded schedule of pauses, cuts, lost answers, outages, retention,
-// kills, failing workers, waves, moves and operators who race. Invariants abort; a failure prints its seed.
+// Soak test: runs the real decision code of entry hosts over fakes, with a seeded schedule of pauses, network partitions, lost answers,
+// outages, retention, kills, failing workers, maintenance waves, moves and concurrent operators. A broken invariant aborts the run; its
+// seed is printed at the start.
 
 #include <Loomreach/Loomreach.h>
 
@@ -25,23 +26,23 @@
 constexpr uint64 cZones = 3;
 constexpr uint64 cPools = 4;
 constexpr Millis cStepMs = 5;
-constexpr uint64 cSettleEvery = 20'000;
+constexpr uint64 cSettleEverySteps = 20'000;
 constexpr int cSettleRounds = 4000;
-constexpr LogOffset cRetention = 150;
+constexpr LogOffset cMinRetainedRecords = 150;
 constexpr uint64 cRebootSteps = 400;
 
 std::string ZoneName(uint64 inIndex) { return "zone-" + std::to_string(inIndex % cZones); }
 std::string PoolPath(uint64 inIndex) { return "/group/pool-" + std::to_string(inIndex % cPools); }
 
-/// What the run has seen, printed at its end.
+/// Counts of events, printed at the end of the run.
 struct Tally
 {
 	uint64 accepted = 0;
 	uint64 rejected = 0;
-	uint64 repeats = 0;
+	uint64 duplicates = 0;
 	uint64 kills = 0;
 	uint64 pauses = 0;
-	uint64 cuts = 0;
+	uint64 partitions = 0;
 	uint64 outages = 0;
 	uint64 reboots = 0;
 	uint64 moves = 0;
@@ -50,10 +51,10 @@
 	uint64 settles = 0;
 	uint64 compared = 0;
 	uint64 resets = 0;
-	uint64 from_peer = 0;
+	uint64 adopted_from_peer = 0;
 };
 
-/// The whole run.
+/// The run, with all its nodes, workers and faults.
 class Soak
 {
 public:
@@ -64,17 +65,17 @@
 		for (uint64 i = 0; i < FLAGS_workers; ++i)
 			this->AddWorker(i);
 		for (uint64 i = 0; i < FLAGS_entry_hosts; ++i)
-			this->nodes.push_back(this->NewNode(i));
+			this->nodes.push_back(this->MakeNode(i));
 		this->versions_seen.resize(FLAGS_entry_hosts, 0);
 		for (this->step = 1; this->step <= FLAGS_steps; ++this->step)
 		{
 			this->now += cStepMs;
-			this->Fault();
-			this->OperatorActs();
-			this->WorkersAct();
-			this->NodeActs(this->random.Below(this->nodes.size()));
-			this->FollowReference();
-			if (this->step % cSettleEvery == 0)
+			this->ToggleFault();
+			this->RunOperator();
+			this->RunWorker();
+			this->RunNode(this->random.Below(this->nodes.size()));
+			this->AdvanceReference();
+			if (this->step % cSettleEverySteps == 0)
 				this->Settle();
 		}
 		this->Settle();
@@ -82,7 +83,7 @@
 	}
 
 private:
-	std::unique_ptr<SoakNode> NewNode(uint64 inIndex)
+	std::unique_ptr<SoakNode> MakeNode(uint64 inIndex)
 	{
 		return std::make_unique<SoakNode>("entry-" + std::to_string(inIndex), ZoneName(inIndex), this->random.Next() | 1);
 	}
@@ -100,8 +101,8 @@
 		this->workers.emplace(worker_name, std::move(worker));
 	}
 
-	/// Turns faults on and off, alone, together and doubled.
-	void Fault()
+	/// Turns one random fault on or off now and then; several may be active at once.
+	void ToggleFault()
 	{
 		if (this->random.Below(150) != 0)
 			return;
@@ -112,58 +113,59 @@
 			this->tally.outages += this->log.down ? 0 : 1;
 			this->log.down = !this->log.down;
 			break;
-		case 1: this->log.lose_percent = static_cast<uint32>(this->random.Below(60)); break;
+		case 1: this->log.lost_answer_percent = static_cast<uint32>(this->random.Below(60)); break;
 		case 2:
 			node.paused = !node.paused;
 			++this->tally.pauses;
 			break;
 		case 3:
-			node.cut = !node.cut;
-			++this->tally.cuts;
+			node.is_partitioned = !node.is_partitioned;
+			++this->tally.partitions;
 			break;
-		case 4: this->CutZone(); break;
+		case 4: this->PartitionZone(); break;
 		case 5: this->Kill(this->random.Below(this->nodes.size())); break;
-		case 6: FakeLog::Retain(this->log.records, this->KeepRecords()); break;
+		case 6: FakeLog::Retain(this->log.records, this->RecordsToKeep()); break;
 		case 7:
 			this->log.down = false;
-			this->log.lose_percent = 0;
+			this->log.lost_answer_percent = 0;
 			break;
-		case 8: this->drop_percent = this->random.Below(50); break;
-		case 9: this->Unpause(); break;
-		case 10: this->KillMany(); break;
+		case 8: this->heartbeat_drop_percent = this->random.Below(50); break;
+		case 9: this->ResumeAll(); break;
+		case 10: this->KillAll(); break;
 		}
 	}
 
-	/// Retention never takes what no snapshot holds: the platform keeps records for longer than snapshots are apart.
-	LogOffset KeepRecords() const
+	/// Number of records that retention leaves. It never removes a record that no snapshot contains, since the platform retains records for
+	/// longer than the time between two snapshots.
+	LogOffset RecordsToKeep() const
 	{
 		SnapshotAssembler assembler;
 		for (LogOffset offset = this->log.snapshots.first; offset < this->log.snapshots.Next(); ++offset)
 			assembler.Add(this->log.snapshots.records[offset]);
 		const std::optional<FleetState> newest = assembler.Newest();
-		const LogOffset held = newest.has_value() ? newest->next_offset : 0;
-		return std::max(cRetention, this->log.records.Next() - held);
+		const LogOffset covered = newest.has_value() ? newest->next_offset : 0;
+		return std::max(cMinRetainedRecords, this->log.records.Next() - covered);
 	}
 
-	void CutZone()
+	void PartitionZone()
 	{
 		const std::string zone = ZoneName(this->random.Below(cZones));
-		const bool cut = this->random.Chance(50);
-		this->zone_cut[zone] = cut;
+		const bool is_partitioned = this->random.Chance(50);
+		this->partitioned_zones[zone] = is_partitioned;
 		for (auto &node : this->nodes)
 			if (node->zone == zone)
-				node->cut = cut;
-		++this->tally.cuts;
+				node->is_partitioned = is_partitioned;
+		++this->tally.partitions;
 	}
 
 	void Kill(uint64 inIndex)
 	{
-		this->nodes[inIndex] = this->NewNode(inIndex);
+		this->nodes[inIndex] = this->MakeNode(inIndex);
 		++this->tally.kills;
 	}
 
-	/// All one after another, or all at once.
-	void KillMany()
+	/// Kills all nodes, with a chance of one in four.
+	void KillAll()
 	{
 		if (this->random.Below(4) != 0)
 			return;
@@ -171,7 +173,7 @@
 			this->Kill(i);
 	}
 
-	void Unpause()
+	void ResumeAll()
 	{
 		for (auto &node : this->nodes)
 			node->paused = false;
@@ -200,8 +202,8 @@
 		return tree;
 	}
 
-	/// Operators through any node, often two at once against the same version.
-	void OperatorActs()
+	/// Sends an operator's proposal through a random node; often two at once that are based on the same version.
+	void RunOperator()
 	{
 		if (this->random.Below(300) != 0)
 			return;
@@ -252,8 +254,8 @@
 				this->now);
 	}
 
-	/// Workers take requests while they accept, end them, fail, come back from reboots.
-	void WorkersAct()
+	/// Lets a random worker start or end a request, fail, recover, or return from its reboot.
+	void RunWorker()
 	{
 		auto found = this->workers.begin();
 		std::advance(found, static_cast<std::ptrdiff_t>(this->random.Below(this->workers.size())));
@@ -266,7 +268,7 @@
 			worker.order_offset = 0;
 			++worker.boot;
 		}
-		// Requests come from any entry host, also from one whose state is old: the worker's own refusal is the last guard
+		// Requests also come from entry hosts with a stale state, so only the worker's own refusal can keep them off
 		if (worker.up && worker.accepts && worker.in_flight < worker.spec.slots && this->random.Chance(30))
 			++worker.in_flight;
 		else if (worker.in_flight > 0)
@@ -285,26 +287,26 @@
 
 	bool CanReach(const SoakNode &inNode, const FakeWorker &inWorker) const
 	{
-		auto cut = this->zone_cut.find(inWorker.spec.availability_zone);
-		const bool zone_is_cut = cut != this->zone_cut.end() && cut->second;
-		return inWorker.up && (!zone_is_cut || inNode.zone == inWorker.spec.availability_zone);
+		auto found = this->partitioned_zones.find(inWorker.spec.availability_zone);
+		const bool zone_is_partitioned = found != this->partitioned_zones.end() && found->second;
+		return inWorker.up && (!zone_is_partitioned || inNode.zone == inWorker.spec.availability_zone);
 	}
 
-	bool CanTalk(const SoakNode &inA, const SoakNode &inB) const
+	bool CanReachPeer(const SoakNode &inA, const SoakNode &inB) const
 	{
-		const auto is_cut = [this](const std::string &inZone)
+		const auto is_zone_partitioned = [this](const std::string &inZone)
 		{
-			auto cut = this->zone_cut.find(inZone);
-			return cut != this->zone_cut.end() && cut->second;
+			auto found = this->partitioned_zones.find(inZone);
+			return found != this->partitioned_zones.end() && found->second;
 		};
-		return inA.zone == inB.zone || (!is_cut(inA.zone) && !is_cut(inB.zone));
+		return inA.zone == inB.zone || (!is_zone_partitioned(inA.zone) && !is_zone_partitioned(inB.zone));
 	}
 
-	/// The keeper's order and the worker's answer.
+	/// Sends the node's order to a worker and records the worker's answer.
 	void PollWorker(SoakNode &ioNode, const Host &inHost)
 	{
 		FakeWorker &worker = this->workers.find(inHost.spec.name)->second;
-		HostObservation &observation = ioNode.seen.hosts[inHost.spec.name];
+		HostObservation &observation = ioNode.observations.hosts[inHost.spec.name];
 		if (observation.first_polled == 0)
 			observation.first_polled = this->now;
 		if (inHost.phase == EHostPhase::Out && worker.up && worker.boot == inHost.out_boot && ioNode.reaches_platform)
@@ -349,124 +351,125 @@
 		++this->tally.reboots;
 	}
 
-	void NodeActs(uint64 inIndex)
+	void RunNode(uint64 inIndex)
 	{
 		SoakNode &node = *this->nodes[inIndex];
 		if (node.paused)
 			return;
-		node.verdicts.clear();
-		// Reads are slow at times, so that an append whose answer was lost is repeated before its record is read
+		node.outcomes.clear();
+		// Skips reads at times, so that an append whose answer was lost is repeated before its record is read
 		if (!this->random.Chance(30))
 			node.ReadLog(this->log);
-		this->HearPeers(node);
+		this->ReceiveHeartbeats(node);
 		if (node.ready)
 		{
 			LOOM_INVARIANT(node.state.settings_version >= this->versions_seen[inIndex] || !node.reaches_platform,
-						   "no accepted settings version goes back on an entry host, across restarts too");
+						   "the accepted settings version of an entry host never decreases, not even over restarts");
 			this->versions_seen[inIndex] = std::max(this->versions_seen[inIndex], node.state.settings_version);
 		}
-		this->KeepHosts(node);
+		this->PollHosts(node);
 		node.Plan(this->now);
 		node.Append(this->log, this->random, this->now);
 		if (this->random.Chance(5))
 			node.MaybeSnapshot(this->log, this->random, this->now);
-		this->Compare(node);
+		this->CompareWithReference(node);
 	}
 
-	void HearPeers(SoakNode &ioNode)
+	void ReceiveHeartbeats(SoakNode &ioNode)
 	{
 		for (auto &peer : this->nodes)
 		{
-			if (peer.get() == &ioNode || peer->paused || !this->CanTalk(ioNode, *peer) || this->random.Below(100) < this->drop_percent)
+			if (peer.get() == &ioNode || peer->paused || !this->CanReachPeer(ioNode, *peer) ||
+				this->random.Below(100) < this->heartbeat_drop_percent)
 				continue;
-			Digest digest = peer->MakeDigest(this->now);
-			const Digest again = digest;
-			ioNode.tracker.Hear(std::move(digest), this->now);
-			// A datagram that comes twice changes nothing
-			LOOM_INVARIANT(!ioNode.tracker.Hear(again, this->now), "a replayed digest is refused");
+			Digest heartbeat = peer->MakeHeartbeat(this->now);
+			const Digest duplicate = heartbeat;
+			ioNode.tracker.Hear(std::move(heartbeat), this->now);
+			// A duplicated datagram must change nothing
+			LOOM_INVARIANT(!ioNode.tracker.Hear(duplicate, this->now), "a replayed digest is refused");
 			if (!ioNode.ready && !ioNode.reaches_platform)
 			{
 				ioNode.AdoptFrom(*peer);
-				this->tally.from_peer += ioNode.ready ? 1 : 0;
+				this->tally.adopted_from_peer += ioNode.ready ? 1 : 0;
 			}
 			else if (peer->state.next_offset > ioNode.state.next_offset)
 				ioNode.FetchFrom(*peer);
 		}
 	}
 
-	void KeepHosts(SoakNode &ioNode)
+	void PollHosts(SoakNode &ioNode)
 	{
-		ioNode.seen.list_is_fresh = ioNode.reaches_platform;
+		ioNode.observations.list_is_fresh = ioNode.reaches_platform;
 		if (ioNode.reaches_platform && this->random.Chance(20))
 		{
-			ioNode.seen.listed.clear();
+			ioNode.observations.listed.clear();
 			for (const auto &[worker_name, worker] : this->workers)
-				ioNode.seen.listed.emplace(worker_name, ListedHost{worker.spec, worker.pool, false});
+				ioNode.observations.listed.emplace(worker_name, ListedHost{worker.spec, worker.pool, false});
 		}
 		if (!ioNode.ready)
 			return;
 		const StewardPicker picker = ioNode.Picker(this->now);
-		std::set<std::string> kept;
+		std::set<std::string> polled;
 		for (const auto &[host_name, host] : ioNode.state.hosts)
 		{
 			if (!picker.IsMineIn("host:" + host_name, host.spec.availability_zone))
 				continue;
-			kept.insert(host_name);
+			polled.insert(host_name);
 			this->PollWorker(ioNode, host);
 		}
-		std::erase_if(ioNode.seen.hosts, [&kept](const auto &inEntry) { return kept.count(inEntry.first) == 0; });
+		std::erase_if(ioNode.observations.hosts, [&polled](const auto &inEntry) { return polled.count(inEntry.first) == 0; });
 	}
 
-	/// Folds the whole log from its start, whatever retention has taken, and checks what any node must agree with.
-	void FollowReference()
+	/// Applies all records of the log, also those that retention has removed, to the reference state with which every node must agree.
+	void AdvanceReference()
 	{
 		while (this->reference.next_offset < this->log.records.Next())
 		{
 			const LogOffset offset = this->reference.next_offset;
-			for (const Verdict &verdict : FoldRecord(this->reference, offset, this->log.records.records[offset]))
-				this->Check(verdict);
+			for (const Verdict &outcome : FoldRecord(this->reference, offset, this->log.records.records[offset]))
+				this->CheckOutcome(outcome);
 			if (offset % 16 == 0)
 				this->reference.CheckInvariants();
-			this->hashes.push_back(this->reference.Hash());
+			this->reference_hashes.push_back(this->reference.Hash());
 		}
 	}
 
-	void Check(const Verdict &inVerdict)
+	void CheckOutcome(const Verdict &inOutcome)
 	{
-		if (inVerdict.error == EError::DuplicateProposal)
+		if (inOutcome.error == EError::DuplicateProposal)
 		{
-			++this->tally.repeats;
+			++this->tally.duplicates;
 			return;
 		}
-		LOOM_INVARIANT(this->effects.insert(inVerdict.id).second, "an id takes effect once, however often it is appended");
-		++(inVerdict.Accepted() ? this->tally.accepted : this->tally.rejected);
-		this->tally.conflicts += inVerdict.error == EError::Conflict ? 1 : 0;
-		this->tally.moves += inVerdict.Accepted() && inVerdict.kind == EProposal::MoveHost ? 1 : 0;
-		this->tally.waves += inVerdict.Accepted() && inVerdict.kind == EProposal::StartWave ? 1 : 0;
+		LOOM_INVARIANT(this->applied_ids.insert(inOutcome.id).second, "an id takes effect once, however often it is appended");
+		++(inOutcome.Accepted() ? this->tally.accepted : this->tally.rejected);
+		this->tally.conflicts += inOutcome.error == EError::Conflict ? 1 : 0;
+		this->tally.moves += inOutcome.Accepted() && inOutcome.kind == EProposal::MoveHost ? 1 : 0;
+		this->tally.waves += inOutcome.Accepted() && inOutcome.kind == EProposal::StartWave ? 1 : 0;
 		this->tally.resets = this->reference.view.resets;
 	}
 
-	/// A node that has read as far as some offset has the state that the full fold had there.
-	void Compare(const SoakNode &inNode)
+	/// Checks that a node has the state that the reference had at the same offset.
+	void CompareWithReference(const SoakNode &inNode)
 	{
 		const LogOffset offset = inNode.state.next_offset;
-		if (!inNode.ready || offset == 0 || offset > this->hashes.size() || !this->random.Chance(5))
+		if (!inNode.ready || offset == 0 || offset > this->reference_hashes.size() || !this->random.Chance(5))
 			return;
-		LOOM_INVARIANT(inNode.state.Hash() == this->hashes[offset - 1],
+		LOOM_INVARIANT(inNode.state.Hash() == this->reference_hashes[offset - 1],
 					   "two that have read as far have the same state; snapshot and tail equal the full fold");
 		++this->tally.compared;
 	}
 
-	/// Heals everything and waits: all must agree, and everything that waits must come to its end.
+	/// Ends all faults and runs on until the nodes must have the same state and all hosts must have recovered, and checks it.
 	void Settle()
 	{
 		this->log.down = false;
-		this->log.lose_percent = 0;
-		this->drop_percent = 0;
-		this->zone_cut.clear();
-		this->Unpause();
+		this->log.lost_answer_percent = 0;
+		this->heartbeat_drop_percent = 0;
+		this->partitioned_zones.clear();
+		this->ResumeAll();
 		for (auto &node : this->nodes)
-			node->cut = false;
+			node->is_partitioned = false;
 		for (auto &[worker_name, worker] : this->workers)
 		{
 			worker.up = worker.up || worker.rebooted_at == 0;
@@ -475,9 +478,9 @@
 		for (int round = 0; round < cSettleRounds; ++round)
 		{
 			this->now += cStepMs;
-			this->WorkersAct();
-			this->NodeActs(static_cast<uint64>(round) % this->nodes.size());
-			this->FollowReference();
+			this->RunWorker();
+			this->RunNode(static_cast<uint64>(round) % this->nodes.size());
+			this->AdvanceReference();
 		}
 		for (auto &node : this->nodes)
 		{
@@ -490,15 +493,15 @@
 		++this->tally.settles;
 	}
 
-	/// After failures on top of waves, the budget is whole again as far as hosts in waves and operators' drains allow.
+	/// Checks that after failures during waves, the hosts of each pool are available again, but for those in waves or drained by operators.
 	void CheckRecovered()
 	{
 		for (const auto &[pool, counts] : this->reference.pool_counts)
 		{
-			uint32 held = 0;
+			uint32 unavailable = 0;
 			for (const auto &[host_name, host] : this->reference.hosts)
-				held += host.pool == pool && !host.IsAvailable() ? 1 : 0;
-			LOOM_INVARIANT(counts.available + held == counts.hosts, "every host of a pool is available or has a reason not to be");
+				unavailable += host.pool == pool && !host.IsAvailable() ? 1 : 0;
+			LOOM_INVARIANT(counts.available + unavailable == counts.hosts, "every host of a pool is available or has a reason not to be");
 		}
 	}
 
@@ -509,9 +512,9 @@
 					"outages=%lu reboots=%lu moves=%lu waves=%lu conflicts=%lu compared=%lu settles=%lu resets=%lu adopted_from_peer=%lu "
 					"broken=%lu\n",
 					FLAGS_seed, FLAGS_steps, FLAGS_entry_hosts, this->log.records.Next(), this->tally.accepted, this->tally.rejected,
-					this->tally.repeats, this->tally.kills, this->tally.pauses, this->tally.cuts, this->tally.outages, this->tally.reboots,
-					this->tally.moves, this->tally.waves, this->tally.conflicts, this->tally.compared, this->tally.settles,
-					this->tally.resets, this->tally.from_peer, BrokenInvariants());
+					this->tally.duplicates, this->tally.kills, this->tally.pauses, this->tally.partitions, this->tally.outages,
+					this->tally.reboots, this->tally.moves, this->tally.waves, this->tally.conflicts, this->tally.compared,
+					this->tally.settles, this->tally.resets, this->tally.adopted_from_peer, BrokenInvariants());
 	}
 
 	Random random;
@@ -520,11 +523,11 @@
 	FakeLog log;
 	std::vector<std::unique_ptr<SoakNode>> nodes;
 	std::map<std::string, FakeWorker> workers;
-	std::map<std::string, bool> zone_cut;
-	uint64 drop_percent = 0;
+	std::map<std::string, bool> partitioned_zones;
+	uint64 heartbeat_drop_percent = 0;
 	FleetState reference;
-	std::vector<uint64> hashes; ///< Of the full fold after each record.
-	std::set<ProposalId> effects;
+	std::vector<uint64> reference_hashes; ///< Hash of the reference state after each record.
+	std::set<ProposalId> applied_ids;
 	std::vector<LogPosition> versions_seen;
 	Tally tally;
 };
--- a/SoakTests/SoakNode.cpp
+++ b/SoakTests/SoakNode.cpp
@@ -1,4 +1,4 @@
-// The node's rounds.
+// Reading, planning and appending of a node of the soak test.
 
 #include <Loomreach/Loomreach.h>
 
@@ -11,8 +11,8 @@
 
 static constexpr Millis cSuspectMs = 2000;
 static constexpr Millis cRemoveMs = 8000;
-static constexpr size_t cTail = 200;
-static constexpr LogOffset cSnapshotEvery = 60;
+static constexpr size_t cMaxRecentRecords = 200;
+static constexpr LogOffset cSnapshotEveryRecords = 60;
 static constexpr double cAppendsPerSecond = 20.0;
 
 SoakNode::SoakNode(std::string inName, std::string inZone, uint64 inIncarnation)
@@ -29,35 +29,35 @@
 	return {this->state.view, this->tracker, this->name, this->reaches_platform, false, inNow};
 }
 
-void SoakNode::Fold(LogOffset inOffset, const std::string &inRecord)
+void SoakNode::ApplyRecord(LogOffset inOffset, const std::string &inRecord)
 {
 	const LogPosition version = this->state.settings_version;
-	std::vector<Verdict> some = FoldRecord(this->state, inOffset, inRecord);
-	LOOM_INVARIANT(this->state.settings_version >= version, "no accepted settings version goes back");
-	for (const Verdict &verdict : some)
-		if (verdict.id.incarnation == this->incarnation)
-			this->queue.OnSeen(verdict.id.sequence);
-	this->verdicts.insert(this->verdicts.end(), some.begin(), some.end());
-	this->tail.emplace_back(inOffset, inRecord);
-	if (this->tail.size() > cTail)
-		this->tail.pop_front();
+	std::vector<Verdict> applied = FoldRecord(this->state, inOffset, inRecord);
+	LOOM_INVARIANT(this->state.settings_version >= version, "the accepted settings version never decreases");
+	for (const Verdict &outcome : applied)
+		if (outcome.id.incarnation == this->incarnation)
+			this->queue.OnSeen(outcome.id.sequence);
+	this->outcomes.insert(this->outcomes.end(), applied.begin(), applied.end());
+	this->recent_records.emplace_back(inOffset, inRecord);
+	if (this->recent_records.size() > cMaxRecentRecords)
+		this->recent_records.pop_front();
 }
 
 void SoakNode::OnAdopted()
 {
-	this->tail.clear();
+	this->recent_records.clear();
 	if (auto mark = this->state.proposers.find(this->incarnation); mark != this->state.proposers.end())
 		this->queue.OnAdopted(mark->second.sequence);
 }
 
 void SoakNode::ReadLog(const FakeLog &inLog)
 {
-	this->reaches_platform = !inLog.down && !this->cut;
+	this->reaches_platform = !inLog.down && !this->is_partitioned;
 	if (!this->reaches_platform)
 		return;
 	if (this->state.next_offset < inLog.records.first)
 	{
-		// Retention has overtaken this reader: only a snapshot closes the gap
+		// Retention has removed records that this node has not read: only a snapshot closes the gap
 		SnapshotAssembler assembler;
 		for (LogOffset offset = inLog.snapshots.first; offset < inLog.snapshots.Next(); ++offset)
 			assembler.Add(inLog.snapshots.records[offset]);
@@ -70,17 +70,17 @@
 			return;
 	}
 	for (LogOffset offset = this->state.next_offset; offset < inLog.records.Next(); ++offset)
-		this->Fold(offset, inLog.records.records[offset]);
+		this->ApplyRecord(offset, inLog.records.records[offset]);
 	this->ready = true;
 }
 
 void SoakNode::FetchFrom(const SoakNode &inPeer)
 {
-	if (!this->ready || inPeer.tail.empty() || inPeer.tail.front().first > this->state.next_offset)
+	if (!this->ready || inPeer.recent_records.empty() || inPeer.recent_records.front().first > this->state.next_offset)
 		return;
-	for (const auto &[offset, record] : inPeer.tail)
+	for (const auto &[offset, record] : inPeer.recent_records)
 		if (offset >= this->state.next_offset)
-			this->Fold(offset, record);
+			this->ApplyRecord(offset, record);
 }
 
 void SoakNode::AdoptFrom(const SoakNode &inPeer)
@@ -88,23 +88,23 @@
 	if (!inPeer.ready || (this->ready && inPeer.state.next_offset <= this->state.next_offset))
 		return;
 	std::optional<FleetState> copy = DecodeState(EncodeState(inPeer.state));
-	LOOM_INVARIANT(copy.has_value(), "a state that was encoded decodes");
+	LOOM_INVARIANT(copy.has_value(), "an encoded state can be decoded");
 	this->state = std::move(*copy);
 	this->OnAdopted();
 	this->ready = true;
 }
 
-Digest SoakNode::MakeDigest(Millis inNow)
+Digest SoakNode::MakeHeartbeat(Millis inNow)
 {
-	Digest digest;
-	digest.name = this->name;
-	digest.incarnation = this->incarnation;
-	digest.sequence = ++this->sequence;
-	digest.availability_zone = this->zone;
-	digest.next_offset = this->ready ? this->state.next_offset : 0;
-	digest.reaches_platform = this->reaches_platform;
-	digest.zone_reaches_platform = this->reaches_platform || this->tracker.ZoneReachesPlatform(inNow);
-	return digest;
+	Digest heartbeat;
+	heartbeat.name = this->name;
+	heartbeat.incarnation = this->incarnation;
+	heartbeat.sequence = ++this->sequence;
+	heartbeat.availability_zone = this->zone;
+	heartbeat.next_offset = this->ready ? this->state.next_offset : 0;
+	heartbeat.reaches_platform = this->reaches_platform;
+	heartbeat.zone_reaches_platform = this->reaches_platform || this->tracker.ZoneReachesPlatform(inNow);
+	return heartbeat;
 }
 
 void SoakNode::Plan(Millis inNow)
@@ -118,14 +118,14 @@
 			PlanView({this->state, this->tracker, this->Self(), inNow, listening_since, cRemoveMs, cSuspectMs});
 		change.has_value())
 		this->Propose(std::move(*change), inNow);
-	const bool beat_due = inNow - this->log_beat_sent >= cSuspectMs && inNow - listening_since >= cSuspectMs;
-	if (beat_due && this->Picker(inNow).IsMineIn("log-beat", this->zone) &&
+	const bool heartbeat_due = inNow - this->log_heartbeat_sent >= cSuspectMs && inNow - listening_since >= cSuspectMs;
+	if (heartbeat_due && this->Picker(inNow).IsMineIn("log-beat", this->zone) &&
 		NeedsLogBeat(this->state.view, this->tracker, this->zone, cSuspectMs, inNow))
 	{
-		this->log_beat_sent = inNow;
+		this->log_heartbeat_sent = inNow;
 		this->Propose(ZoneAlive{this->zone}, inNow);
 	}
-	// The soak's claims are empty, so a range is taken over as soon as a holder is there
+	// Claims are empty in the soak test, so a new holder can take over a range at once
 	TakeOver take{this->state.view.number, this->name, {}};
 	for (uint32 range = 0; range < cClaimRanges; ++range)
 	{
@@ -136,32 +136,32 @@
 	if (!take.ranges.empty())
 		this->Propose(std::move(take), inNow);
 	const StewardPicker picker = this->Picker(inNow);
-	const HostKeeper keeper(this->state, this->seen, {3000, 100, 20'000}, inNow);
+	const HostKeeper lifecycle(this->state, this->observations, {3000, 100, 20'000}, inNow);
 	if (picker.IsMine("hosts"))
-		for (ProposalBody &body : keeper.FollowList())
+		for (ProposalBody &body : lifecycle.FollowList())
 			this->Propose(std::move(body), inNow);
-	for (const auto &[host_name, observation] : this->seen.hosts)
+	for (const auto &[host_name, observation] : this->observations.hosts)
 		if (auto host = this->state.hosts.find(host_name); host != this->state.hosts.end())
-			for (ProposalBody &body : keeper.Decide(host->second, true))
+			for (ProposalBody &body : lifecycle.Decide(host->second, true))
 				this->Propose(std::move(body), inNow);
-	std::set<std::string> unheard;
+	std::set<std::string> unresponsive_hosts;
 	for (const auto &[host_name, host] : this->state.hosts)
 		if (picker.SilentZones().count(host.spec.availability_zone) != 0)
-			unheard.insert(host_name);
+			unresponsive_hosts.insert(host_name);
 	for (const auto &[path, pool] : this->state.pools)
 	{
 		if (!picker.IsMine("pool:" + path))
 			continue;
 		for (ProposalBody &body : PlacementPlanner(this->state, path).Plan().proposals)
 			this->Propose(std::move(body), inNow);
-		for (ProposalBody &body : WavePlanner(this->state, path, unheard).Plan().proposals)
+		for (ProposalBody &body : WavePlanner(this->state, path, unresponsive_hosts).Plan().proposals)
 			this->Propose(std::move(body), inNow);
 	}
 }
 
 void SoakNode::Append(FakeLog &ioLog, Random &ioRandom, Millis inNow)
 {
-	if (this->cut)
+	if (this->is_partitioned)
 		return;
 	std::optional<std::string> batch = this->queue.Take(inNow);
 	if (!batch.has_value())
@@ -174,14 +174,14 @@
 
 void SoakNode::MaybeSnapshot(FakeLog &ioLog, Random &ioRandom, Millis inNow)
 {
-	const bool due = this->state.next_offset >= this->snapshot_offset + cSnapshotEvery;
-	if (!this->ready || !due || this->cut || !this->Picker(inNow).IsMine("snapshot"))
+	const bool due = this->state.next_offset >= this->snapshot_offset + cSnapshotEveryRecords;
+	if (!this->ready || !due || this->is_partitioned || !this->Picker(inNow).IsMine("snapshot"))
 		return;
 	for (const std::string &piece : CutSnapshot(this->state.next_offset, EncodeState(this->state)))
 		if (!ioLog.Append(ioLog.snapshots, piece, ioRandom))
 			return;
 	this->snapshot_offset = this->state.next_offset;
-	++this->wrote_snapshots;
+	++this->snapshots_written;
 }
 
 } // namespace Loomreach
--- a/SoakTests/SoakNode.h
+++ b/SoakTests/SoakNode.h
@@ -1,4 +1,4 @@
-// One entry host's control side as the soak drives it: the same pure decisions as the daemon's ControlLoop, over fakes.
+// Control side of an entry host in the soak test: makes the same pure decisions as the daemon's ControlLoop, over fakes.
 
 #pragma once
 
@@ -14,28 +14,28 @@
 namespace Loomreach
 {
 
-/// The process. Replaced by a new object at a kill.
+/// One process of an entry host. A kill replaces it by a new object.
 class SoakNode
 {
 public:
 	SoakNode(std::string inName, std::string inZone, uint64 inIncarnation);
 
-	/// Reads from the platform: cold start, snapshot where there is a gap, then records.
+	/// Reads the platform's log: first a snapshot if retention has removed records that are still to be read, then the records.
 	void ReadLog(const FakeLog &inLog);
-	/// Takes records from a peer.
+	/// Applies records that a peer has read and this node has not.
 	void FetchFrom(const SoakNode &inPeer);
-	/// Takes a peer's whole state, for a cold start while the platform is down.
+	/// Takes over a peer's whole state, for a cold start while the platform is down.
 	void AdoptFrom(const SoakNode &inPeer);
-	/// One planning round.
+	/// Runs one planning round.
 	void Plan(Millis inNow);
-	/// Appends what may be appended.
+	/// Appends the next batch of proposals, as far as the queue's rate allows it.
 	void Append(FakeLog &ioLog, Random &ioRandom, Millis inNow);
-	/// Writes a snapshot where it is due and this node is the steward.
+	/// Writes a snapshot if one is due and this node is assigned to write it.
 	void MaybeSnapshot(FakeLog &ioLog, Random &ioRandom, Millis inNow);
-	/// An operator's proposal through this node.
+	/// Queues a proposal, of this node's planners or of an operator.
 	void Propose(ProposalBody inBody, Millis inNow) { this->queue.Add(std::move(inBody), inNow); }
-	/// The digest that it sends now.
-	Digest MakeDigest(Millis inNow);
+	/// The heartbeat message to send now.
+	Digest MakeHeartbeat(Millis inNow);
 	StewardPicker Picker(Millis inNow) const;
 	Member Self() const;
 
@@ -46,22 +46,24 @@
 	bool ready = false;
 	bool reaches_platform = false;
 	bool paused = false;
-	bool cut = false; ///< From the platform.
+	bool is_partitioned = false; ///< A network partition separates it from the platform.
 	PeerTracker tracker;
 	AppendQueue queue;
-	Observations seen;
-	std::vector<Verdict> verdicts; ///< Of the last fold, for the harness.
+	Observations observations;
+	std::vector<Verdict> outcomes; ///< Outcomes of the proposals that were applied in this round.
 	uint64 sequence = 0;
-	uint64 wrote_snapshots = 0;
+	uint64 snapshots_written = 0;
 
 private:
+	/// Brings the queue and the recent records in line with a state that was taken over.
 	void OnAdopted();
-	void Fold(LogOffset inOffset, const std::string &inRecord);
+	/// Applies a record to the state.
+	void ApplyRecord(LogOffset inOffset, const std::string &inRecord);
 
-	std::deque<std::pair<LogOffset, std::string>> tail;
+	std::deque<std::pair<LogOffset, std::string>> recent_records;
 	LogOffset snapshot_offset = 0;
 	ListeningSpan listening;
-	Millis log_beat_sent = 0;
+	Millis log_heartbeat_sent = 0;
 };
 
 } // namespace Loomreach
