--- a/PerformanceTest/Benchmarks.cpp
+++ b/PerformanceTest/Benchmarks.cpp
@@ -1,5 +1,5 @@
-// Slopes for docs/CAPACITY.md: what each role's work costs as the fleet grows. Sizes are hosts; pools, replicas and members grow with them
-// up to the two-year size (1,800 hosts, 298 pools, 10,000 replicas, 78 members in 13 availability zones).
+// Benchmarks of the work of each role, for the growth figures in docs/CAPACITY.md. The argument is the number of hosts; pools, replicas and
+// members grow with it, up to the two-year size (1,800 hosts, 298 pools, 10,000 replicas, 78 members in 13 availability zones).
 
 #include <Loomreach/Loomreach.h>
 
@@ -30,7 +30,7 @@
 	return shape;
 }
 
-/// A placed fleet of a size, built once.
+/// A fleet of the given number of hosts with its replicas placed. Each size is built once.
 FleetBuilder &FleetOf(int64 inHosts)
 {
 	static std::map<int64, std::unique_ptr<FleetBuilder>> built;
@@ -54,14 +54,14 @@
 	{
 		const auto &[replica, host] = placed[next++ % placed.size()];
 		const LogPosition base = fleet.state.placements.find(replica)->second.generation;
-		benchmark::DoNotOptimize(fleet.Fold(PlaceReplica{replica, host, base}));
+		benchmark::DoNotOptimize(fleet.Apply(PlaceReplica{replica, host, base}));
 	}
 	ioState.SetItemsProcessed(ioState.iterations());
 }
 
 void FoldRecords(benchmark::State &ioState)
 {
-	// Records as they come: one batch of eight steps each, decoded and folded
+	// Each record is a batch of eight host steps, which is decoded and applied
 	FleetBuilder fleet = FleetOf(ioState.range(0));
 	uint64 sequence = 1'000'000;
 	for (auto _ : ioState)
@@ -83,7 +83,7 @@
 	FleetBuilder fleet = FleetOf(ioState.range(0));
 	const std::vector<SettingsNode> nodes = fleet.state.settings.Nodes();
 	for (auto _ : ioState)
-		benchmark::DoNotOptimize(fleet.Fold(ApplySettings{fleet.state.settings_version, nodes, "bench"}));
+		benchmark::DoNotOptimize(fleet.Apply(ApplySettings{fleet.state.settings_version, nodes, "bench"}));
 	ioState.counters["record_bytes"] = static_cast<double>(EncodeBatch({{{1, 1}, ApplySettings{0, nodes, "bench"}}}).size());
 }
 
@@ -138,20 +138,20 @@
 		}
 }
 
-/// A tracker that has heard every member.
-PeerTracker HeardAll(const FleetState &inState)
+/// A tracker that has received a heartbeat message from every member.
+PeerTracker TrackAllMembers(const FleetState &inState)
 {
 	PeerTracker tracker("entry-0", "zone-0", 1000, 1000);
 	for (const auto &[name, member] : inState.view.members)
 	{
-		Digest digest;
-		digest.name = name;
-		digest.incarnation = member.incarnation;
-		digest.sequence = 1;
-		digest.availability_zone = member.availability_zone;
-		digest.reaches_platform = true;
-		digest.zone_reaches_platform = true;
-		tracker.Hear(std::move(digest), 0);
+		Digest heartbeat;
+		heartbeat.name = name;
+		heartbeat.incarnation = member.incarnation;
+		heartbeat.sequence = 1;
+		heartbeat.availability_zone = member.availability_zone;
+		heartbeat.reaches_platform = true;
+		heartbeat.zone_reaches_platform = true;
+		tracker.Hear(std::move(heartbeat), 0);
 	}
 	return tracker;
 }
@@ -159,7 +159,7 @@
 void PickStewards(benchmark::State &ioState)
 {
 	const FleetBuilder &fleet = FleetOf(ioState.range(0));
-	const PeerTracker tracker = HeardAll(fleet.state);
+	const PeerTracker tracker = TrackAllMembers(fleet.state);
 	for (auto _ : ioState)
 	{
 		const StewardPicker picker(fleet.state.view, tracker, "entry-0", true, false, 10);
@@ -171,7 +171,7 @@
 void PickKeepers(benchmark::State &ioState)
 {
 	const FleetBuilder &fleet = FleetOf(ioState.range(0));
-	const PeerTracker tracker = HeardAll(fleet.state);
+	const PeerTracker tracker = TrackAllMembers(fleet.state);
 	for (auto _ : ioState)
 	{
 		const StewardPicker picker(fleet.state.view, tracker, "entry-0", true, false, 10);
@@ -203,16 +203,16 @@
 void DigestSealAndOpen(benchmark::State &ioState)
 {
 	const PeerCodec codec("a key of sixteen bytes");
-	Digest digest;
-	digest.name = "entry-0";
-	digest.availability_zone = "zone-0";
-	digest.peers = {"127.0.0.1", 1000};
+	Digest heartbeat;
+	heartbeat.name = "entry-0";
+	heartbeat.availability_zone = "zone-0";
+	heartbeat.peers = {"127.0.0.1", 1000};
 	for (int64 i = 0; i < ioState.range(0); ++i)
-		digest.demands.push_back({static_cast<uint32>(i), 1});
+		heartbeat.demands.push_back({static_cast<uint32>(i), 1});
 	size_t bytes = 0;
 	for (auto _ : ioState)
 	{
-		const std::string sealed = codec.SealDigest(digest);
+		const std::string sealed = codec.SealDigest(heartbeat);
 		bytes = sealed.size();
 		benchmark::DoNotOptimize(codec.OpenDigest(sealed));
 	}
--- a/PerformanceTest/FleetBuilder.cpp
+++ b/PerformanceTest/FleetBuilder.cpp
@@ -1,4 +1,4 @@
-// Building of states.
+// Builds fleet states by proposals.
 
 #include <Loomreach/Loomreach.h>
 
@@ -8,10 +8,10 @@
 namespace Loomreach
 {
 
-static constexpr uint32 cHostsInRack = 4;
-static constexpr int cPlaceRounds = 8;
+static constexpr uint32 cHostsPerRack = 4;
+static constexpr int cPlacementRounds = 8;
 
-FleetShape MsafiriShape()
+FleetShape BufferWeightedShape()
 {
 	FleetShape shape;
 	shape.min_available_percent = 70;
@@ -19,7 +19,7 @@
 	return shape;
 }
 
-FleetShape KushiroShape()
+FleetShape MoveWeightedShape()
 {
 	FleetShape shape;
 	shape.zones = 4;
@@ -58,7 +58,7 @@
 		job.stated[ESetting::MemoryMb] = {256, {}};
 		nodes.push_back(std::move(job));
 	}
-	this->Fold(ApplySettings{0, nodes, "builder"});
+	this->Apply(ApplySettings{0, nodes, "builder"});
 	for (uint32 i = 0; i < inShape.hosts; ++i)
 	{
 		HostSpec spec;
@@ -66,12 +66,12 @@
 		spec.address = {"127.0.0.1", 1};
 		spec.region = "region-" + std::to_string(i % inShape.zones % 4);
 		spec.availability_zone = "zone-" + std::to_string(i % inShape.zones);
-		spec.rack = spec.availability_zone + "-rack-" + std::to_string(i / inShape.zones / cHostsInRack);
+		spec.rack = spec.availability_zone + "-rack-" + std::to_string(i / inShape.zones / cHostsPerRack);
 		spec.capacity = {16'000, 32'768, 2};
 		spec.slots = 8;
 		spec.connections = 64;
-		const Verdict added = this->Fold(AddHost{spec, PoolPathOf(i % inShape.pools)});
-		this->Fold(StepHost{spec.name, EHostStep::Healthy, added.position, "", "", 0});
+		const Verdict added = this->Apply(AddHost{spec, PoolPathOf(i % inShape.pools)});
+		this->Apply(StepHost{spec.name, EHostStep::Healthy, added.position, "", "", 0});
 	}
 	ChangeView view{0, {}, true};
 	for (uint32 i = 0; i < inShape.members; ++i)
@@ -81,10 +81,10 @@
 								"zone-" + std::to_string(i % inShape.zones),
 								{"127.0.0.1", 1},
 								{"127.0.0.1", 2}});
-	this->Fold(std::move(view));
+	this->Apply(std::move(view));
 }
 
-Verdict FleetBuilder::Fold(ProposalBody inBody)
+Verdict FleetBuilder::Apply(ProposalBody inBody)
 {
 	const Proposal proposal{{1, ++this->sequence}, std::move(inBody)};
 	return FoldProposal(this->state, PositionAt(this->state.next_offset++, 0), proposal);
@@ -92,10 +92,10 @@
 
 void FleetBuilder::PlaceAll()
 {
-	for (int round = 0; round < cPlaceRounds; ++round)
+	for (int round = 0; round < cPlacementRounds; ++round)
 		for (uint32 i = 0; i < this->shape.pools; ++i)
 			for (ProposalBody &body : PlacementPlanner(this->state, PoolPathOf(i)).Plan().proposals)
-				this->Fold(std::move(body));
+				this->Apply(std::move(body));
 }
 
 } // namespace Loomreach
--- a/PerformanceTest/FleetBuilder.h
+++ b/PerformanceTest/FleetBuilder.h
@@ -1,4 +1,4 @@
-// Builds accepted states of any size through the fold itself, for measurements.
+// Builds fleet states of any size for measurements, by applying proposals in the way that the log's records are applied.
 
 #pragma once
 
@@ -7,7 +7,7 @@
 namespace Loomreach
 {
 
-/// Sizes and shape of a fleet.
+/// Size of a fleet and settings of its planners.
 struct FleetShape
 {
 	uint32 hosts = 50;
@@ -22,20 +22,21 @@
 	int64 buffer_percent = -1;
 };
 
-/// Msafiri and Kushiro as they are today, and the two-year size of the users' letter.
-FleetShape MsafiriShape();
-FleetShape KushiroShape();
+/// A fleet of today's size whose planners give weight to the buffer, one whose planners give weight to few moves, and the size that is
+/// expected in two years.
+FleetShape BufferWeightedShape();
+FleetShape MoveWeightedShape();
 FleetShape TwoYearShape();
 
-/// Builds states by folding proposals.
+/// Builds a state by applying proposals.
 class FleetBuilder
 {
 public:
 	explicit FleetBuilder(const FleetShape &inShape);
 
-	/// Folds a proposal at the next position.
-	Verdict Fold(ProposalBody inBody);
-	/// Places everything that can be placed.
+	/// Applies a proposal at the next position of the log.
+	Verdict Apply(ProposalBody inBody);
+	/// Places all replicas for which there is a host.
 	void PlaceAll();
 
 	FleetState state;
@@ -45,7 +46,7 @@
 	uint64 sequence = 0;
 };
 
-/// Path of a pool by its number.
+/// Path of the pool with a number.
 std::string PoolPathOf(uint32 inIndex);
 
 } // namespace Loomreach
--- a/PerformanceTest/OverloadModel.cpp
+++ b/PerformanceTest/OverloadModel.cpp
@@ -1,4 +1,4 @@
-// The overload model, in steps of one millisecond, around the real dispatcher.
+// Overload model: simulates workers and arrivals in steps of one millisecond, with the real dispatcher or a plain queue.
 
 #include <Loomreach/Loomreach.h>
 
@@ -12,37 +12,37 @@
 
 static constexpr uint32 cWorkers = 9;
 static constexpr uint32 cSlots = 8;
-static constexpr uint32 cHoldMs = 50;
+static constexpr uint32 cMeanServiceMs = 50;
 static constexpr Millis cDeadlineMs = 500;
 static constexpr Millis cRunMs = 20'000;
 
 namespace
 {
 
-/// Counts of one class of requests.
+/// Requests of one priority class.
 struct ClassTally
 {
 	uint64 arrived = 0;
-	uint64 good = 0;
+	uint64 in_time = 0;
 };
 
-/// Requests as they arrive, the same for both systems.
+/// Arrival of a request. Both systems get the same arrivals.
 struct Arrival
 {
 	Millis at = 0;
 	bool is_high = false;
-	Millis hold = 0;
+	Millis service_ms = 0;
 };
 
 std::vector<Arrival> Arrivals(const OverloadCase &inCase, uint64 inSeed)
 {
 	Random random(inSeed);
 	std::vector<Arrival> arrivals;
-	const double per_step = inCase.load * cWorkers * cSlots / cHoldMs;
-	double owed = 0;
+	const double per_step = inCase.load * cWorkers * cSlots / cMeanServiceMs;
+	double due = 0;
 	for (Millis now = 1; now <= cRunMs; ++now)
-		for (owed += per_step; owed >= 1.0; owed -= 1.0)
-			arrivals.push_back({now, random.Chance(50), static_cast<Millis>(cHoldMs / 2 + random.Below(cHoldMs))});
+		for (due += per_step; due >= 1.0; due -= 1.0)
+			arrivals.push_back({now, random.Chance(50), static_cast<Millis>(cMeanServiceMs / 2 + random.Below(cMeanServiceMs))});
 	return arrivals;
 }
 
@@ -50,16 +50,16 @@
 					uint64 inStarted)
 {
 	OverloadCost cost;
-	cost.good_high = 100.0 * static_cast<double>(inHigh.good) / static_cast<double>(std::max<uint64>(1, inHigh.arrived));
-	cost.good_low = 100.0 * static_cast<double>(inLow.good) / static_cast<double>(std::max<uint64>(1, inLow.arrived));
-	const double capacity = static_cast<double>(cRunMs) * cWorkers * cSlots / cHoldMs;
-	cost.goodput = 100.0 * static_cast<double>(inHigh.good + inLow.good) / capacity;
+	cost.in_time_high = 100.0 * static_cast<double>(inHigh.in_time) / static_cast<double>(std::max<uint64>(1, inHigh.arrived));
+	cost.in_time_low = 100.0 * static_cast<double>(inLow.in_time) / static_cast<double>(std::max<uint64>(1, inLow.arrived));
+	const double capacity = static_cast<double>(cRunMs) * cWorkers * cSlots / cMeanServiceMs;
+	cost.goodput = 100.0 * static_cast<double>(inHigh.in_time + inLow.in_time) / capacity;
 	cost.mean_refusal_ms = inRefused == 0 ? 0 : inRefusalMs / static_cast<double>(inRefused);
 	cost.attempts = static_cast<double>(inAttempts) / static_cast<double>(std::max<uint64>(1, inStarted));
 	return cost;
 }
 
-/// Nine workers that each carry a high and a low service.
+/// Nine workers, each with a replica of a high-priority and of a low-priority service.
 FleetBuilder BuildFleet()
 {
 	FleetShape shape;
@@ -78,7 +78,7 @@
 		job.stated[ESetting::Priority] = {high ? 900 : 50, {}};
 		nodes.push_back(std::move(job));
 	}
-	fleet.Fold(ApplySettings{fleet.state.settings_version, nodes, "model"});
+	fleet.Apply(ApplySettings{fleet.state.settings_version, nodes, "model"});
 	fleet.PlaceAll();
 	return fleet;
 }
@@ -92,22 +92,22 @@
 	std::vector<Decision> decisions;
 	dispatcher.Update(fleet.state, {}, 0, decisions);
 	const std::vector<Arrival> arrivals = Arrivals(inCase, inSeed);
-	std::multimap<Millis, std::pair<RequestId, EAttempt>> ends;
+	std::multimap<Millis, std::pair<RequestId, EAttempt>> completions;
 	ClassTally high;
 	ClassTally low;
 	double refusal_ms = 0;
 	uint64 refused = 0;
 	std::set<RequestId> started;
-	std::set<std::string> dead;
-	for (uint32 i = 0; i < inCase.dead_workers; ++i)
-		dead.insert("host-" + std::to_string(i));
+	std::set<std::string> failed_hosts;
+	for (uint32 i = 0; i < inCase.failed_workers; ++i)
+		failed_hosts.insert("host-" + std::to_string(i));
 	size_t next = 0;
 	for (Millis now = 1; now <= cRunMs; ++now)
 	{
-		while (!ends.empty() && ends.begin()->first <= now)
+		while (!completions.empty() && completions.begin()->first <= now)
 		{
-			const auto [id, result] = ends.begin()->second;
-			ends.erase(ends.begin());
+			const auto [id, result] = completions.begin()->second;
+			completions.erase(completions.begin());
 			dispatcher.Ended(id, result, false, now, decisions);
 		}
 		for (; next < arrivals.size() && arrivals[next].at <= now; ++next)
@@ -125,14 +125,14 @@
 			if (decision.kind == EDecision::Start)
 			{
 				started.insert(decision.request);
-				const bool is_dead = now > cRunMs / 2 && dead.count(decision.host) != 0;
-				const bool is_late = now + arrival.hold > arrival.at + cDeadlineMs;
-				const EAttempt result = is_dead ? EAttempt::Refused : is_late ? EAttempt::TimedOut : EAttempt::Answered;
-				const Millis end = is_dead ? now + 1 : is_late ? arrival.at + cDeadlineMs : now + arrival.hold;
-				ends.emplace(end, std::pair(decision.request, result));
+				const bool has_failed = now > cRunMs / 2 && failed_hosts.count(decision.host) != 0;
+				const bool is_late = now + arrival.service_ms > arrival.at + cDeadlineMs;
+				const EAttempt result = has_failed ? EAttempt::Refused : is_late ? EAttempt::TimedOut : EAttempt::Answered;
+				const Millis end = has_failed ? now + 1 : is_late ? arrival.at + cDeadlineMs : now + arrival.service_ms;
+				completions.emplace(end, std::pair(decision.request, result));
 			}
 			else if (decision.kind == EDecision::Finish)
-				++(arrival.is_high ? high : low).good;
+				++(arrival.is_high ? high : low).in_time;
 			else
 			{
 				refusal_ms += static_cast<double>(now - arrival.at);
@@ -148,7 +148,7 @@
 {
 	const std::vector<Arrival> arrivals = Arrivals(inCase, inSeed);
 	std::deque<size_t> queue;
-	std::multimap<Millis, size_t> ends;
+	std::multimap<Millis, size_t> completions;
 	ClassTally high;
 	ClassTally low;
 	double refusal_ms = 0;
@@ -157,14 +157,14 @@
 	uint64 started = 0;
 	for (Millis now = 1; now <= cRunMs; ++now)
 	{
-		const uint32 workers = now > cRunMs / 2 ? cWorkers - inCase.dead_workers : cWorkers;
-		while (!ends.empty() && ends.begin()->first <= now)
+		const uint32 workers = now > cRunMs / 2 ? cWorkers - inCase.failed_workers : cWorkers;
+		while (!completions.empty() && completions.begin()->first <= now)
 		{
-			const Arrival &arrival = arrivals[ends.begin()->second];
-			ends.erase(ends.begin());
-			// The caller has gone once its deadline has passed; the work was done for nobody
+			const Arrival &arrival = arrivals[completions.begin()->second];
+			completions.erase(completions.begin());
+			// The caller has given up once its deadline has passed, so the work was wasted
 			if (now - arrival.at <= cDeadlineMs)
-				++(arrival.is_high ? high : low).good;
+				++(arrival.is_high ? high : low).in_time;
 			else
 			{
 				refusal_ms += static_cast<double>(cDeadlineMs);
@@ -176,9 +176,9 @@
 			++(arrivals[next].is_high ? high : low).arrived;
 			queue.push_back(next);
 		}
-		while (!queue.empty() && ends.size() < static_cast<size_t>(workers) * cSlots)
+		while (!queue.empty() && completions.size() < static_cast<size_t>(workers) * cSlots)
 		{
-			ends.emplace(now + arrivals[queue.front()].hold, queue.front());
+			completions.emplace(now + arrivals[queue.front()].service_ms, queue.front());
 			queue.pop_front();
 			++started;
 		}
--- a/PerformanceTest/PolicyComparison.cpp
+++ b/PerformanceTest/PolicyComparison.cpp
@@ -1,4 +1,4 @@
-// Policies side by side in one run: waves, slot shares, overload. The tables in docs/design come from here.
+// Compares policies for maintenance waves, slot shares and overload, and prints the tables of docs/design.
 
 #include <Loomreach/Loomreach.h>
 
@@ -21,7 +21,7 @@
 void PrintWave(const char *inShape, uint32 inFailures, const char *inPolicy, const FleetShape &inFleet, const WaveCost &inCost)
 {
 	std::printf("%-10s %8u  %-20s %6u %7u %10.2f %10u %12u %9u %10.1f %6u\n", inShape, inFailures, inPolicy, inCost.steps, inCost.moves,
-				static_cast<double>(inCost.moves) / inFleet.hosts, inCost.most_moves, inCost.maintained, inCost.unplaced,
+				static_cast<double>(inCost.moves) / inFleet.hosts, inCost.max_moves, inCost.maintained, inCost.unplaced,
 				inCost.idle_percent, inCost.lowest_slack);
 }
 
@@ -33,7 +33,7 @@
 		PrintWave(inName, failures, "one at a time", inShape, RunOneAtATime(inShape, failures, FLAGS_seed));
 		PrintWave(inName, failures, "a fixed tenth", inShape, RunFixedShare(inShape, failures, FLAGS_seed));
 	}
-	std::printf("%-10s lower bounds: %u steps, %u moves\n", inName, LeastSteps(inShape), LeastMoves(inShape));
+	std::printf("%-10s lower bounds: %u steps, %u moves\n", inName, MinSteps(inShape), MinMoves(inShape));
 }
 
 void CompareSlots(double inLoad, double inSkew)
@@ -42,22 +42,22 @@
 	const auto print = [&](const char *inPolicy, const SlotCost &inCost)
 	{
 		std::printf("%5.2f %5.2f  %-18s %11.1f %8.1f %13.3f %6u\n", inLoad, inSkew, inPolicy, inCost.utilisation, inCost.served,
-					inCost.refused_full, inCost.most_in_flight);
+					inCost.refused_full, inCost.max_in_flight);
 	};
 	print("fixed share", RunSlots<FixedSlotShare>(load, FLAGS_seed));
 	print("demand share", RunSlots<DemandSlotShare>(load, FLAGS_seed));
 	print("endpoint refusal", RunSlots<EndpointRefusal>(load, FLAGS_seed));
 }
 
-void CompareOverload(double inLoad, uint32 inDead)
+void CompareOverload(double inLoad, uint32 inFailedWorkers)
 {
 	const auto print = [&](const char *inPolicy, const OverloadCost &inCost)
 	{
-		std::printf("%5.1f %5u  %-12s %10.1f %9.1f %9.1f %11.1f %9.3f\n", inLoad, inDead, inPolicy, inCost.good_high, inCost.good_low,
-					inCost.goodput, inCost.mean_refusal_ms, inCost.attempts);
+		std::printf("%5.1f %5u  %-12s %10.1f %9.1f %9.1f %11.1f %9.3f\n", inLoad, inFailedWorkers, inPolicy, inCost.in_time_high,
+					inCost.in_time_low, inCost.goodput, inCost.mean_refusal_ms, inCost.attempts);
 	};
-	print("dispatcher", RunDispatcher({inLoad, inDead}, FLAGS_seed));
-	print("plain FIFO", RunFifo({inLoad, inDead}, FLAGS_seed));
+	print("dispatcher", RunDispatcher({inLoad, inFailedWorkers}, FLAGS_seed));
+	print("plain FIFO", RunFifo({inLoad, inFailedWorkers}, FLAGS_seed));
 }
 
 } // namespace
@@ -67,8 +67,8 @@
 	gflags::ParseCommandLineFlags(&argc, &argv, true);
 	std::printf("== Waves\nfleet      failures  policy                steps   moves moves/host most/repl.  maintained  unplaced buffer "
 				"idle%% slack\n");
-	CompareWaves("msafiri", MsafiriShape());
-	CompareWaves("kushiro", KushiroShape());
+	CompareWaves("msafiri", BufferWeightedShape());
+	CompareWaves("kushiro", MoveWeightedShape());
 	if (FLAGS_full_size)
 		CompareWaves("two-year", TwoYearShape());
 	std::printf("\n== Slot shares: 6 entry hosts, 10 workers of 8 slots\n load  skew  policy             utilisation served%% refusals/req "
--- a/PerformanceTest/SlotModel.cpp
+++ b/PerformanceTest/SlotModel.cpp
@@ -1,4 +1,4 @@
-// The slot model, in steps of one millisecond.
+// Slot model: simulates entry hosts and workers in steps of one millisecond.
 
 #include <Loomreach/Loomreach.h>
 
@@ -10,21 +10,21 @@
 
 static constexpr uint32 cSlots = 8;
 static constexpr uint32 cSteps = 30'000;
-static constexpr uint32 cReportEvery = 400;
-static constexpr uint32 cHoldMs = 80;
+static constexpr uint32 cReportEveryMs = 400;
+static constexpr uint32 cMeanServiceMs = 80;
 static constexpr uint32 cDeadlineMs = 1000;
-static constexpr uint32 cPauseMs = 20;
+static constexpr uint32 cRetryFullAfterMs = 20;
 
 namespace
 {
 
-/// One entry host of the model.
+/// State of an entry host. The vectors have one element per worker.
 struct ModelEntry
 {
-	std::deque<uint32> waiting; ///< Arrival times.
+	std::deque<uint32> waiting; ///< Arrival times of the waiting requests, ms.
 	std::vector<uint32> in_flight;
-	std::vector<uint32> full_until;
-	std::vector<uint32> limits;
+	std::vector<uint32> full_until; ///< No request is sent to the worker before this time, as it had no free slot, ms.
+	std::vector<uint32> limits;     ///< Maximum number of requests in flight.
 };
 
 } // namespace
@@ -41,30 +41,30 @@
 		entry.limits.resize(inLoad.workers, cSlots / inLoad.entry_hosts + 1);
 	}
 	std::vector<uint32> busy(inLoad.workers);
-	std::multimap<uint32, std::pair<uint32, uint32>> ends;
+	std::multimap<uint32, std::pair<uint32, uint32>> completions;
 	uint64 arrived = 0;
 	uint64 served = 0;
 	uint64 refused = 0;
 	double used = 0;
 	SlotCost cost;
-	const double per_step = inLoad.load * inLoad.workers * cSlots / cHoldMs;
-	double owed = 0;
+	const double per_step = inLoad.load * inLoad.workers * cSlots / cMeanServiceMs;
+	double due = 0;
 	for (uint32 now = 0; now < cSteps; ++now)
 	{
-		while (!ends.empty() && ends.begin()->first <= now)
+		while (!completions.empty() && completions.begin()->first <= now)
 		{
-			const auto [entry, worker] = ends.begin()->second;
+			const auto [entry, worker] = completions.begin()->second;
 			--entries[entry].in_flight[worker];
 			--busy[worker];
-			ends.erase(ends.begin());
+			completions.erase(completions.begin());
 		}
-		for (owed += per_step; owed >= 1.0; owed -= 1.0)
+		for (due += per_step; due >= 1.0; due -= 1.0)
 		{
 			const bool to_first = random.Below(1000) < static_cast<uint64>(inLoad.skew * 1000);
 			entries[to_first ? 0 : random.Below(inLoad.entry_hosts)].waiting.push_back(now);
 			++arrived;
 		}
-		if (now % cReportEvery == 0)
+		if (now % cReportEveryMs == 0)
 		{
 			std::vector<uint32> demands;
 			for (const ModelEntry &entry : entries)
@@ -77,7 +77,7 @@
 			for (uint32 i = 0; i < inLoad.entry_hosts; ++i)
 				for (uint32 worker = 0; worker < inLoad.workers; ++worker)
 				{
-					// Rendezvous order differs from worker to worker
+					// The rendezvous order of the entry hosts differs from worker to worker
 					std::vector<uint32> order(demands);
 					std::rotate(order.begin(), order.begin() + worker % inLoad.entry_hosts, order.end());
 					const uint32 self = (i + inLoad.entry_hosts - worker % inLoad.entry_hosts) % inLoad.entry_hosts;
@@ -94,8 +94,8 @@
 				uint32 best = inLoad.workers;
 				for (uint32 worker = 0; worker < inLoad.workers; ++worker)
 				{
-					const bool may = entry.in_flight[worker] < entry.limits[worker] && entry.full_until[worker] <= now;
-					if (may && (best == inLoad.workers || entry.in_flight[worker] < entry.in_flight[best]))
+					const bool is_eligible = entry.in_flight[worker] < entry.limits[worker] && entry.full_until[worker] <= now;
+					if (is_eligible && (best == inLoad.workers || entry.in_flight[worker] < entry.in_flight[best]))
 						best = worker;
 				}
 				if (best == inLoad.workers)
@@ -103,18 +103,18 @@
 				if (busy[best] >= cSlots)
 				{
 					++refused;
-					entry.full_until[best] = now + cPauseMs;
+					entry.full_until[best] = now + cRetryFullAfterMs;
 					continue;
 				}
 				++busy[best];
 				++entry.in_flight[best];
-				cost.most_in_flight = std::max(cost.most_in_flight, busy[best]);
-				ends.emplace(now + cHoldMs / 2 + static_cast<uint32>(random.Below(cHoldMs)), std::pair(i, best));
+				cost.max_in_flight = std::max(cost.max_in_flight, busy[best]);
+				completions.emplace(now + cMeanServiceMs / 2 + static_cast<uint32>(random.Below(cMeanServiceMs)), std::pair(i, best));
 				entry.waiting.pop_front();
 				++served;
 			}
 		}
-		used += static_cast<double>(ends.size());
+		used += static_cast<double>(completions.size());
 	}
 	cost.utilisation = 100.0 * used / cSteps / (inLoad.workers * cSlots);
 	cost.served = 100.0 * static_cast<double>(served) / static_cast<double>(std::max<uint64>(1, arrived));
--- a/PerformanceTest/WaveModel.cpp
+++ b/PerformanceTest/WaveModel.cpp
@@ -1,4 +1,4 @@
-// The wave model: planners propose, the fold decides, hosts reboot for one round.
+// Wave model: in each round the planners make proposals, which are applied to the state, and hosts that are out reboot.
 
 #include <Loomreach/Loomreach.h>
 
@@ -16,7 +16,7 @@
 namespace
 {
 
-/// One run under one pair of policies.
+/// One wave under a placement policy and a wave policy.
 template <PlacementPolicy PP, WavePolicy WP>
 class WaveRun
 {
@@ -26,36 +26,36 @@
 	WaveCost Run()
 	{
 		for (int i = 0; i < 6; ++i)
-			this->Place();
+			this->PlaceReplicas();
 		this->cost = {};
-		this->moves_of.clear();
+		this->moves_by_replica.clear();
 		this->cost.lowest_slack = UINT32_MAX;
-		this->fleet.Fold(StartWave{"w", "", "", ""});
+		this->fleet.Apply(StartWave{"w", "", "", ""});
 		uint32 idle = 0;
 		double idle_sum = 0;
 		while (this->cost.steps < cMaxRounds && idle < cIdleRounds && this->fleet.state.waves.at("w").state != EWaveState::Done)
 		{
-			this->ComeBack();
-			this->Fail();
-			bool changed = this->Drain();
-			changed = this->Place() || changed;
-			changed = this->Leave() || changed;
+			this->ReturnHosts();
+			this->FailOneHost();
+			bool changed = this->DrainHosts();
+			changed = this->PlaceReplicas() || changed;
+			changed = this->StartReboots() || changed;
 			idle = changed ? 0 : idle + 1;
 			++this->cost.steps;
 			idle_sum += this->IdlePercent();
-			this->NoteSlack();
+			this->RecordSlack();
 		}
 		this->cost.steps -= idle;
 		this->cost.idle_percent = idle_sum / std::max<uint32>(1, this->cost.steps + idle);
 		for (const auto &[name, entry] : this->fleet.state.waves.at("w").hosts)
 			this->cost.maintained += entry == EWaveHost::Done ? 1 : 0;
-		for (const auto &[replica, count] : this->moves_of)
-			this->cost.most_moves = std::max(this->cost.most_moves, count);
+		for (const auto &[replica, count] : this->moves_by_replica)
+			this->cost.max_moves = std::max(this->cost.max_moves, count);
 		return this->cost;
 	}
 
 private:
-	bool Place()
+	bool PlaceReplicas()
 	{
 		bool changed = false;
 		for (uint32 i = 0; i < this->fleet.shape.pools; ++i)
@@ -66,29 +66,29 @@
 				if (const PlaceReplica *place = std::get_if<PlaceReplica>(&body); place != nullptr && place->base_generation != 0)
 				{
 					++this->cost.moves;
-					++this->moves_of[place->replica];
+					++this->moves_by_replica[place->replica];
 				}
-				changed = this->fleet.Fold(std::move(body)).Accepted() || changed;
+				changed = this->fleet.Apply(std::move(body)).Accepted() || changed;
 			}
 			this->cost.unplaced += static_cast<uint32>(plan.unplaced.size());
 		}
 		return changed;
 	}
 
-	bool Drain()
+	bool DrainHosts()
 	{
 		bool changed = false;
 		for (uint32 i = 0; i < this->fleet.shape.pools; ++i)
 			for (ProposalBody &body : BasicWavePlanner<WP>(this->fleet.state, PoolPathOf(i), {}).Plan().proposals)
-				changed = this->fleet.Fold(std::move(body)).Accepted() || changed;
+				changed = this->fleet.Apply(std::move(body)).Accepted() || changed;
 		return changed;
 	}
 
-	/// Hosts that are empty go out for their reboot.
-	bool Leave()
+	/// Takes empty draining hosts out for their reboot.
+	bool StartReboots()
 	{
 		bool changed = false;
-		for (const std::string &name : this->Names())
+		for (const std::string &name : this->HostNames())
 		{
 			const Host &host = this->fleet.state.hosts.at(name);
 			if (host.phase != EHostPhase::Draining || !host.replicas.empty())
@@ -100,10 +100,10 @@
 		return changed;
 	}
 
-	/// Hosts that were out for a round are back.
-	void ComeBack()
+	/// Returns the hosts that have been out for one round.
+	void ReturnHosts()
 	{
-		for (const std::string &name : this->Names())
+		for (const std::string &name : this->HostNames())
 		{
 			if (this->fleet.state.hosts.at(name).phase != EHostPhase::Out)
 				continue;
@@ -112,12 +112,12 @@
 		}
 	}
 
-	void Fail()
+	void FailOneHost()
 	{
 		if (this->failures == 0 || this->cost.steps == 0)
 			return;
 		--this->failures;
-		const std::vector<std::string> names = this->Names();
+		const std::vector<std::string> names = this->HostNames();
 		const std::string &name = names[this->random.Below(names.size())];
 		const Host &host = this->fleet.state.hosts.at(name);
 		if (host.phase != EHostPhase::Out && host.health == EHostHealth::Healthy)
@@ -127,10 +127,10 @@
 	void Step(const std::string &inHost, EHostStep inStep)
 	{
 		const Host &host = this->fleet.state.hosts.at(inHost);
-		this->fleet.Fold(StepHost{inHost, inStep, host.generation, host.wave, "", 1});
+		this->fleet.Apply(StepHost{inHost, inStep, host.generation, host.wave, "", 1});
 	}
 
-	std::vector<std::string> Names() const
+	std::vector<std::string> HostNames() const
 	{
 		std::vector<std::string> names;
 		for (const auto &[name, host] : this->fleet.state.hosts)
@@ -150,7 +150,7 @@
 		return capacity == 0 ? 0.0 : 100.0 * static_cast<double>(capacity - used) / static_cast<double>(capacity);
 	}
 
-	void NoteSlack()
+	void RecordSlack()
 	{
 		for (const auto &[pool, counts] : this->fleet.state.pool_counts)
 		{
@@ -163,7 +163,7 @@
 	Random random;
 	uint32 failures;
 	WaveCost cost;
-	std::map<ReplicaKey, uint32> moves_of;
+	std::map<ReplicaKey, uint32> moves_by_replica;
 };
 
 } // namespace
@@ -183,20 +183,20 @@
 	return WaveRun<FirstFitPlacement, FixedShare>(inShape, inFailures, inSeed).Run();
 }
 
-uint32 LeastSteps(const FleetShape &inShape)
+uint32 MinSteps(const FleetShape &inShape)
 {
 	const FleetBuilder fleet(inShape);
 	uint32 steps = 0;
 	for (const auto &[pool, counts] : fleet.state.pool_counts)
 	{
-		const uint32 room = counts.hosts - fleet.state.RequiredAvailable(pool);
-		if (room > 0)
-			steps = std::max(steps, (counts.hosts + room - 1) / room);
+		const uint32 budget = counts.hosts - fleet.state.RequiredAvailable(pool);
+		if (budget > 0)
+			steps = std::max(steps, (counts.hosts + budget - 1) / budget);
 	}
 	return steps;
 }
 
-uint32 LeastMoves(const FleetShape &inShape)
+uint32 MinMoves(const FleetShape &inShape)
 {
 	FleetBuilder fleet(inShape);
 	fleet.PlaceAll();
