--- a/PerformanceTest/RelayProbe.cpp
+++ b/PerformanceTest/RelayProbe.cpp
@@ -1,5 +1,5 @@
-// Sends requests in closed loops to one address and prints throughput and latency: run against an entry host and against an endpoint
-// of the stand-in in one run, the ratio tells what the entry host costs. Bounded in count; loopback only.
+// Load generator: sends a bounded number of requests in closed loops to one address on loopback, and prints throughput and latencies. Run
+// it against an entry host and then directly against an endpoint of the stand-in: the ratio is the cost of the entry host.
 
 #include <Loomreach/Loomreach.h>
 
@@ -15,14 +15,14 @@
 DEFINE_string(service, "", "Value of the Loomreach-Service header, to speak to an endpoint as an entry host does.");
 DEFINE_string(method, "GET", "Method.");
 DEFINE_uint64(requests, 2000, "Requests in all.");
-DEFINE_uint64(loops, 8, "Requests under way at once.");
+DEFINE_uint64(loops, 8, "Requests in flight at once.");
 
 namespace
 {
 
 using namespace Loomreach;
 
-/// The loops.
+/// Runs the loops and collects their latencies.
 class Probe
 {
 public:
@@ -32,8 +32,8 @@
 	{
 		this->began = NowMillisExact();
 		for (uint64 i = 0; i < FLAGS_loops; ++i)
-			this->Next();
-		while (this->ended < FLAGS_requests)
+			this->StartNext();
+		while (this->completed < FLAGS_requests)
 			g_main_context_iteration(nullptr, TRUE);
 		const double seconds = (NowMillisExact() - this->began) / 1000.0;
 		std::sort(this->latencies.begin(), this->latencies.end());
@@ -47,7 +47,7 @@
 	}
 
 private:
-	void Next()
+	void StartNext()
 	{
 		if (this->started >= FLAGS_requests)
 			return;
@@ -66,8 +66,8 @@
 								 this->latencies.push_back(NowMillisExact() - from);
 							 else
 								 ++this->failed;
-							 ++this->ended;
-							 this->Next();
+							 ++this->completed;
+							 this->StartNext();
 						 });
 	}
 
@@ -75,7 +75,7 @@
 	HttpClient http;
 	double began = 0;
 	uint64 started = 0;
-	uint64 ended = 0;
+	uint64 completed = 0;
 	uint64 failed = 0;
 	std::vector<double> latencies;
 };
