--- a/TestSupport/LogCheck/LogLine.cpp
+++ b/TestSupport/LogCheck/LogLine.cpp
@@ -1,4 +1,4 @@
-// Reads lines of logs.
+// Parsing of log lines: time and host, the event's name, and its fields with quoted or plain values.
 
 #include <Loomreach/Loomreach.h>
 
@@ -43,8 +43,8 @@
 	return parts;
 }
 
-/// Seconds of "I20261202" and "15:16:18.123456".
-static std::optional<double> OwnTime(std::string_view inDay, std::string_view inTime)
+/// Seconds since 1970 of a line head as the process writes it: "I20261202" (severity and date) and "15:16:18.123456".
+static std::optional<double> ParseProcessTime(std::string_view inDay, std::string_view inTime)
 {
 	if (inDay.size() != 9 || std::string_view("IWE").find(inDay[0]) == std::string_view::npos || inTime.size() != 15)
 		return std::nullopt;
@@ -64,7 +64,8 @@
 	return static_cast<double>(whole) + static_cast<double>(*micros) / 1e6;
 }
 
-static std::optional<double> RecordTime(std::string_view inText)
+/// Seconds of a line head in a collected log.
+static std::optional<double> ParseCollectedTime(std::string_view inText)
 {
 	double seconds = 0.0;
 	const char *end = inText.data() + inText.size();
@@ -74,22 +75,22 @@
 	return seconds;
 }
 
-/// Time and host from what stands before the event.
-static void ReadHead(std::string_view inHead, LogLine &outLine)
+/// Reads time and host from the text before the event.
+static void ParseHead(std::string_view inHead, LogLine &outLine)
 {
 	const std::vector<std::string_view> parts = SplitText(inHead, ' ');
-	const std::optional<double> record_time = parts.size() < 2 ? std::nullopt : RecordTime(parts[0]);
-	if (record_time.has_value())
+	const std::optional<double> collected_time = parts.size() < 2 ? std::nullopt : ParseCollectedTime(parts[0]);
+	if (collected_time.has_value())
 	{
-		outLine.at_s = *record_time;
+		outLine.at_s = *collected_time;
 		outLine.host = parts[1];
 		return;
 	}
-	const std::optional<double> own_time = parts.size() < 2 ? std::nullopt : OwnTime(parts[0], parts[1]);
-	outLine.at_s = own_time.value_or(-1.0);
+	const std::optional<double> process_time = parts.size() < 2 ? std::nullopt : ParseProcessTime(parts[0], parts[1]);
+	outLine.at_s = process_time.value_or(-1.0);
 }
 
-/// Takes a value, quoted or not, off the front of a text.
+/// Removes a value, quoted or plain, from the front of a text and returns it without quotes.
 static std::string TakeValue(std::string_view &ioText)
 {
 	std::string value;
@@ -103,7 +104,7 @@
 	size_t at = 1;
 	for (; at < ioText.size() && ioText[at] != '"'; ++at)
 	{
-		// What was quoted within the value
+		// A backslash escapes the next character
 		if (ioText[at] == '\\' && at + 1 < ioText.size())
 			++at;
 		value += ioText[at];
@@ -119,7 +120,7 @@
 		return std::nullopt;
 	LogLine line;
 	line.text = inText;
-	ReadHead(inText.substr(0, mark), line);
+	ParseHead(inText.substr(0, mark), line);
 	std::string_view rest = inText.substr(mark + cEventMark.size());
 	line.event = TakeValue(rest);
 	while (!rest.empty())
--- a/TestSupport/LogCheck/LogLine.h
+++ b/TestSupport/LogCheck/LogLine.h
@@ -1,4 +1,5 @@
-// One line of an entry host's log, as its process wrote it or as it stands in a longer record with a time and the host's name before it.
+// Parses one line of an entry host's log. Two formats are read: the line as the process wrote it, and the line in a collected log, where
+// a time in seconds and the host's name precede it.
 
 #pragma once
 
@@ -7,28 +8,28 @@
 namespace Loomreach::LogCheck
 {
 
-/// See the head of the file.
+/// One log line that holds an event.
 struct LogLine
 {
-	double at_s = -1.0; ///< Of the record where it has one, else the process's own; -1: the line has none.
-	std::string host;   ///< Empty: the line does not say; its file does.
+	double at_s = -1.0; ///< Time of the collected log if present, else the process's own, s since 1970; -1: none.
+	std::string host;   ///< Empty if the line does not name it; the file name then stands for the host.
 	std::string event;
 	std::map<std::string, std::string, std::less<>> fields;
 	std::string text; ///< The whole line.
 
-	/// A field's text; empty when it is not there.
+	/// A field's value; empty if the field is absent.
 	std::string_view Text(std::string_view inKey) const;
-	/// A field's number; nothing when it is not there or is no number.
+	/// A field's value as a number; nullopt if the field is absent or not a number.
 	std::optional<uint64> Number(std::string_view inKey) const;
 };
 
-/// Reads a line; nothing when it holds no event.
+/// Parses a line; nullopt if it holds no event.
 std::optional<LogLine> ParseLogLine(std::string_view inText);
 
-/// Reads a whole text as a number.
+/// Parses a whole text as an unsigned decimal number; nullopt if any character is left over.
 std::optional<uint64> ParseNumber(std::string_view inText);
 
-/// Parts of a text between separators; empty parts are left out.
+/// Splits a text at a separator; empty parts are left out.
 std::vector<std::string_view> SplitText(std::string_view inText, char inSeparator);
 
 } // namespace Loomreach::LogCheck
--- a/TestSupport/LogCheck/Main.cpp
+++ b/TestSupport/LogCheck/Main.cpp
@@ -1,6 +1,6 @@
-// loomreach-logcheck: reads the logs of all entry hosts and tells whether a task ran twice, as far as they show.
-// Usage: loomreach-logcheck [FILE...]; without files, standard input. A file whose lines do not name a host is one host's log.
-// Ends with 0: clean; 1: something was found; 2: could not be checked.
+// loomreach-logcheck: checks from the logs of all entry hosts that no task ran twice.
+// Usage: loomreach-logcheck [FILE...]; reads standard input without files. A file whose lines do not name a host is one host's log.
+// Exit code: 0 clean, 1 violations found, 2 the logs could not be checked in full.
 
 #include <Loomreach/Loomreach.h>
 
@@ -12,15 +12,16 @@
 using namespace Loomreach;
 using namespace Loomreach::LogCheck;
 
-/// A line and its place in time.
+/// A line and its sort key.
 struct PlacedLine
 {
 	double at_s = 0.0;
 	LogLine line;
 };
 
-/// Adds the lines of one stream. Lines of one host keep their order, whatever its clock did.
-static void ReadStream(std::istream &ioStream, const std::string &inName, std::vector<PlacedLine> &outLines)
+/// Appends the lines of one stream. A line gets at least the time of its host's previous line, so that the lines of one host keep their
+/// order if its clock steps back.
+static void AppendLines(std::istream &ioStream, const std::string &inName, std::vector<PlacedLine> &outLines)
 {
 	std::map<std::string, double> latest;
 	std::string text;
@@ -52,7 +53,7 @@
 {
 	std::vector<PlacedLine> lines;
 	if (argc < 2)
-		ReadStream(std::cin, "standard input", lines);
+		AppendLines(std::cin, "standard input", lines);
 	for (int i = 1; i < argc; ++i)
 	{
 		std::ifstream file(argv[i]);
@@ -61,7 +62,7 @@
 			std::cout << "could not check: cannot read " << argv[i] << '\n';
 			return 2;
 		}
-		ReadStream(file, argv[i], lines);
+		AppendLines(file, argv[i], lines);
 	}
 	std::stable_sort(lines.begin(), lines.end(), [](const PlacedLine &inA, const PlacedLine &inB) { return inA.at_s < inB.at_s; });
 	RunChecker checker;
@@ -75,11 +76,11 @@
 		std::cout << "could not check: " << why << '\n';
 	std::cout << checker.Summary() << '\n';
 	const bool found = !checker.Findings().empty();
-	const bool whole = checker.Unproved().empty() && checker.Unchecked().empty();
-	std::cout << (found   ? "found"
-				  : whole ? "clean"
-						  : "could not check")
+	const bool is_complete = checker.Unproved().empty() && checker.Unchecked().empty();
+	std::cout << (found         ? "found"
+				  : is_complete ? "clean"
+								: "could not check")
 			  << ": " << checker.Findings().size() << " findings, " << checker.Unproved().size() << " unproved, " << checker.Notes().size()
 			  << " notes\n";
-	return found ? 1 : whole ? 0 : 2;
+	return found ? 1 : is_complete ? 0 : 2;
 }
--- a/TestSupport/LogCheck/RunChecker.h
+++ b/TestSupport/LogCheck/RunChecker.h
@@ -1,7 +1,9 @@
-// A copy of the rule that a task runs once, over the logs of all entry hosts: which runs were told to their workers, which ends were taken
-// in, logged, and covered by the look that lets a worker forget them.
+// Checks the rule that a task runs once, independently of the scheduler, from the logs of all entry hosts. For each run it follows the
+// log lines for dispatch to a worker, receipt of the run end, its write to the owner's log, and the poll that acknowledges it, after which
+// the worker drops it.
 //
-// What the logs cannot say is told apart from what they show: lines may have been dropped (LogStream.h) or have gone with a killed process.
+// Log lines may be missing: they may have been dropped (LogStream.h) or lost with a killed process. A violation that a missing line could
+// explain is therefore reported separately from a proven one.
 
 #pragma once
 
@@ -10,18 +12,18 @@
 namespace Loomreach::LogCheck
 {
 
-/// What the logs show to be wrong.
+/// Kinds of violation.
 enum class EFinding : uint8
 {
-	StartAfterDone,      ///< A run was planned or told after an end `done` of its task had been taken in.
-	TwoRuns,             ///< A run was told while an earlier one of its task had no end.
-	CoveredBeforeLogged, ///< A look covered ends that the owner's log did not hold yet.
-	CoveredUnseen,       ///< A look covered a done end that another owner had taken in, and this one never had.
+	StartAfterDone,      ///< A run was planned or dispatched after a run end `done` of its task had been received.
+	TwoRuns,             ///< A run was dispatched while an earlier one of its task had not ended.
+	CoveredBeforeLogged, ///< A poll acknowledged run ends that the owner's log did not hold yet.
+	CoveredUnseen,       ///< A poll acknowledged a done end that only another owner had received.
 };
 
 std::string_view NameOf(EFinding inKind);
 
-/// One finding, with the lines that show it.
+/// One violation, with the log lines that show it.
 struct Finding
 {
 	EFinding kind = EFinding::StartAfterDone;
@@ -29,31 +31,31 @@
 	std::vector<std::string> lines;
 };
 
-/// See the head of the file. Lines come in the order of time; those of one host in the order in which it wrote them.
+/// Checks the lines of all hosts. Lines are passed in order of time; those of one host in the order in which it wrote them.
 class RunChecker
 {
 public:
 	void Take(const LogLine &inLine);
-	/// After the last line.
+	/// Completes the check; called once, after the last line.
 	void Finish();
 
-	/// Broken rules.
+	/// Violations that the logs prove.
 	const std::vector<Finding> &Findings() const { return this->findings; }
-	/// Would be findings, but the lines that would clear them may be among those that are missing.
+	/// Possible violations: a line that would explain them may be among the missing ones.
 	const std::vector<Finding> &Unproved() const { return this->unproved; }
-	/// Starts after a done end that the rule does not forbid by itself: its owner never logged it and no look covered it, or the lease of
-	/// that run lapsed in between and the owner that started the next one had not heard of the end.
+	/// Starts after a done end that the rule allows: either its owner never logged the end and no poll acknowledged it, or the lease of
+	/// that run expired in between and the owner that started the next run had not received the end.
 	const std::vector<Finding> &Notes() const { return this->notes; }
-	/// Why the whole could not be checked; empty: it could.
+	/// Reasons why the check is incomplete; empty if it is complete.
 	const std::vector<std::string> &Unchecked() const { return this->unchecked; }
-	/// Processes whose log ends without their last word; a killed one loses up to its last 20 ms.
-	size_t Cuts() const { return this->cuts; }
-	/// The counts of what was checked, in words.
+	/// Processes whose log ends without a `stopped` event; a killed process loses up to 20 ms of lines.
+	size_t Cuts() const { return this->truncated_logs; }
+	/// Counts of what was checked, as one line of text.
 	std::string Summary() const;
 
 private:
-	/// An owner of a cell.
-	using Owner = std::pair<uint64, uint64>; ///< Cell and epoch.
+	/// An owner of a cell: cell and epoch.
+	using Owner = std::pair<uint64, uint64>;
 
 	/// A span of a host's log in which lines may be missing.
 	struct Gap
@@ -62,55 +64,55 @@
 		double from_s = 0.0;
 		double to_s = 0.0;
 	};
-	/// What is known of a host's log so far.
+	/// State of a host's log up to the current line.
 	struct Host
 	{
 		double last_s = 0.0;
-		bool stopped = true; ///< Its process has said its last word, or none has begun.
-		std::string name;    ///< As it calls itself.
+		bool stopped = true; ///< Its process has logged `stopped`, or none has started.
+		std::string name;    ///< From its `started` event.
 		std::set<uint64> cells;
 	};
-	/// A run that its worker was told of.
-	struct Told
+	/// A run that was dispatched to its worker.
+	struct DispatchedRun
 	{
 		uint64 run = 0;
 		double at_s = 0.0;
 		size_t line = 0;
 		bool ended = false;
 	};
-	/// An end that an owner took in.
+	/// A run end that an owner received.
 	struct End
 	{
 		std::string task;
 		uint64 run = 0;
-		std::string end;
+		std::string outcome; ///< As logged: "done", "lapsed" and others.
 		double at_s = 0.0;
 		size_t line = 0;
 		Owner owner;
-		std::string worker;
-		uint64 number = 0;
+		std::string worker; ///< Names its incarnation.
+		uint64 number = 0;  ///< Sequence number in the worker's list of run ends; 0: none.
 	};
-	/// A task.
+	/// State of a task up to the current line.
 	struct Task
 	{
 		bool copies = false;
-		bool lasting = false;
-		std::map<uint64, size_t> planned; ///< Line of each run's planning.
-		std::vector<Told> told;
+		bool long_running = false;
+		std::map<uint64, size_t> planned; ///< By run: the line that planned it.
+		std::vector<DispatchedRun> dispatched;
 		std::optional<End> done;
-		std::map<uint64, size_t> lapsed; ///< Runs whose lease an owner found to be over, and the line.
+		std::map<uint64, size_t> expired_leases; ///< By run whose lease an owner found expired: that line.
 	};
-	/// A start after a done end: judged once all is read.
-	struct Late
+	/// A start after a done end; classified once all lines are read, since logging and acknowledgement may come later.
+	struct LateStart
 	{
 		End done;
-		Owner by;
+		Owner starting_owner;
 		std::string task;
 		uint64 run = 0;
-		bool lapsed = false; ///< The lease of the run that was done had lapsed before.
+		bool lease_expired = false; ///< The lease of the run that was done had expired before the start.
 		std::vector<size_t> lines;
 	};
-	/// What is a finding unless lines are missing from a span of the cell's owners' logs: known once all is read.
+	/// A violation if no line is missing from the logs of the cell's owners in a time span; decided once all lines are read.
 	struct Candidate
 	{
 		Finding finding;
@@ -118,59 +120,59 @@
 		double from_s = 0.0;
 		double to_s = 0.0;
 	};
-	/// What an owner did with a worker's ends.
+	/// The run ends of one worker that one owner received and logged.
 	struct Ledger
 	{
-		std::map<uint64, End> taken;
-		uint64 logged_to = 0;
+		std::map<uint64, End> received;
+		uint64 logged_up_to = 0;
 		std::vector<size_t> logged_lines;
 	};
 
 	void OnHost(const LogLine &inLine);
-	void OnBirth(const LogLine &inLine);
-	/// A worker's present life, as far as the lines told: its numbers of ends are its own.
-	std::string LifeOf(std::string_view inWorker) const;
+	void OnIncarnation(const LogLine &inLine);
+	/// Names a worker's current incarnation, as far as the lines show it. Sequence numbers of run ends count within one incarnation.
+	std::string IncarnationOf(std::string_view inWorker) const;
 	void OnPlanned(const LogLine &inLine);
-	void OnTold(const LogLine &inLine);
-	void OnToldRun(const LogLine &inLine, const Owner &inOwner, const std::string &inTask, uint64 inRun, size_t inKept);
+	void OnDispatched(const LogLine &inLine);
+	void OnRunDispatched(const LogLine &inLine, const Owner &inOwner, const std::string &inTask, uint64 inRun, size_t inLineIndex);
 	void OnEnded(const LogLine &inLine);
 	void OnUnmatched(const LogLine &inLine);
 	void OnLogged(const LogLine &inLine);
-	void OnCovered(const LogLine &inLine);
-	void OnCoveredRange(const LogLine &inLine, const Owner &inOwner, const std::string &inWorker, uint64 inFrom, uint64 inTo,
-						size_t inKept);
-	void TakeEnd(const End &inEnd);
-	void NoteLate(const Task &inTask, const std::string &inName, uint64 inRun, const Owner &inOwner, double inAt, size_t inKept);
-	void Judge(const Late &inLate);
+	void OnAcknowledged(const LogLine &inLine);
+	void OnRangeAcknowledged(const LogLine &inLine, const Owner &inOwner, const std::string &inWorker, uint64 inFrom, uint64 inTo,
+							 size_t inLineIndex);
+	void AddEnd(const End &inEnd);
+	void AddLateStart(const Task &inTask, const std::string &inName, uint64 inRun, const Owner &inOwner, double inAtS, size_t inLineIndex);
+	void ClassifyLateStart(const LateStart &inStart);
 	void AddFinding(EFinding inKind, std::string inWhat, const std::vector<size_t> &inLines, uint64 inCell, double inFrom, double inTo);
-	void NoteHostGone(std::string_view inName);
+	void OnHostLost(std::string_view inName);
 	bool HasGap(uint64 inCell, double inFrom, double inTo) const;
 	std::vector<std::string> LinesOf(const std::vector<size_t> &inLines) const;
-	size_t Keep(const LogLine &inLine);
+	size_t KeepLine(const LogLine &inLine);
 	std::optional<Owner> OwnerOf(const LogLine &inLine);
-	void Damaged(const LogLine &inLine);
+	void AddUnreadableLine(const LogLine &inLine);
 
-	std::vector<std::string> kept; ///< Lines that a finding may show.
+	std::vector<std::string> kept_lines; ///< Lines that a finding may quote.
 	std::map<std::string, Host> hosts;
 	std::vector<Gap> gaps;
 	std::map<std::string, Task> tasks;
-	std::map<std::string, int64, std::less<>> births;        ///< By worker: the latest that a line told of.
+	std::map<std::string, int64, std::less<>> started_ms;    ///< By worker: the latest start time of an incarnation in any line, ms.
 	std::map<std::pair<Owner, std::string>, Ledger> ledgers; ///< By owner and worker.
 	std::map<std::string, std::vector<End>> done_ends;       ///< By worker.
-	std::map<std::string, uint64> covered;                   ///< By worker: how far any look went.
-	std::vector<Late> late;
+	std::map<std::string, uint64> acknowledged_up_to;        ///< By worker: the highest sequence number that any poll acknowledged.
+	std::vector<LateStart> late_starts;
 	std::vector<Candidate> candidates;
 	std::vector<Finding> findings;
 	std::vector<Finding> unproved;
 	std::vector<Finding> notes;
 	std::vector<std::string> unchecked;
-	size_t cuts = 0;
-	size_t damaged = 0;
-	size_t told_runs = 0;
+	size_t truncated_logs = 0;
+	size_t unreadable_lines = 0;
+	size_t dispatched_runs = 0;
 	size_t ends = 0;
 	size_t ends_done = 0;
 	size_t logged_ends = 0;
-	size_t covers = 0;
+	size_t acknowledgements = 0;
 };
 
 } // namespace Loomreach::LogCheck
