--- a/TestSupport/Platform/EndLedger.cpp
+++ b/TestSupport/Platform/EndLedger.cpp
@@ -1,4 +1,4 @@
-// Keeps ends and the starts after them.
+// Matches starts against done ends, whichever of a start and the end's acknowledgement comes first.
 
 #include <Loomreach/Loomreach.h>
 
@@ -12,71 +12,71 @@
 	return this->task + " run " + std::to_string(this->run) + " on " + this->worker + " at " + std::to_string(this->at);
 }
 
-std::string EndLedger::Line(const RunSeen &inStart, const NotedEnd &inEnd)
+std::string EndLedger::DescribeViolation(const RunSeen &inStart, const AcknowledgedEnd &inEnd)
 {
 	return "started after it was done: " + inStart.Text() + "; done: " + inEnd.run.Text() + " as end " + std::to_string(inEnd.number) +
-		   ", taken note of at " + std::to_string(inEnd.noted_at);
+		   ", taken note of at " + std::to_string(inEnd.acknowledged_at);
 }
 
 std::vector<std::string> EndLedger::Start(const RunSeen &inRun)
 {
-	// An end that is still open may be taken note of later: the start is judged then
-	for (auto &[worker, ends] : this->open)
-		for (OpenEnd &end : ends)
+	// An end that is still unacknowledged may be acknowledged later: the start is checked then
+	for (auto &[worker, ends] : this->unacknowledged)
+		for (UnacknowledgedEnd &end : ends)
 			if (end.run.task == inRun.task)
 				end.starts.push_back(inRun);
-	const auto end = this->noted.find(inRun.task);
-	if (end != this->noted.end())
-		return {Line(inRun, end->second)};
-	const auto lost = this->never_noted.find(inRun.task);
-	if (lost != this->never_noted.end())
-		this->Excuse(inRun, lost->second);
+	const auto end = this->acknowledged.find(inRun.task);
+	if (end != this->acknowledged.end())
+		return {DescribeViolation(inRun, end->second)};
+	const auto unacknowledged_end = this->never_acknowledged.find(inRun.task);
+	if (unacknowledged_end != this->never_acknowledged.end())
+		this->AddExcused(inRun, unacknowledged_end->second);
 	return {};
 }
 
-void EndLedger::Done(const RunSeen &inRun, uint64 inNumber) { this->open[inRun.worker].push_back({inRun, inNumber, {}}); }
+void EndLedger::Done(const RunSeen &inRun, uint64 inNumber) { this->unacknowledged[inRun.worker].push_back({inRun, inNumber, {}}); }
 
 std::vector<std::string> EndLedger::Noted(const std::string &inWorker, uint64 inNumber, Millis inNow)
 {
 	std::vector<std::string> lines;
-	std::vector<OpenEnd> still;
-	for (OpenEnd &end : this->open[inWorker])
+	std::vector<UnacknowledgedEnd> remaining;
+	for (UnacknowledgedEnd &end : this->unacknowledged[inWorker])
 	{
 		if (end.number > inNumber)
 		{
-			still.push_back(std::move(end));
+			remaining.push_back(std::move(end));
 			continue;
 		}
-		const NotedEnd noted_end{end.run, end.number, inNow};
+		const AcknowledgedEnd acknowledged_end{end.run, end.number, inNow};
 		for (const RunSeen &start : end.starts)
-			lines.push_back(Line(start, noted_end));
-		this->noted.emplace(end.run.task, noted_end);
+			lines.push_back(DescribeViolation(start, acknowledged_end));
+		this->acknowledged.emplace(end.run.task, acknowledged_end);
 	}
-	this->open[inWorker] = std::move(still);
+	this->unacknowledged[inWorker] = std::move(remaining);
 	return lines;
 }
 
 void EndLedger::Lapsed(const std::string &inWorker)
 {
-	const auto ends = this->open.find(inWorker);
-	if (ends == this->open.end())
+	const auto ends = this->unacknowledged.find(inWorker);
+	if (ends == this->unacknowledged.end())
 		return;
-	for (const OpenEnd &end : ends->second)
+	for (const UnacknowledgedEnd &end : ends->second)
 	{
 		for (const RunSeen &start : end.starts)
-			this->Excuse(start, end.run);
-		this->never_noted.emplace(end.run.task, end.run);
+			this->AddExcused(start, end.run);
+		this->never_acknowledged.emplace(end.run.task, end.run);
 	}
-	this->open.erase(ends);
+	this->unacknowledged.erase(ends);
 }
 
 size_t EndLedger::Unheard(const std::string &inWorker) const
 {
-	const auto ends = this->open.find(inWorker);
-	return ends == this->open.end() ? 0 : ends->second.size();
+	const auto ends = this->unacknowledged.find(inWorker);
+	return ends == this->unacknowledged.end() ? 0 : ends->second.size();
 }
 
-void EndLedger::Excuse(const RunSeen &inStart, const RunSeen &inEnd)
+void EndLedger::AddExcused(const RunSeen &inStart, const RunSeen &inEnd)
 {
 	this->excused.push_back(inStart.Text() + "; done, never taken note of: " + inEnd.Text());
 }
--- a/TestSupport/Platform/EndLedger.h
+++ b/TestSupport/Platform/EndLedger.h
@@ -1,6 +1,6 @@
-// The users' rule against a second run of a task that has ended well, as their page words it: a start after an end is a fault if that end
-// is taken note of at that time or afterwards. An end is taken note of once an owner's look says so, unless the worker's lease ran out in
-// between.
+// Checks the platform's rule against a second run of a task that was done: a start after a done end is a violation if that end has been
+// acknowledged by then or is acknowledged later. An end is acknowledged by an owner's poll. If the worker's lease expires first, or the
+// worker is lost, the end never counts as acknowledged.
 
 #pragma once
 
@@ -9,58 +9,58 @@
 namespace Loomreach
 {
 
-/// A run that a worker has begun or ended.
+/// A run that a worker started or ended, as the fake worker observed it.
 struct RunSeen
 {
 	std::string task;
 	uint32 run = 0;
-	std::string worker; ///< One life of a host: numbers of ends count anew in the next.
+	std::string worker; ///< Names the incarnation; sequence numbers of ends restart in the next.
 	Millis at = 0;
 
 	std::string Text() const;
 };
 
-/// Judges starts against ends.
+/// Finds starts that follow an acknowledged done end of the same task.
 class EndLedger
 {
 public:
-	/// A run has begun. Returns what it breaks at once, a line each.
+	/// Records a start. Returns the violations that are certain already, one line each.
 	std::vector<std::string> Start(const RunSeen &inRun);
-	/// A run has ended well, as the worker's end of this number.
+	/// Records a done end with its sequence number in the worker's list.
 	void Done(const RunSeen &inRun, uint64 inNumber);
-	/// An owner has taken note of all the worker's ends up to this number. Returns which earlier starts are broken by it.
+	/// Records that an owner acknowledged all ends of the worker up to this number. Returns the earlier starts that violate the rule by it.
 	std::vector<std::string> Noted(const std::string &inWorker, uint64 inNumber, Millis inNow);
-	/// The worker's lease has run out: what was not taken note of before never is.
+	/// Records that the worker's lease expired: its ends that are not yet acknowledged never count.
 	void Lapsed(const std::string &inWorker);
-	/// The worker is gone: nobody can take note of its ends any more.
+	/// Records that the worker is lost: its ends can no longer be acknowledged.
 	void Gone(const std::string &inWorker) { this->Lapsed(inWorker); }
-	/// How many good ends of a worker nobody has taken note of, though its lease never ran out.
+	/// Count of the worker's done ends that are neither acknowledged nor void by an expired lease.
 	size_t Unheard(const std::string &inWorker) const;
-	/// Starts after ends that were never taken note of, a line each: allowed, but worth a look.
+	/// Starts after done ends that were never acknowledged, one line each: allowed, but reported.
 	const std::vector<std::string> &Excused() const { return this->excused; }
 
 private:
-	/// An end that nobody has taken note of yet, and the starts since.
-	struct OpenEnd
+	/// A done end that is not acknowledged yet, and the starts of its task since.
+	struct UnacknowledgedEnd
 	{
 		RunSeen run;
 		uint64 number = 0;
 		std::vector<RunSeen> starts;
 	};
-	/// An end that was taken note of: for good.
-	struct NotedEnd
+	/// An acknowledged end; it stays so whatever happens to the worker.
+	struct AcknowledgedEnd
 	{
 		RunSeen run;
 		uint64 number = 0;
-		Millis noted_at = 0;
+		Millis acknowledged_at = 0;
 	};
 
-	void Excuse(const RunSeen &inStart, const RunSeen &inEnd);
-	static std::string Line(const RunSeen &inStart, const NotedEnd &inEnd);
+	void AddExcused(const RunSeen &inStart, const RunSeen &inEnd);
+	static std::string DescribeViolation(const RunSeen &inStart, const AcknowledgedEnd &inEnd);
 
-	std::map<std::string, std::vector<OpenEnd>> open; ///< By worker.
-	std::map<std::string, NotedEnd> noted;            ///< By task, the first.
-	std::map<std::string, RunSeen> never_noted;       ///< By task, the first.
+	std::map<std::string, std::vector<UnacknowledgedEnd>> unacknowledged; ///< By worker.
+	std::map<std::string, AcknowledgedEnd> acknowledged;                  ///< By task: its first such end.
+	std::map<std::string, RunSeen> never_acknowledged;                    ///< By task: its first such end.
 	std::vector<std::string> excused;
 };
 
--- a/TestSupport/Platform/FakeFleet.h
+++ b/TestSupport/Platform/FakeFleet.h
@@ -1,5 +1,7 @@
-// The platform's hosts and workers for tests with real processes. Workers keep leases, tokens, runs and ends, and note broken rules.
-// What a task needs and does stands in its payload: "cpu=MILLI ms=TIME", "fail", "lasts", "crash=TIME" (it crashes its worker then).
+// Fake of the platform's machine service and workers for tests with real processes. Workers enforce leases and fencing tokens, keep runs
+// and run ends, and record violations of the platform's rules.
+// A task's payload gives its requested CPU and its behaviour: "cpu=MILLI ms=TIME", "fail", "lasts" (runs until stopped), "crash=TIME"
+// (crashes its worker TIME ms after its start).
 
 #pragma once
 
@@ -13,22 +15,22 @@
 namespace Loomreach
 {
 
-/// What happens to a share of the orders on their way.
+/// Fault that affects a share of the orders to workers.
 enum class EOrderFault : uint8
 {
 	None,
-	Late,         ///< Left without an answer, and carried out seconds later.
-	RefusedRepeat ///< A start is carried out, its connection closed without an answer, and its repeat turned away.
+	Late,         ///< Gets no answer and is carried out seconds later.
+	RefusedRepeat ///< A start is carried out without an answer, its connection is closed, and its repetition gets 503.
 };
 
-/// One run on a fake worker.
+/// A run on a fake worker.
 struct FakeRun
 {
 	std::string task;
 	uint32 run = 0;
 	int64 cpu = 0;
-	Millis began_at = 0;
-	Millis ends_at = -1; ///< -1: lasts.
+	Millis started_at = 0;
+	Millis ends_at = -1; ///< -1: runs until stopped.
 	bool fails = false;
 	Millis crashes_at = -1; ///< -1: never.
 };
@@ -40,116 +42,116 @@
 	std::string pool;
 	std::string state = "up";
 	uint16 port = 0;
-	uint32 life = 0;       ///< Counts the ids that its workers have had.
-	int64 born = 0;        ///< When its worker began, ms since 1970.
-	Millis clock_base = 0; ///< Where its worker's clock began.
-	bool keeps_id = false; ///< The next worker after a crash has the same id.
+	uint32 id_number = 0;       ///< Number in the worker's id; grows with each new id.
+	int64 started_ms = 0;       ///< Start time of the worker's incarnation, ms since 1970.
+	Millis clock_offset = 0;    ///< Offset of the worker's clock from this process's.
+	bool next_keeps_id = false; ///< The next worker after a crash has the same id.
 	uint64 token = 0;
-	Millis until = 0;
+	Millis lease_until = 0;
 	std::vector<FakeRun> running;
-	std::map<std::string, uint32> highest_over;
-	std::vector<nlohmann::json> ended;
-	uint64 next_number = 1;
-	uint64 duty_token = 0;
-	int64 cpu = 0;                       ///< What it says that it has,
-	int64 cpu_before = 0;                ///< what that was before it shrank,
-	Millis shrunk_at = -1;               ///< and when it did; -1: never.
-	bool dark = false;                   ///< Answers nothing.
-	std::set<std::string> refuse_repeat; ///< Starts (their whole bodies) whose repeat is turned away.
+	std::map<std::string, uint32> highest_ended_run; ///< By task; a start of this or a lower run is refused.
+	std::vector<nlohmann::json> ended;               ///< Run ends not acknowledged yet, as rows of a poll's answer; sequence number first.
+	uint64 next_end_number = 1;
+	uint64 machine_order_token = 0;
+	int64 cpu = 0;                             ///< Capacity in the worker's entry, thousandths of a core.
+	int64 cpu_before_reduction = 0;            ///< Capacity before the last reduction.
+	Millis reduced_at = -1;                    ///< Time of the last reduction; -1: never.
+	bool is_unresponsive = false;              ///< Keeps calls open without an answer.
+	std::set<std::string> refused_repetitions; ///< Bodies of starts whose repetition gets 503.
 	ObjectPtr<SoupServer> server;
-	std::vector<ObjectPtr<SoupServerMessage>> silent;
+	std::vector<ObjectPtr<SoupServerMessage>> unanswered;
 
-	std::string Id() const { return "i-" + this->name + "-" + std::to_string(this->life); }
-	/// Names this life of the worker.
-	std::string Life() const { return this->Id() + '@' + std::to_string(this->born); }
-	Millis Clock() const { return NowMillis() + this->clock_base; }
+	std::string Id() const { return "i-" + this->name + "-" + std::to_string(this->id_number); }
+	/// Names the worker's incarnation.
+	std::string Incarnation() const { return this->Id() + '@' + std::to_string(this->started_ms); }
+	Millis Clock() const { return NowMillis() + this->clock_offset; }
 };
 
-/// The fleet.
+/// All fake hosts, the machine service, and the checks of the platform's rules.
 class FakeFleet
 {
 public:
-	/// `inSeed` decides which orders a fault strikes.
+	/// `inSeed`: seed of the random choices, such as the orders that a fault affects.
 	FakeFleet(FakeStore &ioStore, uint64 inSeed) : store(ioStore), random(inSeed) {}
 
-	/// Opens the machine service and a listener for each host. `inPools`: pool by host.
+	/// Opens the machine service and a listener for each host; false on failure. `inPools`: pool of each host.
 	bool Open(const Address &inMachines, uint16 inFirstPort, const std::vector<std::string> &inPools);
-	/// Rules that were broken, and counts.
+	/// Violations of rules, and counts.
 	nlohmann::json Report() const;
-	/// Makes a host silent or lets it answer again.
-	void SetDark(const std::string &inHost, bool inDark);
-	/// A host's processors from now on, thousandths; 0: all of them.
-	void SetRoom(const std::string &inHost, int64 inCpu);
-	/// The process of a host's worker ends; the next one comes after a second or two.
+	/// Makes a host's worker unresponsive, or responsive again.
+	void SetUnresponsive(const std::string &inHost, bool inIsUnresponsive);
+	/// Sets a host's capacity, thousandths of a core; 0: all cores.
+	void SetCapacity(const std::string &inHost, int64 inCpu);
+	/// Crashes a host's worker; the next one starts after 0.7 to 2.5 s under a new id.
 	void Crash(const std::string &inHost);
-	/// The process of a host's worker ends, and starts again under its id after `inBackMs`.
-	void Restart(const std::string &inHost, Millis inBackMs);
+	/// Crashes a host's worker; the next one starts after `inRestartMs` under the same id.
+	void Restart(const std::string &inHost, Millis inRestartMs);
 	void SetOrderFault(EOrderFault inFault) { this->order_fault = inFault; }
 
 private:
 	static void OnMachines(SoupServer *, SoupServerMessage *inMessage, const char *inPath, GHashTable *, gpointer inSelf);
 	static void OnWorker(SoupServer *inServer, SoupServerMessage *inMessage, const char *inPath, GHashTable *, gpointer inSelf);
 	void Handle(FakeHost &ioHost, SoupServerMessage *inMessage, std::string_view inPath);
-	/// A look that waits for an end.
-	struct WaitingLook
+	/// A long poll that waits for a run end.
+	struct WaitingPoll
 	{
 		std::shared_ptr<SoupServerMessage> message;
 		nlohmann::json body;
-		std::string life; ///< Of the worker that was asked.
+		std::string incarnation; ///< Incarnation of the worker that received the poll.
 		Millis until = 0;
 	};
-	/// Answers a look once there is an end, or its time is over.
-	void WaitForEnd(FakeHost &ioHost, const WaitingLook &inLook);
-	/// Whether a fault has taken the order; then there is nothing left to do.
-	bool IsStruck(FakeHost &ioHost, SoupServerMessage *inMessage, const std::string &inPath, const std::string &inBody);
-	/// Carries out an order that has arrived: status and answer.
-	std::pair<uint32, nlohmann::json> CarryOut(FakeHost &ioHost, std::string_view inPath, const nlohmann::json &inBody);
+	/// Answers a poll once there is a run end or its waiting time is over.
+	void WaitForEnd(FakeHost &ioHost, const WaitingPoll &inPoll);
+	/// Applies the order fault, if it affects this order. Returns whether it did; the caller must not handle the order then.
+	bool ApplyOrderFault(FakeHost &ioHost, SoupServerMessage *inMessage, const std::string &inPath, const std::string &inBody);
+	/// Carries out an order. Returns HTTP status and body of the answer.
+	std::pair<uint32, nlohmann::json> Execute(FakeHost &ioHost, std::string_view inPath, const nlohmann::json &inBody);
 	nlohmann::json Start(FakeHost &ioHost, const nlohmann::json &inBody, uint32 &outStatus);
 	void Stop(FakeHost &ioHost, const nlohmann::json &inBody);
-	nlohmann::json Hold(FakeHost &ioHost, const nlohmann::json &inBody);
+	nlohmann::json Poll(FakeHost &ioHost, const nlohmann::json &inBody);
 	void Answer(SoupServerMessage *inMessage, const FakeHost &inHost, uint32 inStatus, nlohmann::json inBody);
-	/// What time has done to runs and leases of one host, of all.
-	void PassHost(FakeHost &ioHost);
-	void Pass();
-	void End(FakeHost &ioHost, size_t inRun, const char *inHow);
-	void Beat();
-	void CrashHost(FakeHost &ioHost, Millis inBackMs);
-	/// The same, and the next worker comes after a second or two.
+	/// Ends the runs that are over and expires leases, up to now, on one host and on all.
+	void AdvanceHost(FakeHost &ioHost);
+	void AdvanceAll();
+	void End(FakeHost &ioHost, size_t inRun, const char *inOutcome);
+	void WriteWorkerEntries();
+	void CrashHost(FakeHost &ioHost, Millis inRestartMs);
+	/// Crashes the worker; the next one starts after a random time of 0.7 to 2.5 s.
 	void CrashHost(FakeHost &ioHost);
-	/// Crashes the workers whose runs do so now.
-	void CrashByRuns();
-	/// A host's next worker begins.
-	void BeginLife(FakeHost &ioHost);
-	/// Listens at a host's port.
+	/// Crashes the workers that have a run whose `crash=TIME` is reached.
+	void CrashDueWorkers();
+	/// Starts a host's next worker.
+	void StartIncarnation(FakeHost &ioHost);
+	/// Opens a host's listener; false on failure.
 	bool Listen(FakeHost &ioHost);
-	/// A start against the users' bounds of room and of tasks that crash their workers.
-	void CheckRoom(const FakeHost &inHost, const FakeRun &inRun);
+	/// Checks a start against the worker's capacity, and against the limit of starts of a task that crashes its workers.
+	void CheckCapacity(const FakeHost &inHost, const FakeRun &inRun);
 	void CheckCrashes(const FakeRun &inRun);
-	void Down(FakeHost &ioHost, const char *inState, const std::string &inPool, Millis inForMs);
-	void Duty(SoupServerMessage *inMessage, bool inMoves);
-	void Break(const std::string &inWhat);
-	void BreakAll(const std::vector<std::string> &inLines);
+	void TakeDown(FakeHost &ioHost, const char *inState, const std::string &inPool, Millis inDurationMs);
+	void HandleMachineOrder(SoupServerMessage *inMessage, bool inIsMove);
+	void AddViolation(const std::string &inWhat);
+	void AddViolations(const std::vector<std::string> &inLines);
 
 	FakeStore &store;
 	ObjectPtr<SoupServer> machines;
 	std::vector<std::unique_ptr<FakeHost>> hosts;
-	std::vector<std::string> broken;
-	std::set<std::string> done;
+	std::vector<std::string> violations;
+	std::set<std::string> done_tasks;
 	EndLedger ends;
-	std::vector<std::string> unheard; ///< Hosts that were taken before anybody took note of all that had ended there.
+	std::vector<std::string> hosts_taken_early; ///< Hosts taken down before all done ends of their worker were acknowledged.
 	EOrderFault order_fault = EOrderFault::None;
 	Random random;
-	std::map<std::string, uint32> crashes;            ///< Workers that a task has crashed.
-	std::map<std::string, uint32> starts_after_three; ///< Its starts after the third.
-	Address listens;
-	uint64 chance_crashes = 0;
-	std::map<std::string, uint64> struck; ///< Orders that a fault has taken, by fault.
+	std::map<std::string, uint32> crash_counts;             ///< By task: workers that it crashed.
+	std::map<std::string, uint32> starts_after_crash_limit; ///< By task: its starts after it crashed three workers.
+	Address listen_address;
+	uint64 injected_crashes = 0;
+	std::map<std::string, uint64> affected_orders; ///< By fault: count of affected orders.
 	uint64 starts = 0;
-	uint64 duties = 0;
+	uint64 machine_orders = 0;
 	uint32 down_now = 0;
-	uint32 most_down = 0;
-	Timer pass;
-	Timer beat;
+	uint32 max_down = 0;
+	Timer advance_timer;
+	Timer entry_timer;
 };
 
 } // namespace Loomreach
--- a/TestSupport/Platform/FakeStore.cpp
+++ b/TestSupport/Platform/FakeStore.cpp
@@ -1,4 +1,4 @@
-// Plays the store.
+// HTTP handlers of the fake metadata store.
 
 #include <Loomreach/Loomreach.h>
 
@@ -70,10 +70,10 @@
 	const std::string_view path = inPath;
 	if (self->fault == EStoreFault::Busy)
 		return Reply(inMessage, 503, "{}");
-	if (self->fault == EStoreFault::Silent)
+	if (self->fault == EStoreFault::Unresponsive)
 	{
 		soup_server_message_pause(inMessage);
-		self->silent.push_back(Share(inMessage));
+		self->unanswered.push_back(Share(inMessage));
 		return;
 	}
 	if (path == "/log-append")
@@ -81,7 +81,7 @@
 	else if (path == "/log-read")
 		self->Read(inMessage, inQuery);
 	else if (path == "/log-newest")
-		self->NewestOf(inMessage, inQuery);
+		self->AnswerNewest(inMessage, inQuery);
 	else
 		Reply(inMessage, 404, "{}");
 }
@@ -89,125 +89,125 @@
 void FakeStore::Append(SoupServerMessage *inMessage, GHashTable *inQuery)
 {
 	const std::string topic = QueryField(inQuery, "topic");
-	Part &part = this->parts[{topic, static_cast<uint32>(QueryNumber(inQuery, "part", 0))}];
+	Partition &partition = this->partitions[{topic, static_cast<uint32>(QueryNumber(inQuery, "part", 0))}];
 	const std::string records = BodyOf(inMessage);
-	const auto [status, body] = this->DoAppend(part, inQuery, records);
-	this->Note(topic, records);
-	this->Wake(part);
-	if (this->fault == EStoreFault::Lost)
+	const auto [status, body] = this->DoAppend(partition, inQuery, records);
+	this->TrackEvent(topic, records);
+	this->AnswerWaitingReads(partition);
+	if (this->fault == EStoreFault::AnswerLost)
 		return CutConnection(inMessage);
 	Reply(inMessage, status, body);
 }
 
-void FakeStore::Note(const std::string &inTopic, const std::string &inBody)
+void FakeStore::TrackEvent(const std::string &inTopic, const std::string &inBody)
 {
-	// A length of 4 bytes, the key's length, the key
+	// Layout: record length (4 bytes), key length (1 byte), key
 	constexpr size_t cKeyAt = 5;
 	if (inTopic == "keyed.hosts" && inBody.size() > cKeyAt)
-		this->gaps.Note("heartbeat " + inBody.substr(cKeyAt, static_cast<uint8>(inBody[cKeyAt - 1])));
+		this->gaps.Add("heartbeat " + inBody.substr(cKeyAt, static_cast<uint8>(inBody[cKeyAt - 1])));
 	if (inTopic.starts_with("inbox"))
-		this->gaps.Note("accepted");
+		this->gaps.Add("accepted");
 }
 
-std::pair<uint32, std::string> FakeStore::DoAppend(Part &ioPart, GHashTable *inQuery, const std::string &inBody)
+std::pair<uint32, std::string> FakeStore::DoAppend(Partition &ioPartition, GHashTable *inQuery, const std::string &inBody)
 {
-	const bool produced = !QueryField(inQuery, "producer").empty();
+	const bool has_producer = !QueryField(inQuery, "producer").empty();
 	const uint64 epoch = QueryNumber(inQuery, "epoch", 0);
-	const uint64 number = QueryNumber(inQuery, "callSeq", 0);
-	ProducerState &producer = ioPart.producer;
-	if (produced && epoch < producer.epoch)
+	const uint64 sequence = QueryNumber(inQuery, "callSeq", 0);
+	ProducerState &producer = ioPartition.producer;
+	if (has_producer && epoch < producer.epoch)
 		return {409, R"({"reason":"fenced"})"};
-	// The first answer again, to whoever asks
-	if (produced && epoch == producer.epoch && producer.answers.contains(number))
-		return {200, producer.answers[number]};
-	if (produced && epoch == producer.epoch && number != producer.next)
+	// A repeated call gets its first answer again
+	if (has_producer && epoch == producer.epoch && producer.answers.contains(sequence))
+		return {200, producer.answers[sequence]};
+	if (has_producer && epoch == producer.epoch && sequence != producer.next)
 		return {409, R"({"reason":"seq"})"};
-	if (!QueryField(inQuery, "at").empty() && QueryNumber(inQuery, "at", 0) != ioPart.records.size())
-		return {412, Json{{"end", ioPart.records.size()}}.dump()};
-	const size_t offset = ioPart.records.size();
+	if (!QueryField(inQuery, "at").empty() && QueryNumber(inQuery, "at", 0) != ioPartition.records.size())
+		return {412, Json{{"end", ioPartition.records.size()}}.dump()};
+	const size_t offset = ioPartition.records.size();
 	for (size_t at = 0; at + 4 <= inBody.size();)
 	{
 		uint64 length = 0;
 		for (size_t i = 0; i < 4; ++i)
 			length = (length << 8) | static_cast<uint8>(inBody[at + i]);
-		ioPart.records.push_back(inBody.substr(at + 4, length));
+		ioPartition.records.push_back(inBody.substr(at + 4, length));
 		at += 4 + length;
 	}
-	const std::string answer = Json{{"offset", offset}, {"end", ioPart.records.size()}}.dump();
-	if (produced)
+	const std::string answer = Json{{"offset", offset}, {"end", ioPartition.records.size()}}.dump();
+	if (has_producer)
 	{
 		if (epoch > producer.epoch)
 			producer.answers.clear();
 		producer.epoch = epoch;
-		producer.next = number + 1;
-		producer.answers[number] = answer;
+		producer.next = sequence + 1;
+		producer.answers[sequence] = answer;
 	}
 	return {200, answer};
 }
 
-void FakeStore::AnswerRead(SoupServerMessage *inMessage, const Part &inPart, uint64 inFrom)
+void FakeStore::AnswerRead(SoupServerMessage *inMessage, const Partition &inPartition, uint64 inFrom)
 {
-	std::string body = BigEndian(inPart.records.size(), 8) + BigEndian(0, 8);
-	for (uint64 i = inFrom; i < inPart.records.size(); ++i)
+	std::string body = BigEndian(inPartition.records.size(), 8) + BigEndian(0, 8);
+	for (uint64 i = inFrom; i < inPartition.records.size(); ++i)
 	{
-		body += BigEndian(inPart.records[i].size(), 4);
-		body += inPart.records[i];
+		body += BigEndian(inPartition.records[i].size(), 4);
+		body += inPartition.records[i];
 	}
 	Reply(inMessage, 200, body);
 }
 
 void FakeStore::Read(SoupServerMessage *inMessage, GHashTable *inQuery)
 {
-	Part &part = this->parts[{QueryField(inQuery, "topic"), static_cast<uint32>(QueryNumber(inQuery, "part", 0))}];
+	Partition &partition = this->partitions[{QueryField(inQuery, "topic"), static_cast<uint32>(QueryNumber(inQuery, "part", 0))}];
 	const uint64 from = QueryNumber(inQuery, "from", 0);
 	const uint64 wait = QueryNumber(inQuery, "waitMs", 0);
-	if (from < part.records.size() || wait == 0)
-		return AnswerRead(inMessage, part, from);
+	if (from < partition.records.size() || wait == 0)
+		return AnswerRead(inMessage, partition, from);
 	soup_server_message_pause(inMessage);
-	auto waiting = std::make_shared<Waiting>();
+	auto waiting = std::make_shared<WaitingRead>();
 	waiting->message = Share(inMessage);
 	waiting->from = from;
-	part.waiting.push_back(waiting);
+	partition.waiting.push_back(waiting);
 	After(static_cast<Millis>(wait),
-		  [this, waiting, &part]
+		  [this, waiting, &partition]
 		  {
-			  if (std::erase(part.waiting, waiting) == 0)
+			  if (std::erase(partition.waiting, waiting) == 0)
 				  return;
-			  AnswerRead(waiting->message.get(), part, waiting->from);
+			  AnswerRead(waiting->message.get(), partition, waiting->from);
 			  soup_server_message_unpause(waiting->message.get());
 		  });
 }
 
-void FakeStore::Wake(Part &ioPart)
+void FakeStore::AnswerWaitingReads(Partition &ioPartition)
 {
-	std::vector<std::shared_ptr<Waiting>> still;
-	for (const std::shared_ptr<Waiting> &waiting : ioPart.waiting)
+	std::vector<std::shared_ptr<WaitingRead>> remaining;
+	for (const std::shared_ptr<WaitingRead> &waiting : ioPartition.waiting)
 	{
-		if (waiting->from >= ioPart.records.size())
+		if (waiting->from >= ioPartition.records.size())
 		{
-			still.push_back(waiting);
+			remaining.push_back(waiting);
 			continue;
 		}
-		AnswerRead(waiting->message.get(), ioPart, waiting->from);
+		AnswerRead(waiting->message.get(), ioPartition, waiting->from);
 		soup_server_message_unpause(waiting->message.get());
 	}
-	ioPart.waiting = std::move(still);
+	ioPartition.waiting = std::move(remaining);
 }
 
-/// Key and value of a keyed record.
-static std::pair<std::string, std::string> SplitKeyed(const std::string &inRecord)
+/// Key and value of a keyed record: key length (1 byte), key, value.
+static std::pair<std::string, std::string> SplitKeyedRecord(const std::string &inRecord)
 {
 	const size_t length = inRecord.empty() ? 0 : static_cast<uint8>(inRecord[0]);
 	return {inRecord.substr(std::min<size_t>(1, inRecord.size()), length), inRecord.substr(std::min(1 + length, inRecord.size()))};
 }
 
-void FakeStore::NewestOf(SoupServerMessage *inMessage, GHashTable *inQuery)
+void FakeStore::AnswerNewest(SoupServerMessage *inMessage, GHashTable *inQuery)
 {
-	const Part &part = this->parts[{QueryField(inQuery, "topic"), static_cast<uint32>(QueryNumber(inQuery, "part", 0))}];
+	const Partition &partition = this->partitions[{QueryField(inQuery, "topic"), static_cast<uint32>(QueryNumber(inQuery, "part", 0))}];
 	std::map<std::string, std::pair<std::string, size_t>> newest;
-	for (size_t i = 0; i < part.records.size(); ++i)
+	for (size_t i = 0; i < partition.records.size(); ++i)
 	{
-		const auto [key, value] = SplitKeyed(part.records[i]);
+		const auto [key, value] = SplitKeyedRecord(partition.records[i]);
 		newest[key] = {value, i};
 	}
 	Json items = Json::array();
@@ -219,28 +219,28 @@
 		items.push_back({{"privateKey", key}, {"value", encoded}, {"offset", entry.second}});
 		g_free(encoded);
 	}
-	Reply(inMessage, 200, Json{{"items", items}, {"more", false}, {"end", part.records.size()}}.dump());
+	Reply(inMessage, 200, Json{{"items", items}, {"more", false}, {"end", partition.records.size()}}.dump());
 }
 
 void FakeStore::Put(const std::string &inTopic, const std::string &inKey, const std::string &inValue)
 {
-	Part &part = this->parts[{inTopic, 0}];
+	Partition &partition = this->partitions[{inTopic, 0}];
 	std::string record(1, static_cast<char>(inKey.size()));
 	record += inKey;
 	record += inValue;
-	part.records.push_back(std::move(record));
-	this->Wake(part);
+	partition.records.push_back(std::move(record));
+	this->AnswerWaitingReads(partition);
 }
 
 std::string FakeStore::Newest(const std::string &inTopic, const std::string &inKey) const
 {
 	std::string newest;
-	auto part = this->parts.find({inTopic, 0});
-	if (part == this->parts.end())
+	auto partition = this->partitions.find({inTopic, 0});
+	if (partition == this->partitions.end())
 		return newest;
-	for (const Record &record : part->second.records)
+	for (const Record &record : partition->second.records)
 	{
-		const auto [key, value] = SplitKeyed(record);
+		const auto [key, value] = SplitKeyedRecord(record);
 		if (key == inKey)
 			newest = value;
 	}
--- a/TestSupport/Platform/FakeStore.h
+++ b/TestSupport/Platform/FakeStore.h
@@ -1,4 +1,5 @@
-// The platform's metadata store for tests with real processes: partitions in memory, conditions, epochs, long reads, and faults on demand.
+// Fake of the platform's metadata store for tests with real processes. It keeps partitions in memory and supports conditional appends,
+// producer epochs that fence older producers, reads that wait for a record, and faults on demand.
 
 #pragma once
 
@@ -11,78 +12,78 @@
 namespace Loomreach
 {
 
-/// What the store does to calls.
+/// Fault that the store applies to every call.
 enum class EStoreFault : uint8
 {
 	None,
-	Busy,   ///< Turns every call away.
-	Silent, ///< Answers nothing.
-	Lost    ///< Does what it is asked and cuts the connection.
+	Busy,         ///< Answers 503.
+	Unresponsive, ///< Keeps the connection open and never answers.
+	AnswerLost    ///< Carries out appends and closes the connection without an answer.
 };
 
-/// See the head of the file.
+/// The store and its listener.
 class FakeStore
 {
 public:
-	/// Opens the listener.
+	/// Opens the listener; false on failure, with the reason in LastReason().
 	bool Open(const Address &inAddress);
-	/// Appends a record to a keyed topic's only partition, as the operator and the workers do.
+	/// Appends a record to partition 0 of a keyed topic, on behalf of the operator or a worker. An empty value removes the key.
 	void Put(const std::string &inTopic, const std::string &inKey, const std::string &inValue);
-	/// The newest value of a key, or an empty text.
+	/// The newest value of a key; empty if there is none.
 	std::string Newest(const std::string &inTopic, const std::string &inKey) const;
 	void SetFault(EStoreFault inFault) { this->fault = inFault; }
-	/// Pauses between heartbeats of each host, and between accepted jobs; the fleet adds starts.
+	/// Pauses between heartbeats of each entry host and between accepted jobs; the fleet adds starts of runs.
 	GapWatch &Gaps() { return this->gaps; }
 
 private:
-	/// One record: its bytes as they came, without the length.
+	/// Bytes of one record, without the length prefix of the append.
 	using Record = std::string;
-	/// What a producer of a partition has done.
+	/// State of a partition's producer.
 	struct ProducerState
 	{
 		uint64 epoch = 0;
 		uint64 next = 0;
-		std::map<uint64, std::string> answers; ///< First answers by number.
+		std::map<uint64, std::string> answers; ///< By sequence number: the first answer, returned again for a repeated call.
 	};
 	/// A read that waits for a record.
-	struct Waiting
+	struct WaitingRead
 	{
 		ObjectPtr<SoupServerMessage> message;
 		uint64 from = 0;
 		guint timeout = 0;
 	};
-	struct Part
+	struct Partition
 	{
 		std::vector<Record> records;
 		ProducerState producer;
-		std::vector<std::shared_ptr<Waiting>> waiting;
+		std::vector<std::shared_ptr<WaitingRead>> waiting;
 	};
-	using PartName = std::pair<std::string, uint32>;
+	using PartitionName = std::pair<std::string, uint32>;
 
 	static void OnCall(SoupServer *, SoupServerMessage *inMessage, const char *inPath, GHashTable *inQuery, gpointer inSelf);
 	void Append(SoupServerMessage *inMessage, GHashTable *inQuery);
 	void Read(SoupServerMessage *inMessage, GHashTable *inQuery);
-	void NewestOf(SoupServerMessage *inMessage, GHashTable *inQuery);
-	std::pair<uint32, std::string> DoAppend(Part &ioPart, GHashTable *inQuery, const std::string &inBody);
-	void Wake(Part &ioPart);
-	/// Notes a heartbeat or an accepted job.
-	void Note(const std::string &inTopic, const std::string &inBody);
-	static void AnswerRead(SoupServerMessage *inMessage, const Part &inPart, uint64 inFrom);
+	void AnswerNewest(SoupServerMessage *inMessage, GHashTable *inQuery);
+	std::pair<uint32, std::string> DoAppend(Partition &ioPartition, GHashTable *inQuery, const std::string &inBody);
+	void AnswerWaitingReads(Partition &ioPartition);
+	/// Records a heartbeat or an accepted job for Gaps().
+	void TrackEvent(const std::string &inTopic, const std::string &inBody);
+	static void AnswerRead(SoupServerMessage *inMessage, const Partition &inPartition, uint64 inFrom);
 
 	ObjectPtr<SoupServer> server;
 	EStoreFault fault = EStoreFault::None;
-	std::map<PartName, Part> parts;
+	std::map<PartitionName, Partition> partitions;
 	GapWatch gaps;
-	std::vector<ObjectPtr<SoupServerMessage>> silent; ///< Calls that are never answered.
+	std::vector<ObjectPtr<SoupServerMessage>> unanswered; ///< Calls that are kept open and never answered.
 };
 
-/// A query's field, or an empty text.
+/// A query parameter; empty if absent.
 std::string QueryField(GHashTable *inQuery, const char *inName);
-/// A query's number, or the default.
+/// A query parameter as a number; the default if absent.
 uint64 QueryNumber(GHashTable *inQuery, const char *inName, uint64 inDefault);
-/// Answers a call.
+/// Answers a call with a JSON body.
 void Reply(SoupServerMessage *inMessage, uint32 inStatus, const std::string &inBody);
-/// Ends a call's connection without an answer.
+/// Closes a call's connection without an answer.
 void CutConnection(SoupServerMessage *inMessage);
 /// The body of a call.
 std::string BodyOf(SoupServerMessage *inMessage);
--- a/TestSupport/Platform/GapWatch.h
+++ b/TestSupport/Platform/GapWatch.h
@@ -1,4 +1,5 @@
-// The longest pauses between things of one kind that the stand-in saw, for checks of how long a fault holds things up.
+// Tracks the longest pause between events of one kind, such as heartbeats of a host, so that a test can check how long a fault interrupts
+// them.
 
 #pragma once
 
@@ -11,41 +12,41 @@
 namespace Loomreach
 {
 
-/// See the head of the file.
+/// Longest pauses by kind of event.
 class GapWatch
 {
 public:
-	/// One more of a kind.
-	void Note(const std::string &inKind)
+	/// Records an event that happens now.
+	void Add(const std::string &inKind)
 	{
-		Seen &seen = this->kinds[inKind];
+		Timing &timing = this->kinds[inKind];
 		const Millis now = NowMillis();
-		seen.longest = std::max(seen.longest, seen.last < 0 ? 0 : now - seen.last);
-		seen.last = now;
+		timing.longest = std::max(timing.longest, timing.last < 0 ? 0 : now - timing.last);
+		timing.last = now;
 	}
-	/// Pauses are measured from here on.
+	/// Restarts the measurement now for each known kind.
 	void Reset()
 	{
-		for (auto &[kind, seen] : this->kinds)
-			seen = {NowMillis(), 0};
+		for (auto &[kind, timing] : this->kinds)
+			timing = {NowMillis(), 0};
 	}
-	/// The longest pause of each kind, ms; one that goes on counts too.
+	/// The longest pause of each kind, ms, including the one since its last event.
 	nlohmann::json Report() const
 	{
 		nlohmann::json report = nlohmann::json::object();
-		for (const auto &[kind, seen] : this->kinds)
-			report[kind] = std::max(seen.longest, NowMillis() - seen.last);
+		for (const auto &[kind, timing] : this->kinds)
+			report[kind] = std::max(timing.longest, NowMillis() - timing.last);
 		return report;
 	}
 
 private:
-	struct Seen
+	struct Timing
 	{
 		Millis last = -1;
 		Millis longest = 0;
 	};
 
-	std::map<std::string, Seen> kinds;
+	std::map<std::string, Timing> kinds;
 };
 
 } // namespace Loomreach
--- a/TestSupport/Platform/Main.cpp
+++ b/TestSupport/Platform/Main.cpp
@@ -1,7 +1,15 @@
-// loomreach-platform: plays the users' platform on loopback for the tests of jobs with real processes: store, machine service, workers.
-// Its control listener takes PUT /operator/KEY, GET /status/KEY, PUT /fault/WORD, PUT /orders/WORD,
-// PUT /dark/HOST, PUT /light/HOST, PUT /crash/HOST, PUT /room/HOST/CPU (thousandths of a core; 0: all), GET /report, GET /gaps (the longest
-// pauses, ms, since PUT /gaps/reset).
+// loomreach-platform: fake of the platform (metadata store, machine service, workers) on loopback, for tests of jobs with real processes.
+// The control listener takes:
+//   PUT /operator/KEY      writes an operator's order, the body
+//   GET /status/KEY        newest status record of a key
+//   PUT /fault/NAME        fault of the store: busy, silent, lost; any other name ends it
+//   PUT /orders/NAME       fault of orders to workers: late, repeat; any other name ends it
+//   PUT /dark/HOST         makes a host's worker stop answering; PUT /light/HOST ends that
+//   PUT /crash/HOST        crashes a host's worker; the next one has a new id
+//   PUT /again/HOST/MS     crashes a host's worker; the next one has the same id and starts after MS
+//   PUT /room/HOST/CPU     sets a worker's capacity, thousandths of a core; 0: all
+//   GET /report            violations of rules, and counts
+//   GET /gaps              longest pauses, ms, since PUT /gaps/reset
 
 #include <Loomreach/Loomreach.h>
 
@@ -15,8 +23,8 @@
 #include <gflags/gflags.h>
 #include <glib-unix.h>
 
-DEFINE_int32(port, 7300, "First port: store, machine service, control, then one for each host.");
-DEFINE_uint64(seed, 1, "Decides which orders a fault strikes.");
+DEFINE_int32(port, 7300, "First port: store, machine service, control listener, then one port for each host.");
+DEFINE_uint64(seed, 1, "Seed of the random choice of the orders that a fault affects.");
 DEFINE_string(pools, "fast,fast,fast,slow,slow,spare", "Pool of each host, in order.");
 
 namespace
@@ -24,27 +32,27 @@
 
 using namespace Loomreach;
 
-/// What the control listener works on.
+/// The objects that the control listener acts on.
 struct Control
 {
 	FakeStore *store = nullptr;
 	FakeFleet *fleet = nullptr;
 };
 
-EStoreFault FaultOf(std::string_view inWord)
+EStoreFault ParseStoreFault(std::string_view inName)
 {
-	if (inWord == "busy")
+	if (inName == "busy")
 		return EStoreFault::Busy;
-	if (inWord == "silent")
-		return EStoreFault::Silent;
-	return inWord == "lost" ? EStoreFault::Lost : EStoreFault::None;
+	if (inName == "silent")
+		return EStoreFault::Unresponsive;
+	return inName == "lost" ? EStoreFault::AnswerLost : EStoreFault::None;
 }
 
-EOrderFault OrderFaultOf(std::string_view inWord)
+EOrderFault ParseOrderFault(std::string_view inName)
 {
-	if (inWord == "late")
+	if (inName == "late")
 		return EOrderFault::Late;
-	return inWord == "repeat" ? EOrderFault::RefusedRepeat : EOrderFault::None;
+	return inName == "repeat" ? EOrderFault::RefusedRepeat : EOrderFault::None;
 }
 
 void OnControl(SoupServer *, SoupServerMessage *inMessage, const char *inPath, GHashTable *, gpointer inControl)
@@ -65,17 +73,17 @@
 	else if (verb == "gaps")
 		control.store->Gaps().Reset();
 	else if (verb == "fault")
-		control.store->SetFault(FaultOf(rest));
+		control.store->SetFault(ParseStoreFault(rest));
 	else if (verb == "orders")
-		control.fleet->SetOrderFault(OrderFaultOf(rest));
+		control.fleet->SetOrderFault(ParseOrderFault(rest));
 	else if (verb == "dark" || verb == "light")
-		control.fleet->SetDark(rest, verb == "dark");
+		control.fleet->SetUnresponsive(rest, verb == "dark");
 	else if (verb == "crash")
 		control.fleet->Crash(rest);
 	else if (verb == "again")
 		control.fleet->Restart(rest.substr(0, rest.find('/')), std::strtoll(rest.c_str() + rest.find('/') + 1, nullptr, 10));
 	else if (verb == "room")
-		control.fleet->SetRoom(rest.substr(0, rest.find('/')), std::strtoll(rest.c_str() + rest.find('/') + 1, nullptr, 10));
+		control.fleet->SetCapacity(rest.substr(0, rest.find('/')), std::strtoll(rest.c_str() + rest.find('/') + 1, nullptr, 10));
 	else
 		return Reply(inMessage, 404, "{}");
 	Reply(inMessage, 200, "{}");
