--- a/TestSupport/LogStandIn.cpp
+++ b/TestSupport/LogStandIn.cpp
@@ -1,4 +1,4 @@
-// The log service's stand-in.
+// The fake log service: appends under a token-bucket rate limit, and reads by offset.
 
 #include <Loomreach/Loomreach.h>
 
@@ -13,8 +13,8 @@
 {
 
 static constexpr double cAppendsPerSecond = 100.0;
-static constexpr double cBurst = 100.0;
-static constexpr uint64 cMaxPage = 1000;
+static constexpr double cBurstAppends = 100.0;
+static constexpr uint64 cMaxRecordsPerRead = 1000;
 static constexpr uint32 cTooManyRequests = 429;
 
 void AnswerJson(SoupServerMessage *inMessage, uint32 inStatus, const std::string &inText)
@@ -23,7 +23,7 @@
 	soup_server_message_set_status(inMessage, inStatus, nullptr);
 }
 
-std::string QueryOf(GHashTable *inQuery, const char *inKey)
+std::string QueryParameter(GHashTable *inQuery, const char *inKey)
 {
 	const void *value = inQuery == nullptr ? nullptr : g_hash_table_lookup(inQuery, inKey);
 	return value == nullptr ? std::string() : std::string(static_cast<const char *>(value));
@@ -32,8 +32,8 @@
 bool LogStandIn::TakeToken()
 {
 	const Millis now = NowMillis();
-	this->tokens = std::min(cBurst, this->tokens + static_cast<double>(now - this->refilled) * cAppendsPerSecond / 1000.0);
-	this->refilled = now;
+	this->tokens = std::min(cBurstAppends, this->tokens + static_cast<double>(now - this->refilled_at) * cAppendsPerSecond / 1000.0);
+	this->refilled_at = now;
 	if (this->tokens < 1.0)
 		return false;
 	this->tokens -= 1.0;
@@ -69,7 +69,7 @@
 	}
 	if (this->random.Chance(this->faults.lose_percent))
 	{
-		// The change has taken effect; its answer is lost
+		// The append has taken effect, but its answer is lost
 		const ObjectPtr<GIOStream> connection(soup_server_message_steal_connection(inMessage));
 		if (connection != nullptr)
 			g_io_stream_close(connection.get(), nullptr, nullptr);
@@ -80,8 +80,8 @@
 
 void LogStandIn::Read(SoupServerMessage *inMessage, const Stream &inStream, GHashTable *inQuery)
 {
-	const LogOffset from = std::strtoull(QueryOf(inQuery, "from").c_str(), nullptr, 10);
-	const uint64 max = std::min<uint64>(cMaxPage, std::strtoull(QueryOf(inQuery, "max").c_str(), nullptr, 10));
+	const LogOffset from = std::strtoull(QueryParameter(inQuery, "from").c_str(), nullptr, 10);
+	const uint64 max = std::min<uint64>(cMaxRecordsPerRead, std::strtoull(QueryParameter(inQuery, "max").c_str(), nullptr, 10));
 	const LogOffset next = inStream.first + inStream.records.size();
 	nlohmann::json records = nlohmann::json::array();
 	for (LogOffset offset = std::max(from, inStream.first); offset < next && records.size() < max; ++offset)
--- a/TestSupport/LogStandIn.h
+++ b/TestSupport/LogStandIn.h
@@ -1,5 +1,5 @@
-// Stand-in for the platform's log service, for tests and the demo: streams with offsets, retention, a limited append rate,
-// and switches for outages, slow answers and answers lost after the effect.
+// Fake of the platform's log service, for tests and the demo: streams with offsets, retention and a limited append rate. Faults on demand:
+// outages, slow answers, and appends that take effect but whose answer is lost.
 
 #pragma once
 
@@ -12,26 +12,27 @@
 namespace Loomreach
 {
 
-/// What is wrong with the platform just now.
+/// Faults that are in effect.
 struct PlatformFaults
 {
-	bool down = false;
-	Millis slow_ms = 0;           ///< Added to each answer.
-	uint32 lose_percent = 0;      ///< Appends whose answer is lost after their effect.
+	bool down = false;            ///< Connections are closed without an answer.
+	Millis slow_ms = 0;           ///< Delay of each answer.
+	uint32 lose_percent = 0;      ///< Share of appends that take effect but whose answer is lost.
 	uint64 retention = 1'000'000; ///< Records kept in each stream.
-	Millis list_lag_ms = 0;
+	Millis list_lag_ms = 0;       ///< The host list is rebuilt once it is this old.
 };
 
-/// The streams.
+/// The log service: all streams, in memory.
 class LogStandIn
 {
 public:
 	explicit LogStandIn(const PlatformFaults &inFaults) : faults(inFaults) {}
 
-	/// Handles /log/STREAM.
+	/// Handles /log/STREAM: POST appends the body as a record; any other method reads.
 	void Handle(SoupServerMessage *inMessage, const std::string &inStream, GHashTable *inQuery);
-	/// Appends that took effect.
+	/// Count of appends that took effect.
 	uint64 Appends() const { return this->appends; }
+	/// Count of appends refused with 429.
 	uint64 Throttled() const { return this->throttled; }
 
 private:
@@ -49,15 +50,15 @@
 	std::map<std::string, Stream> streams;
 	Random random{1};
 	double tokens = 0;
-	Millis refilled = 0;
+	Millis refilled_at = 0;
 	uint64 appends = 0;
 	uint64 throttled = 0;
 };
 
-/// Answers with a JSON text.
+/// Answers with a JSON body.
 void AnswerJson(SoupServerMessage *inMessage, uint32 inStatus, const std::string &inText);
 
-/// A query parameter, or an empty text.
-std::string QueryOf(GHashTable *inQuery, const char *inKey);
+/// A query parameter; empty if absent.
+std::string QueryParameter(GHashTable *inQuery, const char *inKey);
 
 } // namespace Loomreach
--- a/TestSupport/Main.cpp
+++ b/TestSupport/Main.cpp
@@ -1,4 +1,6 @@
-// loomreach-standin: plays the platform (log service, host list) and all workers of a deployment, on loopback, for tests and the demo.
+// loomreach-standin: fake of the platform (log service, host list) and of all workers of a deployment, on loopback, for tests and the demo.
+// Control paths: /standin/report (counters), /standin/set?FAULT=VALUE, and
+// /standin/worker?name=NAME&action=kill|start|leave|stay|fail|heal.
 
 #include <Loomreach/Loomreach.h>
 
@@ -20,7 +22,7 @@
 DEFINE_string(platform, "127.0.0.1:7000", "Address of the log service and the host list.");
 DEFINE_string(hosts, "", "TOML file with the deployment's host groups.");
 DEFINE_int32(worker_port, 7100, "First port of the workers.");
-DEFINE_int32(reboot_ms, 1500, "Time that a worker's reboot takes, ms.");
+DEFINE_int32(reboot_ms, 1500, "Duration of a worker's reboot, ms.");
 
 namespace
 {
@@ -28,9 +30,9 @@
 using namespace Loomreach;
 using Json = nlohmann::json;
 
-constexpr uint32 cHostsInRack = 4;
+constexpr uint32 cHostsPerRack = 4;
 
-/// The whole stand-in.
+/// The fake platform with its workers.
 class StandIn
 {
 public:
@@ -59,7 +61,7 @@
 		for (const toml::node &node : *groups)
 			this->AddGroup(*node.as_table());
 		for (auto &[name, worker] : this->workers)
-			if (!worker->Up())
+			if (!worker->Start())
 				return FailFalse(EError::BadConfig, "port of " + name + " is taken");
 		return true;
 	}
@@ -82,13 +84,13 @@
 			spec.address = {"127.0.0.1", static_cast<uint16>(FLAGS_worker_port + static_cast<int>(this->workers.size()))};
 			spec.region = inGroup["region"].value_or(std::string("here"));
 			spec.availability_zone = zone;
-			spec.rack = zone + "-r" + std::to_string(in_zone / cHostsInRack);
+			spec.rack = zone + "-r" + std::to_string(in_zone / cHostsPerRack);
 			spec.capacity = {inGroup["cpu_milli"].value_or(int64(16000)), inGroup["memory_mb"].value_or(int64(32768)),
 							 inGroup["accelerators"].value_or(int64(0))};
 			spec.slots = static_cast<uint32>(inGroup["slots"].value_or(int64(8)));
 			spec.connections = static_cast<uint32>(inGroup["connections"].value_or(int64(64)));
 			const std::string name = spec.name;
-			this->workers.emplace(name, std::make_unique<WorkerStandIn>(std::move(spec), pool, FLAGS_reboot_ms, this->tally));
+			this->workers.emplace(name, std::make_unique<WorkerStandIn>(std::move(spec), pool, FLAGS_reboot_ms, this->counters));
 		}
 	}
 
@@ -106,11 +108,11 @@
 			return;
 		}
 		if (self->faults.slow_ms == 0)
-			return self->Platform(inMessage, path, inQuery);
-		self->PlatformLater(inMessage, path, inQuery);
+			return self->AnswerPlatform(inMessage, path, inQuery);
+		self->AnswerPlatformLater(inMessage, path, inQuery);
 	}
 
-	void PlatformLater(SoupServerMessage *inMessage, const std::string &inPath, GHashTable *inQuery)
+	void AnswerPlatformLater(SoupServerMessage *inMessage, const std::string &inPath, GHashTable *inQuery)
 	{
 		soup_server_message_pause(inMessage);
 		auto timer = std::make_shared<Timer>();
@@ -119,14 +121,14 @@
 		timer->Once(this->faults.slow_ms,
 					[this, message, inPath, query, timer]
 					{
-						this->Platform(message.get(), inPath, query);
+						this->AnswerPlatform(message.get(), inPath, query);
 						if (query != nullptr)
 							g_hash_table_unref(query);
 						soup_server_message_unpause(message.get());
 					});
 	}
 
-	void Platform(SoupServerMessage *inMessage, const std::string &inPath, GHashTable *inQuery)
+	void AnswerPlatform(SoupServerMessage *inMessage, const std::string &inPath, GHashTable *inQuery)
 	{
 		if (inPath.starts_with("/log/"))
 			return this->log.Handle(inMessage, inPath.substr(5), inQuery);
@@ -137,7 +139,7 @@
 			auto worker = this->workers.find(inPath.substr(7, inPath.size() - 14));
 			if (worker == this->workers.end())
 				return AnswerJson(inMessage, SOUP_STATUS_NOT_FOUND, "{}");
-			worker->second->Reboot(std::strtoull(QueryOf(inQuery, "boot").c_str(), nullptr, 10));
+			worker->second->Reboot(std::strtoull(QueryParameter(inQuery, "boot").c_str(), nullptr, 10));
 			return AnswerJson(inMessage, SOUP_STATUS_OK, "{}");
 		}
 		AnswerJson(inMessage, SOUP_STATUS_NOT_FOUND, "{}");
@@ -146,7 +148,7 @@
 	void ListHosts(SoupServerMessage *inMessage)
 	{
 		const Millis now = NowMillis();
-		if (this->list.empty() || now - this->list_made >= this->faults.list_lag_ms)
+		if (this->list.empty() || now - this->list_made_at >= this->faults.list_lag_ms)
 		{
 			Json hosts = Json::array();
 			for (const auto &[name, worker] : this->workers)
@@ -166,7 +168,7 @@
 								 {"state", worker->IsLeaving() ? "leaving" : "live"}});
 			}
 			this->list = hosts.dump();
-			this->list_made = now;
+			this->list_made_at = now;
 		}
 		const std::string etag = '"' + std::to_string(HashBytes(this->list)) + '"';
 		const char *known = soup_message_headers_get_one(soup_server_message_get_request_headers(inMessage), "If-None-Match");
@@ -176,16 +178,16 @@
 		AnswerJson(inMessage, SOUP_STATUS_OK, this->list);
 	}
 
-	void Control(SoupServerMessage *inMessage, const std::string &inWhat, GHashTable *inQuery)
+	void Control(SoupServerMessage *inMessage, const std::string &inPath, GHashTable *inQuery)
 	{
-		if (inWhat == "report")
+		if (inPath == "report")
 			return this->Report(inMessage);
-		if (inWhat == "set")
+		if (inPath == "set")
 		{
-			const auto number = [inQuery](const char *inKey, int64 inElse)
+			const auto number = [inQuery](const char *inKey, int64 inDefault)
 			{
-				const std::string text = QueryOf(inQuery, inKey);
-				return text.empty() ? inElse : std::strtoll(text.c_str(), nullptr, 10);
+				const std::string text = QueryParameter(inQuery, inKey);
+				return text.empty() ? inDefault : std::strtoll(text.c_str(), nullptr, 10);
 			};
 			this->faults.down = number("down", this->faults.down ? 1 : 0) != 0;
 			this->faults.slow_ms = number("slow_ms", this->faults.slow_ms);
@@ -194,14 +196,14 @@
 			this->faults.list_lag_ms = number("list_lag_ms", this->faults.list_lag_ms);
 			return AnswerJson(inMessage, SOUP_STATUS_OK, "{}");
 		}
-		auto worker = this->workers.find(QueryOf(inQuery, "name"));
-		if (inWhat != "worker" || worker == this->workers.end())
+		auto worker = this->workers.find(QueryParameter(inQuery, "name"));
+		if (inPath != "worker" || worker == this->workers.end())
 			return AnswerJson(inMessage, SOUP_STATUS_NOT_FOUND, "{}");
-		const std::string action = QueryOf(inQuery, "action");
+		const std::string action = QueryParameter(inQuery, "action");
 		if (action == "kill")
-			worker->second->Down(false);
+			worker->second->Stop(false);
 		if (action == "start")
-			worker->second->Up();
+			worker->second->Start();
 		if (action == "leave" || action == "stay")
 			worker->second->SetLeaving(action == "leave");
 		if (action == "fail" || action == "heal")
@@ -211,19 +213,19 @@
 
 	void Report(SoupServerMessage *inMessage)
 	{
-		uint64 doubled = 0;
-		for (const auto &[id, count] : this->tally.begun_by_id)
-			doubled += count > 1 ? 1 : 0;
-		const Json body = {{"begun", this->tally.begun},
-						   {"answered", this->tally.answered},
-						   {"cut", this->tally.cut},
-						   {"killed", this->tally.killed},
-						   {"refused_full", this->tally.refused_full},
-						   {"refused_unwanted", this->tally.refused_unwanted},
-						   {"most_in_flight", this->tally.most_in_flight},
-						   {"ids", this->tally.begun_by_id.size()},
-						   {"ids_begun_twice", doubled},
-						   {"begun_by_id", this->tally.begun_by_id},
+		uint64 begun_twice = 0;
+		for (const auto &[id, count] : this->counters.begun_by_id)
+			begun_twice += count > 1 ? 1 : 0;
+		const Json body = {{"begun", this->counters.begun},
+						   {"answered", this->counters.answered},
+						   {"cut", this->counters.interrupted},
+						   {"killed", this->counters.interrupted_by_kill},
+						   {"refused_full", this->counters.refused_full},
+						   {"refused_unwanted", this->counters.refused_unwanted},
+						   {"most_in_flight", this->counters.most_in_flight},
+						   {"ids", this->counters.begun_by_id.size()},
+						   {"ids_begun_twice", begun_twice},
+						   {"begun_by_id", this->counters.begun_by_id},
 						   {"appends", this->log.Appends()},
 						   {"appends_throttled", this->log.Throttled()}};
 		AnswerJson(inMessage, SOUP_STATUS_OK, body.dump() + "\n");
@@ -231,12 +233,12 @@
 
 	PlatformFaults faults;
 	LogStandIn log{faults};
-	EndpointTally tally;
+	EndpointCounters counters;
 	std::map<std::string, std::unique_ptr<WorkerStandIn>> workers;
 	std::map<std::string, uint32> zone_hosts;
 	ObjectPtr<SoupServer> server;
 	std::string list;
-	Millis list_made = 0;
+	Millis list_made_at = 0;
 };
 
 } // namespace
--- a/TestSupport/Proxy/Main.cpp
+++ b/TestSupport/Proxy/Main.cpp
@@ -1,6 +1,7 @@
-// loomreach-proxy: stands between an entry host and the platform's stand-in on loopback, for the soak of real processes. It passes
-// connections on, or delays, holds back, cuts or refuses them; a datagram with a word to the port above its own says which. The word "mute"
-// is no state: connections that are open then fall silent for good, both ways and without a reset, and new ones work.
+// loomreach-proxy: TCP proxy between an entry host and the fake platform on loopback, which injects network faults in tests with real
+// processes. A datagram to the port above its own sets the mode by name: pass, delay, oneway, silent or reset.
+// The command "mute" sets no mode. Connections that are open at that time stop forwarding for good, in both directions and without a reset;
+// new ones are not affected.
 
 #include <Loomreach/Loomreach.h>
 
@@ -17,49 +18,49 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-DEFINE_int32(port, 0, "Listens here; words come as datagrams to the port above.");
-DEFINE_int32(to, 0, "Passes connections on to this port.");
+DEFINE_int32(port, 0, "Port to listen on; the port above takes commands as datagrams.");
+DEFINE_int32(to, 0, "Port that connections are forwarded to.");
 
 namespace
 {
 
 using namespace Loomreach;
 
-/// What becomes of the bytes.
+/// What happens to bytes and connections.
 enum class EMode : uint8
 {
-	Pass,
-	Delay,  ///< Each piece waits.
-	OneWay, ///< Questions pass, answers are lost.
-	Silent, ///< Nothing passes, nobody is told.
-	Reset   ///< Connections are cut, new ones too.
+	Forward,
+	Delay,       ///< Each chunk is delayed.
+	DropAnswers, ///< Requests are forwarded, answers are dropped.
+	Drop,        ///< Bytes are dropped in both directions; connections stay open.
+	Reset        ///< Connections are reset, new ones too.
 };
 
 constexpr std::array cModeNames = {
-	EnumName<EMode>{EMode::Pass, "pass"},     EnumName<EMode>{EMode::Delay, "delay"}, EnumName<EMode>{EMode::OneWay, "oneway"},
-	EnumName<EMode>{EMode::Silent, "silent"}, EnumName<EMode>{EMode::Reset, "reset"},
+	EnumName<EMode>{EMode::Forward, "pass"}, EnumName<EMode>{EMode::Delay, "delay"}, EnumName<EMode>{EMode::DropAnswers, "oneway"},
+	EnumName<EMode>{EMode::Drop, "silent"},  EnumName<EMode>{EMode::Reset, "reset"},
 };
 
-constexpr std::string_view cMuteWord = "mute";
-constexpr Millis cDelayMs = 250; ///< The users' slow store: 240 ms.
+constexpr std::string_view cMuteCommand = "mute";
+constexpr Millis cDelayMs = 250; ///< The store answers in 240 ms when slow.
 constexpr int cTickMs = 10;
-constexpr size_t cPieceBytes = 65536;
+constexpr size_t cChunkBytes = 65536;
 
-/// Bytes on their way.
-struct Piece
+/// Bytes in transit, and when to send them.
+struct Chunk
 {
 	Millis due = 0;
 	std::string bytes;
 };
 
-/// One connection: 0 is the caller's side, 1 the platform's.
-struct Link
+/// One proxied connection. Side 0 is the caller's, side 1 the platform's.
+struct Connection
 {
-	std::array<int, 2> ends{-1, -1};
-	std::array<std::deque<Piece>, 2> queued; ///< Towards each end.
-	bool mute = false;                       ///< Bytes were lost: it says nothing any more.
-	bool dead = false;                       ///< Nothing passes for good, not even that an end has closed.
-	bool over = false;
+	std::array<int, 2> sockets{-1, -1};
+	std::array<std::deque<Chunk>, 2> queued; ///< By side that they are sent to.
+	bool drops_answers = false;              ///< Bytes were dropped: later answers are dropped too, as the stream has a hole.
+	bool is_muted = false;                   ///< Forwards nothing any more, not even that one side has closed.
+	bool is_closed = false;
 };
 
 sockaddr_in Loopback(int inPort)
@@ -74,8 +75,8 @@
 int OpenSocket(int inType, int inPort)
 {
 	const int descriptor = socket(AF_INET, inType | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
-	const int yes = 1;
-	setsockopt(descriptor, SOL_SOCKET, SO_REUSEADDR, &yes, sizeof yes);
+	const int enabled = 1;
+	setsockopt(descriptor, SOL_SOCKET, SO_REUSEADDR, &enabled, sizeof enabled);
 	const sockaddr_in address = Loopback(inPort);
 	if (bind(descriptor, reinterpret_cast<const sockaddr *>(&address), sizeof address) != 0)
 	{
@@ -85,62 +86,65 @@
 	return descriptor;
 }
 
-/// Closes so that the other side sees a reset.
-void Cut(int inDescriptor)
+/// Closes a socket so that the peer sees a reset.
+void CloseWithReset(int inDescriptor)
 {
-	const linger at_once{1, 0};
-	setsockopt(inDescriptor, SOL_SOCKET, SO_LINGER, &at_once, sizeof at_once);
+	const linger reset_on_close{1, 0};
+	setsockopt(inDescriptor, SOL_SOCKET, SO_LINGER, &reset_on_close, sizeof reset_on_close);
 	close(inDescriptor);
 }
 
-/// The proxy's state and its one loop.
+/// The proxy's state and its single-threaded loop.
 class Proxy
 {
 public:
-	Proxy() : listener(OpenSocket(SOCK_STREAM, FLAGS_port)), words(OpenSocket(SOCK_DGRAM, FLAGS_port + 1)) { listen(this->listener, 64); }
+	Proxy() : listener(OpenSocket(SOCK_STREAM, FLAGS_port)), commands(OpenSocket(SOCK_DGRAM, FLAGS_port + 1))
+	{
+		listen(this->listener, 64);
+	}
 
 	void Run()
 	{
 		for (;;)
 		{
 			this->Wait();
-			this->TakeWord();
+			this->ReadCommand();
 			this->Accept();
-			for (Link &link : this->links)
+			for (Connection &connection : this->connections)
 			{
 				for (size_t side : {0, 1})
-					this->Receive(link, side);
+					this->Receive(connection, side);
 				for (size_t side : {0, 1})
-					Send(link, side);
+					Send(connection, side);
 			}
-			this->Sweep();
+			this->RemoveClosed();
 		}
 	}
 
 private:
 	void Wait()
 	{
-		std::vector<pollfd> waited{{this->listener, POLLIN, 0}, {this->words, POLLIN, 0}};
-		for (const Link &link : this->links)
-			for (int end : link.ends)
-				waited.push_back({end, POLLIN, 0});
+		std::vector<pollfd> waited{{this->listener, POLLIN, 0}, {this->commands, POLLIN, 0}};
+		for (const Connection &connection : this->connections)
+			for (int descriptor : connection.sockets)
+				waited.push_back({descriptor, POLLIN, 0});
 		poll(waited.data(), waited.size(), cTickMs);
 	}
 
-	void TakeWord()
+	void ReadCommand()
 	{
-		std::array<char, 32> word;
-		const ssize_t got = recv(this->words, word.data(), word.size(), 0);
+		std::array<char, 32> buffer;
+		const ssize_t got = recv(this->commands, buffer.data(), buffer.size(), 0);
 		if (got <= 0)
 			return;
-		const std::string_view text(word.data(), static_cast<size_t>(got));
+		const std::string_view text(buffer.data(), static_cast<size_t>(got));
 		this->mode = ValueOf(cModeNames, text).value_or(this->mode);
-		if (text != cMuteWord)
+		if (text != cMuteCommand)
 			return;
-		for (Link &link : this->links)
+		for (Connection &connection : this->connections)
 		{
-			link.dead = true;
-			link.queued = {};
+			connection.is_muted = true;
+			connection.queued = {};
 		}
 	}
 
@@ -155,65 +159,66 @@
 				this->mode == EMode::Reset || connect(platform, reinterpret_cast<const sockaddr *>(&address), sizeof address) != 0;
 			if (refused)
 			{
-				Cut(caller);
+				CloseWithReset(caller);
 				close(platform);
 				continue;
 			}
 			fcntl(platform, F_SETFL, O_NONBLOCK);
-			Link link;
-			link.ends = {caller, platform};
-			this->links.push_back(std::move(link));
+			Connection connection;
+			connection.sockets = {caller, platform};
+			this->connections.push_back(std::move(connection));
 		}
 	}
 
-	/// Of a dead link: an end that closes is let go without the other hearing of it.
-	static void Swallow(Link &ioLink, size_t inSide)
+	/// Discards input of a muted connection. Closes a side whose peer has closed, without closing the other side.
+	static void DiscardInput(Connection &ioConnection, size_t inSide)
 	{
-		std::array<char, cPieceBytes> bytes;
-		const ssize_t got = recv(ioLink.ends[inSide], bytes.data(), bytes.size(), 0);
+		std::array<char, cChunkBytes> bytes;
+		const ssize_t got = recv(ioConnection.sockets[inSide], bytes.data(), bytes.size(), 0);
 		if (got > 0 || (got < 0 && (errno == EAGAIN || errno == EWOULDBLOCK)))
 			return;
-		close(ioLink.ends[inSide]);
-		ioLink.ends[inSide] = -1;
-		ioLink.over = ioLink.ends[1 - inSide] < 0;
+		close(ioConnection.sockets[inSide]);
+		ioConnection.sockets[inSide] = -1;
+		ioConnection.is_closed = ioConnection.sockets[1 - inSide] < 0;
 	}
 
-	void Receive(Link &ioLink, size_t inSide)
+	void Receive(Connection &ioConnection, size_t inSide)
 	{
-		if (ioLink.over || ioLink.ends[inSide] < 0)
+		if (ioConnection.is_closed || ioConnection.sockets[inSide] < 0)
 			return;
-		if (ioLink.dead)
-			return Swallow(ioLink, inSide);
-		std::array<char, cPieceBytes> bytes;
-		const ssize_t got = recv(ioLink.ends[inSide], bytes.data(), bytes.size(), 0);
+		if (ioConnection.is_muted)
+			return DiscardInput(ioConnection, inSide);
+		std::array<char, cChunkBytes> bytes;
+		const ssize_t got = recv(ioConnection.sockets[inSide], bytes.data(), bytes.size(), 0);
 		if (got < 0)
 		{
-			ioLink.over = errno != EAGAIN && errno != EWOULDBLOCK;
+			ioConnection.is_closed = errno != EAGAIN && errno != EWOULDBLOCK;
 			return;
 		}
-		// An end is passed on once what came before it has left
+		// The close is forwarded once all earlier bytes are sent
 		if (got == 0)
 		{
-			ioLink.over = ioLink.queued[0].empty() && ioLink.queued[1].empty();
+			ioConnection.is_closed = ioConnection.queued[0].empty() && ioConnection.queued[1].empty();
 			return;
 		}
-		ioLink.mute = ioLink.mute || this->mode == EMode::Silent || (this->mode == EMode::OneWay && inSide == 1);
-		// What a question says may still arrive; its answer may not
-		const bool lost = this->mode == EMode::Silent || (ioLink.mute && inSide == 1);
+		ioConnection.drops_answers =
+			ioConnection.drops_answers || this->mode == EMode::Drop || (this->mode == EMode::DropAnswers && inSide == 1);
+		// A request may still be forwarded after a fault; its answer may not
+		const bool lost = this->mode == EMode::Drop || (ioConnection.drops_answers && inSide == 1);
 		const Millis wait = this->mode == EMode::Delay ? cDelayMs : 0;
 		if (!lost)
-			ioLink.queued[1 - inSide].push_back({NowMillis() + wait, std::string(bytes.data(), static_cast<size_t>(got))});
+			ioConnection.queued[1 - inSide].push_back({NowMillis() + wait, std::string(bytes.data(), static_cast<size_t>(got))});
 	}
 
-	static void Send(Link &ioLink, size_t inSide)
+	static void Send(Connection &ioConnection, size_t inSide)
 	{
-		std::deque<Piece> &queue = ioLink.queued[inSide];
-		while (!ioLink.over && !queue.empty() && queue.front().due <= NowMillis())
+		std::deque<Chunk> &queue = ioConnection.queued[inSide];
+		while (!ioConnection.is_closed && !queue.empty() && queue.front().due <= NowMillis())
 		{
-			const ssize_t sent = send(ioLink.ends[inSide], queue.front().bytes.data(), queue.front().bytes.size(), MSG_NOSIGNAL);
+			const ssize_t sent = send(ioConnection.sockets[inSide], queue.front().bytes.data(), queue.front().bytes.size(), MSG_NOSIGNAL);
 			if (sent < 0)
 			{
-				ioLink.over = errno != EAGAIN && errno != EWOULDBLOCK;
+				ioConnection.is_closed = errno != EAGAIN && errno != EWOULDBLOCK;
 				return;
 			}
 			queue.front().bytes.erase(0, static_cast<size_t>(sent));
@@ -223,24 +228,24 @@
 		}
 	}
 
-	void Sweep()
+	void RemoveClosed()
 	{
-		std::erase_if(this->links,
-					  [this](const Link &inLink)
+		std::erase_if(this->connections,
+					  [this](const Connection &inConnection)
 					  {
-						  const bool over = inLink.over || this->mode == EMode::Reset;
-						  if (over)
-							  for (int end : inLink.ends)
-								  if (end >= 0)
-									  Cut(end);
-						  return over;
+						  const bool is_closed = inConnection.is_closed || this->mode == EMode::Reset;
+						  if (is_closed)
+							  for (int descriptor : inConnection.sockets)
+								  if (descriptor >= 0)
+									  CloseWithReset(descriptor);
+						  return is_closed;
 					  });
 	}
 
 	int listener;
-	int words;
-	EMode mode = EMode::Pass;
-	std::vector<Link> links;
+	int commands;
+	EMode mode = EMode::Forward;
+	std::vector<Connection> connections;
 };
 
 } // namespace
--- a/TestSupport/Suspend/Suspend.cpp
+++ b/TestSupport/Suspend/Suspend.cpp
@@ -1,6 +1,6 @@
-// Linked into an entry host of a test in place of the system's clock call: plays a machine that is suspended for a while, as the process's
-// clocks show it. The steady clock does not count that time, the boot-time clock and the time of day do. The test stops the process, writes
-// how long it was stopped in all (milliseconds) to the file that LOOM_SUSPENDED_MS names, and lets it go on.
+// Replaces clock_gettime in an entry host under test to simulate a suspended machine. As on a real one, the steady clock (CLOCK_MONOTONIC)
+// does not count the time of the suspension; the boot-time clock and the time of day do. The test stops the process, writes the total time
+// for which it was stopped, in ms, to the file that LOOM_SUSPENDED_MS names, and continues the process.
 
 #include <atomic>
 #include <cstdio>
@@ -15,13 +15,13 @@
 
 constexpr long cNsPerMs = 1'000'000;
 constexpr long cNsPerSecond = 1'000'000'000;
-/// The file is read again this often: far below the shortest time that a test stops a process for.
-constexpr long cReadEveryNs = 5 * cNsPerMs;
+/// Interval for reading the file; far below the shortest time for which a test stops a process.
+constexpr long cReadIntervalNs = 5 * cNsPerMs;
 
 std::atomic<long> suspended_ms = 0;
 std::atomic<long> read_at_ns = 0;
 
-long ReadSuspended()
+long ReadSuspendedMs()
 {
 	const char *path = std::getenv("LOOM_SUSPENDED_MS");
 	std::FILE *file = path == nullptr ? nullptr : std::fopen(path, "r");
@@ -42,10 +42,10 @@
 	if (result != 0 || inClock != CLOCK_MONOTONIC)
 		return static_cast<int>(result);
 	const long now = outTime->tv_sec * cNsPerSecond + outTime->tv_nsec;
-	if (now - read_at_ns > cReadEveryNs)
+	if (now - read_at_ns > cReadIntervalNs)
 	{
 		read_at_ns = now;
-		suspended_ms = ReadSuspended();
+		suspended_ms = ReadSuspendedMs();
 	}
 	const long steady = now - suspended_ms * cNsPerMs;
 	outTime->tv_sec = steady / cNsPerSecond;
--- a/TestSupport/WorkerStandIn.cpp
+++ b/TestSupport/WorkerStandIn.cpp
@@ -1,4 +1,4 @@
-// The worker's stand-in.
+// HTTP handlers of the fake worker.
 
 #include <Loomreach/Loomreach.h>
 
@@ -16,17 +16,17 @@
 
 using Json = nlohmann::json;
 
-static constexpr size_t cPieceBytes = 32U << 10;
+static constexpr size_t cExtraBytes = 32U << 10;
 
-/// A request that the endpoint has begun.
-struct WorkerStandIn::Running
+/// A request that the endpoint has begun and not yet answered.
+struct WorkerStandIn::BegunRequest
 {
 	WorkerStandIn *worker = nullptr;
 	ObjectPtr<SoupServerMessage> message;
 	Timer timer;
 	gulong finished = 0;
 	size_t size = 0;
-	bool breaks = false;
+	bool breaks_off = false;
 	std::string text;
 
 	void Answer()
@@ -34,10 +34,10 @@
 		SoupMessageHeaders *headers = soup_server_message_get_response_headers(this->message.get());
 		soup_message_headers_replace(headers, "X-Worker", this->worker->spec.name.c_str());
 		soup_server_message_set_status(this->message.get(), SOUP_STATUS_OK, nullptr);
-		if (this->breaks)
+		if (this->breaks_off)
 		{
-			// Announces more than it sends, then cuts the connection
-			soup_message_headers_set_content_length(headers, static_cast<goffset>(this->size + cPieceBytes));
+			// Announces more bytes than it sends, then closes the connection
+			soup_message_headers_set_content_length(headers, static_cast<goffset>(this->size + cExtraBytes));
 			soup_message_body_set_accumulate(soup_server_message_get_response_body(this->message.get()), FALSE);
 			this->text.append(this->size, 'x');
 			soup_message_body_append(soup_server_message_get_response_body(this->message.get()), SOUP_MEMORY_COPY, this->text.data(),
@@ -49,25 +49,25 @@
 										const ObjectPtr<GIOStream> stream(soup_server_message_steal_connection(this->message.get()));
 										if (stream != nullptr)
 											g_io_stream_close(stream.get(), nullptr, nullptr);
-										this->worker->EndRequest(this);
+										this->worker->RemoveRequest(this);
 									});
 		}
 		this->text.append(this->size, 'x');
 		soup_server_message_set_response(this->message.get(), "text/plain", SOUP_MEMORY_COPY, this->text.data(), this->text.size());
-		++this->worker->tally.answered;
+		++this->worker->counters.answered;
 		soup_server_message_unpause(this->message.get());
-		this->worker->EndRequest(this);
+		this->worker->RemoveRequest(this);
 	}
 };
 
-WorkerStandIn::WorkerStandIn(HostSpec inSpec, std::string inPool, Millis inRebootMs, EndpointTally &ioTally)
-	: spec(std::move(inSpec)), pool(std::move(inPool)), reboot_ms(inRebootMs), tally(ioTally)
+WorkerStandIn::WorkerStandIn(HostSpec inSpec, std::string inPool, Millis inRebootMs, EndpointCounters &ioCounters)
+	: spec(std::move(inSpec)), pool(std::move(inPool)), reboot_ms(inRebootMs), counters(ioCounters)
 {
 }
 
-WorkerStandIn::~WorkerStandIn() { this->Down(true); }
+WorkerStandIn::~WorkerStandIn() { this->Stop(true); }
 
-bool WorkerStandIn::Up()
+bool WorkerStandIn::Start()
 {
 	this->server = OpenServer(this->spec.address, this->spec.name);
 	if (this->server == nullptr)
@@ -77,16 +77,16 @@
 	return true;
 }
 
-void WorkerStandIn::Down(bool inPlanned)
+void WorkerStandIn::Stop(bool inPlanned)
 {
-	(inPlanned ? this->tally.cut : this->tally.killed) += this->running.size();
-	while (!this->running.empty())
+	(inPlanned ? this->counters.interrupted : this->counters.interrupted_by_kill) += this->in_flight.size();
+	while (!this->in_flight.empty())
 	{
-		Running *cut = *this->running.begin();
-		const ObjectPtr<GIOStream> stream(soup_server_message_steal_connection(cut->message.get()));
+		BegunRequest *interrupted = *this->in_flight.begin();
+		const ObjectPtr<GIOStream> stream(soup_server_message_steal_connection(interrupted->message.get()));
 		if (stream != nullptr)
 			g_io_stream_close(stream.get(), nullptr, nullptr);
-		this->EndRequest(cut);
+		this->RemoveRequest(interrupted);
 	}
 	if (this->server != nullptr)
 		soup_server_disconnect(this->server.get());
@@ -100,22 +100,22 @@
 {
 	if (inBoot != this->boot || this->reboot_timer.IsRunning())
 		return;
-	this->Down(true);
+	this->Stop(true);
 	this->reboot_timer.Once(this->reboot_ms,
 							[this]
 							{
 								++this->boot;
 								this->leaving = false;
-								this->Up();
+								this->Start();
 							});
 }
 
 void WorkerStandIn::OnOrder(SoupServer *, SoupServerMessage *inMessage, const char *, GHashTable *, gpointer inSelf)
 {
-	static_cast<WorkerStandIn *>(inSelf)->TakeOrder(inMessage);
+	static_cast<WorkerStandIn *>(inSelf)->HandleOrder(inMessage);
 }
 
-void WorkerStandIn::TakeOrder(SoupServerMessage *inMessage)
+void WorkerStandIn::HandleOrder(SoupServerMessage *inMessage)
 {
 	GBytes *bytes = soup_message_body_flatten(soup_server_message_get_request_body(inMessage));
 	gsize size = 0;
@@ -124,48 +124,48 @@
 	g_bytes_unref(bytes);
 	if (!order.is_object() || !order.contains("tasks"))
 		return AnswerJson(inMessage, SOUP_STATUS_BAD_REQUEST, "{}");
-	// An order that was made on an older state comes from a keeper that has been overtaken
+	// An order based on an older state comes from an owner that has been superseded
 	if (order["state_offset"].get<uint64>() < this->order_offset)
 		return AnswerJson(inMessage, SOUP_STATUS_CONFLICT, "{}");
 	this->order_offset = order["state_offset"].get<uint64>();
 	this->accepts = order["accepts"].get<bool>();
 	const Millis now = NowMillis();
 	this->lease_until = now + order["lease_ms"].get<int64>();
-	std::map<std::string, Task> wanted;
+	std::map<std::string, Task> ordered_tasks;
 	for (const Json &element : order["tasks"])
 	{
 		const std::string replica = element["replica"].get<std::string>();
 		Task task;
 		task.generation = element["generation"].get<uint64>();
-		LogPosition &seen = this->newest[replica];
+		LogPosition &seen = this->newest_generation[replica];
 		if (task.generation < seen)
 			continue;
 		seen = task.generation;
 		auto present = this->tasks.find(replica);
 		if (present != this->tasks.end() && present->second.generation == task.generation)
 		{
-			wanted.emplace(replica, present->second);
+			ordered_tasks.emplace(replica, present->second);
 			continue;
 		}
 		task.service = element["service"].get<std::string>();
 		const int64 run_time = element["run_time_s"].get<int64>();
-		task.ends = task.service.empty() ? now + std::max<int64>(run_time, 1) * 1000 : 0;
+		task.finishes_at = task.service.empty() ? now + std::max<int64>(run_time, 1) * 1000 : 0;
 		if (task.service.empty() && this->failing)
 			task.state = ETaskState::Failed;
-		wanted.emplace(replica, std::move(task));
+		ordered_tasks.emplace(replica, std::move(task));
 	}
-	this->tasks = std::move(wanted);
+	this->tasks = std::move(ordered_tasks);
 	this->AnswerStatus(inMessage);
 }
 
 void WorkerStandIn::ExpireTasks()
 {
 	const Millis now = NowMillis();
-	// Without a lease nothing runs
+	// Tasks run only under a lease
 	if (now > this->lease_until)
 		this->tasks.clear();
 	for (auto &[replica, task] : this->tasks)
-		if (task.ends != 0 && now >= task.ends && task.state == ETaskState::Running)
+		if (task.finishes_at != 0 && now >= task.finishes_at && task.state == ETaskState::Running)
 			task.state = ETaskState::Finished;
 }
 
@@ -178,13 +178,13 @@
 		const char *state = task.state == ETaskState::Running ? "running" : task.state == ETaskState::Finished ? "finished" : "failed";
 		list.push_back({{"replica", replica}, {"generation", task.generation}, {"state", state}});
 	}
-	const Json body = {{"boot", this->boot}, {"leaving", this->leaving}, {"in_flight", this->running.size()}, {"tasks", std::move(list)}};
+	const Json body = {{"boot", this->boot}, {"leaving", this->leaving}, {"in_flight", this->in_flight.size()}, {"tasks", std::move(list)}};
 	AnswerJson(inMessage, SOUP_STATUS_OK, body.dump());
 }
 
 void WorkerStandIn::OnRequest(SoupServer *, SoupServerMessage *inMessage, const char *, GHashTable *inQuery, gpointer inSelf)
 {
-	static_cast<WorkerStandIn *>(inSelf)->Begin(inMessage, inQuery);
+	static_cast<WorkerStandIn *>(inSelf)->BeginRequest(inMessage, inQuery);
 }
 
 void WorkerStandIn::RefuseRequest(SoupServerMessage *inMessage, bool inLeaving)
@@ -196,42 +196,42 @@
 	AnswerJson(inMessage, SOUP_STATUS_SERVICE_UNAVAILABLE, "{}");
 }
 
-void WorkerStandIn::Begin(SoupServerMessage *inMessage, GHashTable *inQuery)
+void WorkerStandIn::BeginRequest(SoupServerMessage *inMessage, GHashTable *inQuery)
 {
 	this->ExpireTasks();
 	const char *service = soup_message_headers_get_one(soup_server_message_get_request_headers(inMessage), cHeaderService);
-	const bool runs_it = std::any_of(this->tasks.begin(), this->tasks.end(),
-									 [service](const auto &inTask) { return service != nullptr && inTask.second.service == service; });
-	if (!this->accepts || this->leaving || !runs_it)
+	const bool runs_service = std::any_of(this->tasks.begin(), this->tasks.end(),
+										  [service](const auto &inTask) { return service != nullptr && inTask.second.service == service; });
+	if (!this->accepts || this->leaving || !runs_service)
 	{
-		++this->tally.refused_unwanted;
+		++this->counters.refused_unwanted;
 		return this->RefuseRequest(inMessage, !this->accepts || this->leaving);
 	}
-	if (this->running.size() >= this->spec.slots)
+	if (this->in_flight.size() >= this->spec.slots)
 	{
-		++this->tally.refused_full;
+		++this->counters.refused_full;
 		return this->RefuseRequest(inMessage, false);
 	}
-	++this->tally.begun;
+	++this->counters.begun;
 	if (const char *id = soup_message_headers_get_one(soup_server_message_get_request_headers(inMessage), cHeaderId); id != nullptr)
-		++this->tally.begun_by_id[std::string(service) + "/" + id];
-	auto *begun = new Running();
+		++this->counters.begun_by_id[std::string(service) + "/" + id];
+	auto *begun = new BegunRequest();
 	begun->worker = this;
 	begun->message = Share(inMessage);
-	begun->size = std::strtoull(QueryOf(inQuery, "size").c_str(), nullptr, 10);
-	begun->breaks = QueryOf(inQuery, "break") == "yes";
-	begun->text = "echo=" + QueryOf(inQuery, "echo") + "\n";
-	this->running.insert(begun);
-	this->tally.most_in_flight = std::max<uint64>(this->tally.most_in_flight, this->running.size());
+	begun->size = std::strtoull(QueryParameter(inQuery, "size").c_str(), nullptr, 10);
+	begun->breaks_off = QueryParameter(inQuery, "break") == "yes";
+	begun->text = "echo=" + QueryParameter(inQuery, "echo") + "\n";
+	this->in_flight.insert(begun);
+	this->counters.most_in_flight = std::max<uint64>(this->counters.most_in_flight, this->in_flight.size());
 	soup_server_message_pause(inMessage);
-	begun->timer.Once(std::strtoll(QueryOf(inQuery, "work_ms").c_str(), nullptr, 10), [begun] { begun->Answer(); });
+	begun->timer.Once(std::strtoll(QueryParameter(inQuery, "work_ms").c_str(), nullptr, 10), [begun] { begun->Answer(); });
 }
 
-void WorkerStandIn::EndRequest(Running *inRunning)
+void WorkerStandIn::RemoveRequest(BegunRequest *inRequest)
 {
-	this->running.erase(inRunning);
-	// A timer of its own may be what calls
-	g_idle_add_once([](gpointer inDone) { delete static_cast<Running *>(inDone); }, inRunning);
+	this->in_flight.erase(inRequest);
+	// Deleted later, since the call may come from the request's own timer
+	g_idle_add_once([](gpointer inDone) { delete static_cast<BegunRequest *>(inDone); }, inRequest);
 }
 
 } // namespace Loomreach
--- a/TestSupport/WorkerStandIn.h
+++ b/TestSupport/WorkerStandIn.h
@@ -1,4 +1,5 @@
-// Stand-in for one worker: its agent (orders, leases, tasks) and its endpoint, which counts every request that it begins.
+// Fake of one worker: its agent, which takes orders and keeps leases and tasks, and its endpoint, which counts every request that it
+// begins, so that a test can prove that no request was begun twice.
 
 #pragma once
 
@@ -8,37 +9,37 @@
 namespace Loomreach
 {
 
-/// What the endpoints of all workers have counted.
-struct EndpointTally
+/// Counters over the endpoints of all workers.
+struct EndpointCounters
 {
 	uint64 begun = 0;
 	uint64 answered = 0;
-	uint64 cut = 0;    ///< Requests that a reboot or stop of the worker cut.
-	uint64 killed = 0; ///< Requests that a kill of the worker cut.
-	uint64 refused_full = 0;
-	uint64 refused_unwanted = 0; ///< Not begun: leaving, or the service's task is not here.
+	uint64 interrupted = 0;         ///< Requests interrupted by a planned stop or reboot of the worker.
+	uint64 interrupted_by_kill = 0; ///< Requests interrupted by a kill of the worker.
+	uint64 refused_full = 0;        ///< Not begun: all slots were in use.
+	uint64 refused_unwanted = 0;    ///< Not begun: the worker is leaving, or does not run the service.
 	uint64 most_in_flight = 0;
 	std::map<std::string, uint64> begun_by_id;
 };
 
-/// The worker.
+/// The worker's agent and endpoint on one port.
 class WorkerStandIn
 {
 public:
-	WorkerStandIn(HostSpec inSpec, std::string inPool, Millis inRebootMs, EndpointTally &ioTally);
+	WorkerStandIn(HostSpec inSpec, std::string inPool, Millis inRebootMs, EndpointCounters &ioCounters);
 	~WorkerStandIn();
 	WorkerStandIn(const WorkerStandIn &) = delete;
 	WorkerStandIn &operator=(const WorkerStandIn &) = delete;
 
-	/// Listens; false when the port can't be had.
-	bool Up();
-	/// Goes down at once; what is in flight is cut.
-	void Down(bool inPlanned);
-	/// Goes down, and comes up again after the reboot time with another boot. Once for each boot.
+	/// Starts listening; false if the port is not available.
+	bool Start();
+	/// Stops at once and closes the connections of requests in flight. `inPlanned`: counted as `cut`, else as `killed`.
+	void Stop(bool inPlanned);
+	/// Stops, and starts again after the reboot time under the next boot number. Ignored unless `inBoot` is the current boot number.
 	void Reboot(uint64 inBoot);
-	/// Shows its own sign that it is leaving.
+	/// Sets whether the worker reports that it is leaving.
 	void SetLeaving(bool inLeaving) { this->leaving = inLeaving; }
-	/// Makes every batch task that starts here fail.
+	/// Sets whether every batch task that starts here fails.
 	void SetFailing(bool inFailing) { this->failing = inFailing; }
 
 	const HostSpec &Spec() const { return this->spec; }
@@ -51,27 +52,27 @@
 		LogPosition generation = 0;
 		std::string service; ///< Empty for a batch task.
 		ETaskState state = ETaskState::Running;
-		Millis ends = 0; ///< Of a batch task; 0: never.
+		Millis finishes_at = 0; ///< When a batch task finishes; 0: never.
 	};
-	struct Running;
+	struct BegunRequest;
 
 	static void OnOrder(SoupServer *inServer, SoupServerMessage *inMessage, const char *inPath, GHashTable *inQuery, gpointer inSelf);
 	static void OnRequest(SoupServer *inServer, SoupServerMessage *inMessage, const char *inPath, GHashTable *inQuery, gpointer inSelf);
-	void TakeOrder(SoupServerMessage *inMessage);
+	void HandleOrder(SoupServerMessage *inMessage);
 	void AnswerStatus(SoupServerMessage *inMessage);
-	void Begin(SoupServerMessage *inMessage, GHashTable *inQuery);
+	void BeginRequest(SoupServerMessage *inMessage, GHashTable *inQuery);
 	void RefuseRequest(SoupServerMessage *inMessage, bool inLeaving);
-	void EndRequest(Running *inRunning);
+	void RemoveRequest(BegunRequest *inRequest);
 	void ExpireTasks();
 
 	HostSpec spec;
 	std::string pool;
 	Millis reboot_ms;
-	EndpointTally &tally;
+	EndpointCounters &counters;
 	ObjectPtr<SoupServer> server;
 	std::map<std::string, Task> tasks;
-	std::map<std::string, LogPosition> newest; ///< Newest generation ever seen of each replica.
-	std::set<Running *> running;
+	std::map<std::string, LogPosition> newest_generation; ///< By replica: the newest generation that any order named.
+	std::set<BegunRequest *> in_flight;
 	LogOffset order_offset = 0;
 	bool accepts = true;
 	bool leaving = false;
