--- a/TestSupport/Proxy/Main.cpp
+++ b/TestSupport/Proxy/Main.cpp
@@ -18,7 +18,7 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-DEFINE_int32(port, 0, "Port to listen on; the port above takes commands as datagrams.");
+DEFINE_int32(port, 0, "Port to listen on; the port above the one given here takes commands as datagrams.");
 DEFINE_int32(to, 0, "Port that connections are forwarded to.");
 
 namespace
