--- a/TestSupport/Proxy/Main.cpp
+++ b/TestSupport/Proxy/Main.cpp
@@ -170,7 +170,7 @@
 		}
 	}
 
-	/// Discards input of a muted connection. Closes a side whose peer has closed, without closing the other side.
+	/// Discards input of a muted connection. If one peer has closed, closes that side only, so that the other one does not notice.
 	static void DiscardInput(Connection &ioConnection, size_t inSide)
 	{
 		std::array<char, cChunkBytes> bytes;
