--- a/UnitTests/CannedServer.h
+++ b/UnitTests/CannedServer.h
@@ -1,4 +1,4 @@
-// A server on loopback that answers each call on one connection with the next of some given answers, for tests of calls.
+// HTTP server on loopback for tests of calls. It answers the calls on one connection with a given list of answers, in order.
 
 #pragma once
 
@@ -14,11 +14,11 @@
 namespace Loomreach
 {
 
-/// See the head of the file.
+/// Answers the requests on the first connection with the given answers, then closes it.
 class CannedServer
 {
 public:
-	/// An answer, and how long it takes, ms.
+	/// One answer: its body, and the delay in milliseconds before it is sent.
 	struct Answer
 	{
 		std::string body;
--- a/UnitTests/SilentConnectionTests.cpp
+++ b/UnitTests/StalledConnectionTests.cpp
@@ -1,4 +1,4 @@
-// Kept connections that fall silent without a reset, while new ones work.
+// Kept connections that stall without a reset, while new ones work.
 
 #include <Loomreach/Loomreach.h>
 
@@ -6,7 +6,7 @@
 #include <Loomreach/Entry/HttpListener.h>
 #include <Loomreach/Platform/HttpClient.h>
 #include <UnitTests/FakeLog.h>
-#include <UnitTests/SilencingServer.h>
+#include <UnitTests/StallingServer.h>
 
 #include <netinet/tcp.h>
 
@@ -15,10 +15,10 @@
 namespace Loomreach
 {
 
-static constexpr Millis cLimitMs = 300;
-static constexpr uint32 cPool = 5;
+static constexpr Millis cTimeoutMs = 300;
+static constexpr uint32 cPoolSize = 5;
 
-static HttpCall CallTo(const SilencingServer &inServer, const std::string &inPath = "/")
+static HttpCall CallTo(const StallingServer &inServer, const std::string &inPath = "/")
 {
 	HttpCall call;
 	call.method = "POST";
@@ -26,23 +26,23 @@
 	call.repeatable = true;
 	call.to = {"127.0.0.1", inServer.Port()};
 	call.path = inPath;
-	call.timeout_ms = cLimitMs;
+	call.timeout_ms = cTimeoutMs;
 	return call;
 }
 
-/// Leaves `cPool` connections idle and proven.
-static void FillPool(HttpClient &ioClient, const SilencingServer &inServer)
+/// Opens `cPoolSize` connections, each of which has answered once, and leaves them idle.
+static void FillPool(HttpClient &ioClient, const StallingServer &inServer)
 {
 	uint32 good = 0;
-	for (uint32 i = 0; i < cPool; ++i)
+	for (uint32 i = 0; i < cPoolSize; ++i)
 		ioClient.Start(CallTo(inServer), [&good](const HttpResult &inResult) { good += inResult.IsOk() ? 1 : 0; });
-	while (good < cPool)
+	while (good < cPoolSize)
 		g_main_context_iteration(nullptr, TRUE);
-	ASSERT_EQ(inServer.Made(), cPool);
+	ASSERT_EQ(inServer.ConnectionCount(), cPoolSize);
 }
 
-/// One call, and its end.
-static HttpResult Ask(HttpClient &ioClient, const HttpCall &inCall)
+/// Makes one call and waits for its result.
+static HttpResult Call(HttpClient &ioClient, const HttpCall &inCall)
 {
 	std::optional<HttpResult> ended;
 	ioClient.Start(inCall, [&ended](const HttpResult &inResult) { ended = inResult; });
@@ -51,19 +51,19 @@
 	return *ended;
 }
 
-TEST(SilentConnections, CostOneCallItsTimeAndNotARowOfThem)
+TEST(StalledConnections, FailOneCallAndNotSeveralInARow)
 {
-	// Failed first: each call took the next silent connection, five in a row
-	SilencingServer server(20, 0);
+	// Guards against each call using the next stalled connection, which fails five calls in a row
+	StallingServer server(20, 0);
 	HttpClient client(16, HttpClient::EClose::Deliver);
 	FillPool(client, server);
-	server.Silence();
+	server.StallOpenConnections();
 	uint32 failed = 0;
 	Millis good_after = -1;
 	const Millis began = NowMillis();
 	for (uint32 i = 0; i < 10; ++i)
 	{
-		if (!Ask(client, CallTo(server)).IsOk())
+		if (!Call(client, CallTo(server)).IsOk())
 			++failed;
 		else if (good_after < 0)
 			good_after = NowMillis() - began;
@@ -72,28 +72,29 @@
 	RecordProperty("good_after_ms", static_cast<int>(good_after));
 	std::cout << "calls failed: " << failed << ", first good answer after " << good_after << " ms\n";
 	EXPECT_LE(failed, 1u);
-	EXPECT_LT(good_after, 2 * cLimitMs);
+	EXPECT_LT(good_after, 2 * cTimeoutMs);
 }
 
-TEST(SilentConnections, ACallBesideASilentOneGoesOverANewConnection)
+TEST(StalledConnections, ACallBesideAStalledOneUsesANewConnection)
 {
-	// A heartbeat that leaves while another has no answer must not share its fate
-	SilencingServer server(20, 0);
+	// A heartbeat that is sent while another one is unanswered must not use a kept connection that may be stalled as well
+	StallingServer server(20, 0);
 	HttpClient client(16, HttpClient::EClose::Deliver);
 	FillPool(client, server);
-	server.Silence();
+	server.StallOpenConnections();
 	bool first_over = false;
 	HttpCall first = CallTo(server);
 	first.timeout_ms = 2000;
 	client.Start(first, [&first_over](const HttpResult &) { first_over = true; });
 	Jobs::FakeLog::Settle(300);
-	EXPECT_TRUE(Ask(client, CallTo(server)).IsOk());
+	EXPECT_TRUE(Call(client, CallTo(server)).IsOk());
 	EXPECT_FALSE(first_over);
 }
 
-TEST(SilentConnections, ALongReadIsAskedAnewOnceAnotherCallShowsTheSilence)
+/// Guards against a long read that waits for its whole timeout on a connection that another call has shown to be stalled.
+TEST(StalledConnections, ALongReadIsRepeatedOnceAnotherCallShowsTheStall)
 {
-	SilencingServer server(5, 500);
+	StallingServer server(5, 500);
 	HttpClient client(16, HttpClient::EClose::Deliver);
 	FillPool(client, server);
 	HttpCall read;
@@ -104,52 +105,53 @@
 	std::optional<HttpResult> ended;
 	client.Start(read, [&ended](const HttpResult &inResult) { ended = inResult; });
 	Jobs::FakeLog::Settle(100);
-	server.Silence();
-	Ask(client, CallTo(server));
+	server.StallOpenConnections();
+	Call(client, CallTo(server));
 	Jobs::FakeLog::Settle(1000);
 	EXPECT_TRUE(ended.has_value() && ended->IsOk());
 }
 
-TEST(SilentConnections, ALookThatWaitsIsAskedAnewWithinItsOwnTime)
+TEST(StalledConnections, ALongPollIsRepeatedWithinItsTimeout)
 {
-	// It extends a worker's lease, so whoever made the call counts on its end
-	SilencingServer server(5, 500);
+	// The poll extends a worker's lease, so its caller relies on the timeout
+	StallingServer server(5, 500);
 	HttpClient client(16, HttpClient::EClose::Deliver);
 	FillPool(client, server);
-	HttpCall look = CallTo(server, "/wait");
-	look.timeout_ms = 1600;
-	look.wait_ms = 1000;
+	HttpCall poll_call = CallTo(server, "/wait");
+	poll_call.timeout_ms = 1600;
+	poll_call.wait_ms = 1000;
 	const Millis began = NowMillis();
 	Millis over_after = -1;
 	bool good = false;
-	client.Start(look,
+	client.Start(poll_call,
 				 [&](const HttpResult &inResult)
 				 {
 					 over_after = NowMillis() - began;
 					 good = inResult.IsOk();
 				 });
 	Jobs::FakeLog::Settle(50);
-	server.Silence();
-	Ask(client, CallTo(server));
+	server.StallOpenConnections();
+	Call(client, CallTo(server));
 	Jobs::FakeLog::Settle(1600);
 	EXPECT_TRUE(good);
-	EXPECT_LT(over_after, look.timeout_ms);
+	EXPECT_LT(over_after, poll_call.timeout_ms);
 	EXPECT_GE(over_after, 0);
 }
 
-TEST(SilentConnections, ASlowServerIsNotTakenForASilentOneForLong)
+/// A server whose answers take 240 ms instead of 4 ms costs at most two new connections, and no request is repeated.
+TEST(StalledConnections, ASlowServerIsNotTakenForAStalledOneForLong)
 {
-	SilencingServer server(4, 0);
+	StallingServer server(4, 0);
 	HttpClient client(16, HttpClient::EClose::Deliver);
 	FillPool(client, server);
 	server.SetAnswerMs(240);
 	for (uint32 i = 0; i < 10; ++i)
-		EXPECT_TRUE(Ask(client, CallTo(server)).IsOk());
-	EXPECT_LE(server.Made(), cPool + 2);
-	EXPECT_EQ(server.Asked(), cPool + 10);
+		EXPECT_TRUE(Call(client, CallTo(server)).IsOk());
+	EXPECT_LE(server.ConnectionCount(), cPoolSize + 2);
+	EXPECT_EQ(server.RequestCount(), cPoolSize + 10);
 }
 
-/// What a socket is set to.
+/// Value of an integer option of a socket.
 static int OptionOf(int inSocket, int inLevel, int inOption)
 {
 	int value = -1;
@@ -158,7 +160,7 @@
 	return value;
 }
 
-static void ExpectCared(int inSocket)
+static void ExpectKeepAlive(int inSocket)
 {
 	EXPECT_EQ(OptionOf(inSocket, SOL_SOCKET, SO_KEEPALIVE), 1);
 	EXPECT_LE(OptionOf(inSocket, IPPROTO_TCP, TCP_KEEPIDLE), 2);
@@ -167,7 +169,8 @@
 	EXPECT_GT(OptionOf(inSocket, IPPROTO_TCP, TCP_USER_TIMEOUT), 0);
 }
 
-TEST(SilentConnections, AreFoundByTheSystemOnBothSides)
+/// Guards against sockets without TCP keep-alive and user timeout, on which a dead peer goes unnoticed.
+TEST(StalledConnections, AreDetectedByTheSystemOnBothSides)
 {
 	constexpr uint16 cPort = 9737;
 	const ObjectPtr<SoupServer> server = OpenServer({"127.0.0.1", cPort}, "test");
@@ -183,21 +186,21 @@
 	HttpCall call;
 	call.to = {"127.0.0.1", cPort};
 	call.path = "/";
-	ASSERT_EQ(Ask(client, call).status, 200u);
+	ASSERT_EQ(Call(client, call).status, 200u);
 	ASSERT_GE(accepted, 0);
-	ExpectCared(accepted);
-	// The client's own end: the socket whose other end is the server's port
-	uint32 own = 0;
+	ExpectKeepAlive(accepted);
+	// The client's side: the socket whose peer port is the server's
+	uint32 client_sockets = 0;
 	for (int descriptor = 3; descriptor < 1024; ++descriptor)
 	{
 		sockaddr_in other{};
 		socklen_t size = sizeof other;
 		if (getpeername(descriptor, reinterpret_cast<sockaddr *>(&other), &size) != 0 || ntohs(other.sin_port) != cPort)
 			continue;
-		++own;
-		ExpectCared(descriptor);
+		++client_sockets;
+		ExpectKeepAlive(descriptor);
 	}
-	EXPECT_EQ(own, 1u);
+	EXPECT_EQ(client_sockets, 1u);
 }
 
 } // namespace Loomreach
--- a/UnitTests/SilencingServer.h
+++ b/UnitTests/StallingServer.h
@@ -1,5 +1,5 @@
-// A server on loopback with many connections, which can be told to fall silent on all that are open while new ones work, for tests of kept
-// connections. A path with "wait" in it is answered only after the time of a wait.
+// HTTP server on loopback for tests of kept connections. It can stop answering on all connections that are open at that moment, while new
+// ones work. A request with "wait" in its path is answered only after the time of a long poll.
 
 #pragma once
 
@@ -19,11 +19,11 @@
 namespace Loomreach
 {
 
-/// See the head of the file.
-class SilencingServer
+/// Answers each request after a set delay, unless its connection is stalled.
+class StallingServer
 {
 public:
-	SilencingServer(Millis inAnswerMs, Millis inWaitMs)
+	StallingServer(Millis inAnswerMs, Millis inWaitMs)
 		: answer_ms(inAnswerMs), wait_ms(inWaitMs), listener(socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK, 0))
 	{
 		sockaddr_in own{};
@@ -37,71 +37,71 @@
 		this->port = ntohs(own.sin_port);
 		this->thread = std::thread([this] { this->Serve(); });
 	}
-	~SilencingServer()
+	~StallingServer()
 	{
-		this->over = true;
+		this->stopping = true;
 		this->thread.join();
 		for (const Connection &connection : this->connections)
 			close(connection.descriptor);
 		close(this->listener);
 	}
-	SilencingServer(const SilencingServer &) = delete;
-	SilencingServer &operator=(const SilencingServer &) = delete;
+	StallingServer(const StallingServer &) = delete;
+	StallingServer &operator=(const StallingServer &) = delete;
 
 	uint16 Port() const { return this->port; }
-	/// Connections made so far.
-	uint32 Made() const { return this->made; }
-	/// Requests that came, also those that are never answered.
-	uint32 Asked() const { return this->asked; }
-	/// Falls silent on the connections that are open now.
-	void Silence() { this->silent_up_to = this->made.load(); }
-	/// How long answers take from now on.
+	/// Number of connections accepted so far.
+	uint32 ConnectionCount() const { return this->connection_count; }
+	/// Number of requests received, including those that are never answered.
+	uint32 RequestCount() const { return this->request_count; }
+	/// Stops answering on the connections that are open now.
+	void StallOpenConnections() { this->stalled_up_to = this->connection_count.load(); }
+	/// Sets the delay of answers in milliseconds, for requests that arrive from now on.
 	void SetAnswerMs(Millis inMillis) { this->answer_ms = inMillis; }
 
 private:
 	static constexpr int cBacklog = 64;
 	static constexpr int cTickMs = 1;
 
-	/// One caller's connection.
+	/// One client's connection.
 	struct Connection
 	{
 		int descriptor = -1;
 		uint32 number = 0;
-		Millis due = -1; ///< When its question is answered; -1: it has asked nothing.
+		Millis answer_at = -1; ///< Time at which its request is answered; -1 without one.
 	};
 
 	void Serve()
 	{
-		while (!this->over)
+		while (!this->stopping)
 		{
-			this->Wait();
+			this->PollSockets();
 			for (int got = accept4(this->listener, nullptr, nullptr, SOCK_NONBLOCK); got >= 0;
 				 got = accept4(this->listener, nullptr, nullptr, SOCK_NONBLOCK))
-				this->connections.push_back({got, ++this->made, -1});
+				this->connections.push_back({got, ++this->connection_count, -1});
 			for (Connection &connection : this->connections)
-				this->Turn(connection);
+				this->HandleConnection(connection);
 		}
 	}
-	void Wait() const
+	void PollSockets() const
 	{
-		std::vector<pollfd> waited{{this->listener, POLLIN, 0}};
+		std::vector<pollfd> descriptors{{this->listener, POLLIN, 0}};
 		for (const Connection &connection : this->connections)
-			waited.push_back({connection.descriptor, POLLIN, 0});
-		poll(waited.data(), waited.size(), cTickMs);
+			descriptors.push_back({connection.descriptor, POLLIN, 0});
+		poll(descriptors.data(), descriptors.size(), cTickMs);
 	}
-	void Turn(Connection &ioConnection)
+	void HandleConnection(Connection &ioConnection)
 	{
 		std::array<char, 4096> bytes;
 		const ssize_t got = recv(ioConnection.descriptor, bytes.data(), bytes.size(), 0);
 		if (got > 0)
 		{
 			const bool waits = std::string_view(bytes.data(), static_cast<size_t>(got)).find("wait") != std::string_view::npos;
-			ioConnection.due = NowMillis() + (waits ? this->wait_ms : this->answer_ms.load());
-			++this->asked;
+			ioConnection.answer_at = NowMillis() + (waits ? this->wait_ms : this->answer_ms.load());
+			++this->request_count;
 		}
-		if (ioConnection.due < 0 || ioConnection.due > NowMillis() || ioConnection.number <= this->silent_up_to)
+		if (ioConnection.answer_at < 0 || ioConnection.answer_at > NowMillis() || ioConnection.number <= this->stalled_up_to)
 			return;
-		ioConnection.due = -1;
+		ioConnection.answer_at = -1;
 		constexpr std::string_view cAnswer = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}";
 		send(ioConnection.descriptor, cAnswer.data(), cAnswer.size(), MSG_NOSIGNAL);
 	}
@@ -110,10 +110,10 @@
 	Millis wait_ms;
 	int listener;
 	uint16 port = 0;
-	std::atomic<uint32> made = 0;
-	std::atomic<uint32> asked = 0;
-	std::atomic<uint32> silent_up_to = 0; ///< Connections of this number and below get no more answers.
-	std::atomic<bool> over = false;
+	std::atomic<uint32> connection_count = 0;
+	std::atomic<uint32> request_count = 0;
+	std::atomic<uint32> stalled_up_to = 0; ///< Connections up to this number get no more answers.
+	std::atomic<bool> stopping = false;
 	std::vector<Connection> connections;
 	std::thread thread;
 };
