--- a/UnitTests/CellSeatTests.cpp
+++ b/UnitTests/CellSeatTests.cpp
@@ -1,4 +1,4 @@
-// An owner's seat: what it says of jobs while it still reads what waited for it.
+// What the driver of a cell answers about jobs while it still reads the inbox records that were written before its claim.
 
 #include <Loomreach/Loomreach.h>
 
@@ -15,29 +15,29 @@
 namespace
 {
 
-constexpr Millis cLongMs = 600'000;
+constexpr Millis cLongLeaseMs = 600'000;
 constexpr uint32 cCell = 3;
 
-struct SilentAdviser
+struct UnresponsiveAdviser
 {
 	static void Ask(const AdviceQuestion &, const std::function<void(const AdviceAnswer &)> &) {}
 };
 
-struct HandHub
+struct TestHub
 {
 	FakeLog store;
-	SilentAdviser adviser;
+	UnresponsiveAdviser adviser;
 };
 
-/// A seat whose inbox holds some jobs before it is claimed.
-class HandSeat
+/// A cell driver whose inbox holds 30 jobs before the cell is claimed.
+class TestCellDriver
 {
 public:
-	/// Of 30 jobs that wait one answer holds 20; `inAnswers` reads of them are answered.
-	explicit HandSeat(uint64 inAnswers) : lease(LeaseTuning{}), owners("host", LeaseTuning{})
+	/// One read of the inbox returns 20 records; only the first `inAnswers` reads are answered.
+	explicit TestCellDriver(uint64 inAnswers) : lease(LeaseTuning{}), owners("host", LeaseTuning{})
 	{
 		const Millis now = NowMillis();
-		this->lease.OnAcknowledged(now, cLongMs, now);
+		this->lease.OnAcknowledged(now, cLongLeaseMs, now);
 		AppendCall call;
 		call.log = this->Inbox();
 		for (uint32 i = 0; i < 30; ++i)
@@ -50,11 +50,11 @@
 			call.records.push_back({"", EncodeValue(record), 0});
 		}
 		this->hub.store.Append(call, [](const AppendAnswer &) {});
-		this->hub.store.most_read = 20;
-		this->hub.store.held_log = this->Inbox();
+		this->hub.store.max_read_records = 20;
+		this->hub.store.limited_log = this->Inbox();
 		this->hub.store.reads_left = inAnswers;
-		this->seat =
-			std::make_unique<CellSeat<HandHub>>(this->hub,
+		this->driver =
+			std::make_unique<CellSeat<TestHub>>(this->hub,
 												SeatContext{this->config,
 															this->metrics,
 															this->lease,
@@ -67,8 +67,8 @@
 	LogName Inbox() const { return InboxLog(cCell, static_cast<uint32>(this->config.log_parts)); }
 	void Claim()
 	{
-		this->seat->Claim(0, [](bool) {});
-		for (int i = 0; i < 40 && !this->seat->IsHeld(); ++i)
+		this->driver->Claim(0, [](bool) {});
+		for (int i = 0; i < 40 && !this->driver->IsHeld(); ++i)
 			FakeLog::Settle(20);
 		FakeLog::Settle(100);
 	}
@@ -79,27 +79,27 @@
 		question.cell = cCell;
 		question.queue = "queue";
 		question.id = inJob;
-		return this->seat->Answer(question);
+		return this->driver->Answer(question);
 	}
 
-	HandHub hub;
+	TestHub hub;
 	JobHostConfig config;
 	Metrics metrics;
 	OwnLease lease;
 	OwnerTable owners;
-	std::unique_ptr<CellSeat<HandHub>> seat;
+	std::unique_ptr<CellSeat<TestHub>> driver;
 };
 
 } // namespace
 
-TEST(CellSeat, IsNotSureBeforeItHasReadAllThatWaited)
+TEST(CellSeat, IsNotSureBeforeItHasReadTheWholeInbox)
 {
-	// Failed first (msafiri-loom-large, hunt-d7f4-3): a cell had no owner for some seconds, and more jobs waited in its inbox than one
-	// answer holds; after the first answer its new owner said that the others were gone, though they had been accepted
-	HandSeat hand(1);
-	hand.Claim();
-	EXPECT_TRUE(hand.Show("job5").known);
-	const PeerAnswer unread = hand.Show("job25");
+	// While a cell has no owner, more jobs may wait in its inbox than one read returns. Guards against a new owner that reports the others
+	// as unknown after its first read, though they were accepted.
+	TestCellDriver fixture(1);
+	fixture.Claim();
+	EXPECT_TRUE(fixture.Show("job5").known);
+	const PeerAnswer unread = fixture.Show("job25");
 	EXPECT_TRUE(unread.owner);
 	EXPECT_FALSE(unread.known);
 	EXPECT_FALSE(unread.sure);
@@ -107,11 +107,11 @@
 
 TEST(CellSeat, IsSureOnceItHasReadAll)
 {
-	HandSeat hand(2);
-	hand.Claim();
-	EXPECT_TRUE(hand.Show("job25").known);
-	EXPECT_TRUE(hand.Show("never").sure);
-	EXPECT_FALSE(hand.Show("never").known);
+	TestCellDriver fixture(2);
+	fixture.Claim();
+	EXPECT_TRUE(fixture.Show("job25").known);
+	EXPECT_TRUE(fixture.Show("never").sure);
+	EXPECT_FALSE(fixture.Show("never").known);
 }
 
 } // namespace Loomreach::Jobs
--- a/UnitTests/FakeLog.h
+++ b/UnitTests/FakeLog.h
@@ -1,5 +1,5 @@
-// A log service in memory that keeps the platform's rules for conditions, epochs and numbers, for tests of ownership. Answers come from the
-// main context, each after the calls that were made before it.
+// In-memory log service for tests, with the platform's rules for conditional appends, producer epochs and sequence numbers. Answers are
+// delivered from the main context, in the order of the calls.
 
 #pragma once
 
@@ -9,17 +9,17 @@
 namespace Loomreach::Jobs
 {
 
-/// See the head of the file.
+/// All logs of a test, by name.
 class FakeLog
 {
 public:
-	/// What happens to the next appends: each entry is used up by one.
+	/// What happens to an append; each entry of the list applies to one.
 	enum class EFate : uint8
 	{
 		Good,
-		LoseAnswer, ///< Done, and the answer lost.
-		Refuse,     ///< Not done, and said so.
-		Vanish      ///< Not done, and no answer.
+		LoseAnswer, ///< Carried out, but the answer is lost.
+		Refuse,     ///< Not carried out, and answered so.
+		Vanish      ///< Not carried out, and not answered.
 	};
 
 	void Append(const AppendCall &inCall, std::function<void(const AppendAnswer &)> inDone)
@@ -34,42 +34,42 @@
 		if (fate == EFate::Refuse)
 			answer.result = EAppend::Refused;
 		if (fate == EFate::Good || fate == EFate::LoseAnswer)
-			answer = this->Do(inCall);
+			answer = this->Apply(inCall);
 		if (fate == EFate::LoseAnswer)
 			answer = AppendAnswer{};
-		this->Later([answer, done = std::move(inDone)] { done(answer); });
+		this->Defer([answer, done = std::move(inDone)] { done(answer); });
 	}
 
 	void Read(const LogName &inName, bool, uint64 inFrom, Millis, std::function<void(ReadAnswer)> inDone)
 	{
-		Part &part = this->parts[inName];
-		if (inName == this->held_log && this->reads_left == 0)
+		Partition &partition = this->partitions[inName];
+		if (inName == this->limited_log && this->reads_left == 0)
 			return;
-		this->reads_left -= inName == this->held_log ? 1 : 0;
+		this->reads_left -= inName == this->limited_log ? 1 : 0;
 		ReadAnswer answer;
 		answer.result = ERead::Done;
-		answer.end = part.records.size();
-		answer.next = std::min<uint64>(answer.end, inFrom + this->most_read);
+		answer.end = partition.records.size();
+		answer.next = std::min<uint64>(answer.end, inFrom + this->max_read_records);
 		for (uint64 i = inFrom; i < answer.next; ++i)
-			answer.records.push_back(part.records[i]);
-		this->Later([answer, done = std::move(inDone)] { done(answer); });
+			answer.records.push_back(partition.records[i]);
+		this->Defer([answer, done = std::move(inDone)] { done(answer); });
 	}
 
 	void Newest(const LogName &inName, std::function<void(NewestAnswer)> inDone)
 	{
-		Part &part = this->parts[inName];
+		Partition &partition = this->partitions[inName];
 		std::map<std::string, LogRecord> newest;
-		for (const LogRecord &record : part.records)
+		for (const LogRecord &record : partition.records)
 			newest[record.key] = record;
 		NewestAnswer answer;
 		answer.good = this->readable;
-		answer.end = part.records.size();
+		answer.end = partition.records.size();
 		for (const auto &[key, record] : newest)
 			answer.records.push_back(record);
-		this->Later([answer, done = std::move(inDone)] { done(answer); });
+		this->Defer([answer, done = std::move(inDone)] { done(answer); });
 	}
 
-	/// Lets everything under way come to its end.
+	/// Runs the main loop for `inMillis` milliseconds, so that calls in flight complete.
 	static void Settle(Millis inMillis = 200)
 	{
 		bool over = false;
@@ -79,73 +79,74 @@
 			g_main_context_iteration(nullptr, TRUE);
 	}
 
-	size_t Size(const LogName &inName) { return this->parts[inName].records.size(); }
+	size_t Size(const LogName &inName) { return this->partitions[inName].records.size(); }
 
 	std::deque<EFate> fates;
 	bool readable = true;
-	uint64 most_read = 1'000'000; ///< Records of one read.
-	LogName held_log;             ///< Reads of this log are answered
-	uint64 reads_left = 0;        ///< so often, then no more.
+	uint64 max_read_records = 1'000'000; ///< Greatest number of records in the answer to one read.
+	LogName limited_log;                 ///< Log of which only a limited number of reads is answered.
+	uint64 reads_left = 0;               ///< Number of reads of that log that are still answered.
 
 private:
-	/// One partition.
-	struct Part
+	/// One partition, with the state of its producer.
+	struct Partition
 	{
 		std::vector<LogRecord> records;
 		uint64 epoch = 0;
-		uint64 next = 0;                        ///< Number that the producer must use next.
-		std::map<uint64, AppendAnswer> answers; ///< First answers by number, of this epoch.
+		uint64 next = 0;                        ///< Sequence number that the producer must use next.
+		std::map<uint64, AppendAnswer> answers; ///< First answer to each sequence number of this epoch.
 	};
 
-	AppendAnswer Do(const AppendCall &inCall)
+	AppendAnswer Apply(const AppendCall &inCall)
 	{
-		Part &part = this->parts[inCall.log];
+		Partition &partition = this->partitions[inCall.log];
 		AppendAnswer answer;
-		answer.end = part.records.size();
+		answer.end = partition.records.size();
 		if (inCall.producer.has_value())
 		{
 			const Producer &producer = *inCall.producer;
-			if (producer.epoch < part.epoch)
+			if (producer.epoch < partition.epoch)
 			{
 				answer.result = EAppend::Fenced;
 				return answer;
 			}
-			// The first answer again, also to somebody else with the same epoch: the store can't tell them apart
-			if (producer.epoch == part.epoch && part.answers.contains(producer.number))
-				return part.answers[producer.number];
-			if (producer.epoch == part.epoch && producer.number != part.next && part.epoch != 0)
+			// A repeated sequence number gets the first answer again, even from another process with the same epoch: the store can't tell
+			// them apart
+			if (producer.epoch == partition.epoch && partition.answers.contains(producer.number))
+				return partition.answers[producer.number];
+			if (producer.epoch == partition.epoch && producer.number != partition.next && partition.epoch != 0)
 			{
 				answer.result = EAppend::OutOfOrder;
 				return answer;
 			}
 		}
-		if (inCall.at.has_value() && *inCall.at != part.records.size())
+		if (inCall.at.has_value() && *inCall.at != partition.records.size())
 		{
 			answer.result = EAppend::NotAtEnd;
 			return answer;
 		}
 		answer.result = EAppend::Done;
-		answer.offset = part.records.size();
+		answer.offset = partition.records.size();
 		for (LogRecord record : inCall.records)
 		{
-			record.offset = part.records.size();
-			part.records.push_back(record);
+			record.offset = partition.records.size();
+			partition.records.push_back(record);
 		}
-		answer.end = part.records.size();
+		answer.end = partition.records.size();
 		if (inCall.producer.has_value())
 		{
-			if (inCall.producer->epoch > part.epoch)
-				part.answers.clear();
-			part.epoch = inCall.producer->epoch;
-			part.next = inCall.producer->number + 1;
-			part.answers[inCall.producer->number] = answer;
+			if (inCall.producer->epoch > partition.epoch)
+				partition.answers.clear();
+			partition.epoch = inCall.producer->epoch;
+			partition.next = inCall.producer->number + 1;
+			partition.answers[inCall.producer->number] = answer;
 		}
 		return answer;
 	}
 
-	static void Later(std::function<void()> inCall) { After(1, std::move(inCall)); }
+	static void Defer(std::function<void()> inCall) { After(1, std::move(inCall)); }
 
-	std::map<LogName, Part> parts;
+	std::map<LogName, Partition> partitions;
 };
 
 } // namespace Loomreach::Jobs
--- a/UnitTests/MachineCallsTests.cpp
+++ b/UnitTests/MachineCallsTests.cpp
@@ -1,4 +1,4 @@
-// What the machine service's answers are taken for.
+// How the answers of the machine service are read: a list that is missing or damaged is not an empty list.
 
 #include <Loomreach/Loomreach.h>
 
@@ -11,8 +11,8 @@
 namespace Loomreach::Jobs::Platform
 {
 
-/// How many hosts a list with this body shows; -1: it could not be had.
-static int64 HostsIn(const std::string &inBody)
+/// Number of hosts in a list with this body; -1 if it is not a valid list.
+static int64 ListedHostCount(const std::string &inBody)
 {
 	const CannedServer server({{inBody, 0}});
 	MachineCalls calls({"127.0.0.1", server.Port()});
@@ -24,13 +24,14 @@
 	return count;
 }
 
-TEST(PlatformMachines, AListThatIsNotThereIsNotAnEmptyOne)
+TEST(PlatformMachines, AnInvalidListIsNotAnEmptyOne)
 {
-	// Failed first: every host of a wave that waited was then taken for gone, and the wave for completed
+	// Guards against reading an invalid list as an empty one: every host that waits in a maintenance wave would be taken for removed, and
+	// the wave for completed.
 	for (const std::string body : {"", "{}", "busy", R"({"machines":null})"})
-		EXPECT_EQ(HostsIn(body), -1) << body;
-	EXPECT_EQ(HostsIn(R"({"machines":[]})"), 0);
-	EXPECT_EQ(HostsIn(R"({"machines":[{"machine":"m0","pool":"p","state":"up"}]})"), 1);
+		EXPECT_EQ(ListedHostCount(body), -1) << body;
+	EXPECT_EQ(ListedHostCount(R"({"machines":[]})"), 0);
+	EXPECT_EQ(ListedHostCount(R"({"machines":[{"machine":"m0","pool":"p","state":"up"}]})"), 1);
 }
 
 } // namespace Loomreach::Jobs::Platform
--- a/UnitTests/TestFleet.h
+++ b/UnitTests/TestFleet.h
@@ -1,4 +1,5 @@
-// Small fleets for tests: settings, hosts and placements put together through the fold itself.
+// Small fleets for tests. Settings, hosts and placements are created by applying proposals, as in production, so that a test can only build
+// states that the log can lead to.
 
 #pragma once
 
@@ -9,39 +10,39 @@
 namespace Loomreach
 {
 
-/// A state that is built by proposals, as everything is.
+/// A fleet state that is built only by proposals.
 class TestFleet
 {
 public:
-	/// Folds a proposal at the next position.
-	Verdict Fold(ProposalBody inBody)
+	/// Applies a proposal at the next log position.
+	Verdict Apply(ProposalBody inBody)
 	{
 		const Proposal proposal{{1, ++this->sequence}, std::move(inBody)};
 		return FoldProposal(this->state, PositionAt(this->state.next_offset++, 0), proposal);
 	}
 
-	/// Folds a proposal that must be accepted.
+	/// Applies a proposal that must be accepted. Returns its position.
 	LogPosition Accept(ProposalBody inBody)
 	{
-		const Verdict verdict = this->Fold(std::move(inBody));
+		const Verdict verdict = this->Apply(std::move(inBody));
 		EXPECT_TRUE(verdict.Accepted()) << AnswerOf(verdict.error).name << ": " << verdict.detail;
 		return verdict.position;
 	}
 
-	/// Folds a proposal that must be rejected for a reason.
+	/// Applies a proposal that must be rejected with this error.
 	void Reject(ProposalBody inBody, EError inError)
 	{
 		const std::string before = EncodeState(this->state);
 		FleetState untouched = this->state;
-		const Verdict verdict = this->Fold(std::move(inBody));
+		const Verdict verdict = this->Apply(std::move(inBody));
 		EXPECT_EQ(AnswerOf(verdict.error).name, AnswerOf(inError).name) << verdict.detail;
-		// A rejected proposal changes nothing but the proposer's mark
+		// A rejected proposal changes nothing but the proposer's entry and the next offset
 		untouched.proposers = this->state.proposers;
 		untouched.next_offset = this->state.next_offset;
 		EXPECT_EQ(untouched.Hash(), this->state.Hash());
 	}
 
-	/// One pool with one service and one batch job.
+	/// Settings with one pool and one job in it.
 	static std::vector<SettingsNode> OnePool(int64 inMinAvailable, int64 inReplicas, int64 inCpu = 4000)
 	{
 		SettingsNode pool{"/pool", ENodeKind::Pool, {{ESetting::MinAvailablePercent, {inMinAvailable, {}}}}};
