--- a/UnitTests/HttpClientTests.cpp
+++ b/UnitTests/HttpClientTests.cpp
@@ -1,4 +1,4 @@
-// What is left on the network of a call that was given up.
+// Calls whose answer is late or lost: what they prove, and what remains of an abandoned call on the network.
 
 #include <Loomreach/Loomreach.h>
 
@@ -17,8 +17,8 @@
 namespace Loomreach
 {
 
-/// How a connection ends at a server that never answers: 0 in order, or the error.
-static int EndOfGivenUpCall(HttpClient::EClose inClose)
+/// How the connection of an abandoned call ends at a server that never answers: 0 for an orderly close, or the errno.
+static int CloseErrorOfAbandonedCall(HttpClient::EClose inClose)
 {
 	const int listener = socket(AF_INET, SOCK_STREAM, 0);
 	sockaddr_in own{};
@@ -57,10 +57,10 @@
 {
 
 /// A server that answers the first call, carries out the second without an answer, and refuses the third.
-class ForgetfulServer
+class RefusedRepeatServer
 {
 public:
-	ForgetfulServer() : listener(socket(AF_INET, SOCK_STREAM, 0))
+	RefusedRepeatServer() : listener(socket(AF_INET, SOCK_STREAM, 0))
 	{
 		sockaddr_in own{};
 		own.sin_family = AF_INET;
@@ -72,7 +72,7 @@
 		this->port = ntohs(own.sin_port);
 		this->thread = std::thread([this] { this->Serve(); });
 	}
-	~ForgetfulServer()
+	~RefusedRepeatServer()
 	{
 		shutdown(this->listener, SHUT_RDWR);
 		this->thread.join();
@@ -110,11 +110,11 @@
 	std::thread thread;
 };
 
-/// A server that answers one call after a while.
-class LateServer
+/// A server that answers one call after `inAfterMs` milliseconds.
+class DelayedServer
 {
 public:
-	explicit LateServer(Millis inAfterMs) : listener(socket(AF_INET, SOCK_STREAM, 0))
+	explicit DelayedServer(Millis inAfterMs) : listener(socket(AF_INET, SOCK_STREAM, 0))
 	{
 		sockaddr_in own{};
 		own.sin_family = AF_INET;
@@ -126,7 +126,7 @@
 		this->port = ntohs(own.sin_port);
 		this->thread = std::thread([this, inAfterMs] { this->Serve(inAfterMs); });
 	}
-	~LateServer()
+	~DelayedServer()
 	{
 		shutdown(this->listener, SHUT_RDWR);
 		this->thread.join();
@@ -153,10 +153,11 @@
 	std::thread thread;
 };
 
-/// What comes of a call with a timeout of 300 ms whose answer comes after `inAfterMs`, when this process stands still from 50 ms on.
-HttpResult CallAndStandStill(Millis inAfterMs, Millis inStandMs)
+/// Result of a call with a timeout of 300 ms whose answer is sent after `inAfterMs`, if this process is paused for `inPauseMs` from 50 ms
+/// on.
+HttpResult CallDuringPause(Millis inAfterMs, Millis inPauseMs)
 {
-	const LateServer server(inAfterMs);
+	const DelayedServer server(inAfterMs);
 	HttpClient client(2);
 	HttpCall call;
 	call.method = "POST";
@@ -168,7 +169,7 @@
 	std::vector<HttpResult> results;
 	client.Start(call, [&results](const HttpResult &inResult) { results.push_back(inResult); });
 	Jobs::FakeLog::Settle(50);
-	std::this_thread::sleep_for(std::chrono::milliseconds(inStandMs));
+	std::this_thread::sleep_for(std::chrono::milliseconds(inPauseMs));
 	Jobs::FakeLog::Settle(350);
 	EXPECT_EQ(results.size(), 1u);
 	return results.empty() ? HttpResult{} : results[0];
@@ -176,22 +177,22 @@
 
 } // namespace
 
-TEST(HttpClient, AnAnswerThatCameWhileTheProcessStoodStillIsRead)
+TEST(HttpClient, AnAnswerThatArrivesDuringAPauseIsRead)
 {
-	// Failed first: it lay at the socket, and the call was given up unread since its time was over
-	EXPECT_EQ(CallAndStandStill(100, 500).status, 200u);
-	// One that has not come is given up in time
-	const HttpResult late = CallAndStandStill(500, 0);
+	// Guards against timing out a call whose answer arrived at the socket during the pause
+	EXPECT_EQ(CallDuringPause(100, 500).status, 200u);
+	// A call without an answer times out
+	const HttpResult late = CallDuringPause(500, 0);
 	EXPECT_EQ(late.status, 0u);
 	EXPECT_FALSE(late.refused);
 	EXPECT_NE(late.error, "");
 }
 
-TEST(HttpClient, ARefusedRepeatIsNoProofThatNothingWasDone)
+TEST(HttpClient, ARefusedRepeatDoesNotProveThatNothingWasDone)
 {
-	// Failed first (soak seed 146): a record was appended and its answer lost; libcurl repeated the call by itself on a new connection,
-	// which the store refused; the caller was told that its job had not been taken, and it ran
-	const ForgetfulServer server;
+	// A record is appended and its answer lost; libcurl repeats the call by itself on a new connection, which the store refuses. Guards
+	// against telling the caller that its job was not accepted, although it runs
+	const RefusedRepeatServer server;
 	HttpClient client(2, HttpClient::EClose::Deliver);
 	HttpCall call;
 	call.method = "POST";
@@ -213,10 +214,10 @@
 	EXPECT_NE(results[1].error, "");
 }
 
-TEST(HttpClient, AnAnswerThatCameWhileTheProcessStoodStillCounts)
+TEST(HttpClient, AnAnswerThatArrivesDuringAPauseCounts)
 {
-	// Failed first: a call's time was looked at before its connection, so a process that stood still threw away the answers that had come
-	// in time, and decided without them
+	// Guards against checking the timeout of a call before its connection: a paused process would discard the answers that arrived in time,
+	// and decide without them
 	const CannedServer server({{"whole", 100}});
 	HttpClient client;
 	HttpCall call;
@@ -233,12 +234,12 @@
 	EXPECT_EQ(result->body, "whole");
 }
 
-TEST(HttpClient, ACallGivenUpIsDiscardedWhereThatIsAsked)
+TEST(HttpClient, AnAbandonedCallIsDiscardedOnRequest)
 {
-	// Failed first (msafiri-loom-grown, hunt-e342-7, ONE): an order to a host was held by a cut and arrived 4 s after it was given up, when
-	// another host had given orders with a higher token
-	EXPECT_EQ(EndOfGivenUpCall(HttpClient::EClose::Discard), ECONNRESET);
-	EXPECT_EQ(EndOfGivenUpCall(HttpClient::EClose::Deliver), 0);
+	// Guards against delivering an abandoned order late: a network partition held an order to a host back until 4 s after it was abandoned,
+	// when another host had given orders with a higher fencing token
+	EXPECT_EQ(CloseErrorOfAbandonedCall(HttpClient::EClose::Discard), ECONNRESET);
+	EXPECT_EQ(CloseErrorOfAbandonedCall(HttpClient::EClose::Deliver), 0);
 }
 
 } // namespace Loomreach
--- a/UnitTests/PlatformTests.cpp
+++ b/UnitTests/PlatformTests.cpp
@@ -1,4 +1,4 @@
-// The platform's messages as the adapter decodes them: the shapes of the protocol, and damaged ones.
+// Decoding of the platform's messages: valid ones and damaged ones.
 
 #include <Loomreach/Loomreach.h>
 
@@ -32,14 +32,14 @@
 	EXPECT_TRUE(catalogue->pools.at("s").spare);
 }
 
-TEST(PlatformFeeds, RefusesWhatIsNoConfiguration)
+TEST(PlatformFeeds, RefusesDamagedConfigurations)
 {
 	for (const char *body : {"", "[]", "{}", "{\"routes\":3}", "\xff\xfe", "{\"version\":"})
 		EXPECT_FALSE(DecodeCatalogue(body).has_value()) << body;
 	// Fields of the wrong type count as missing
-	const std::optional<Catalogue> odd = DecodeCatalogue(R"({"version":1,"routes":[3,{"name":4,"stretch":"x"}],"services":{}})");
-	ASSERT_TRUE(odd.has_value());
-	EXPECT_EQ(odd->queues.size(), 1u);
+	const std::optional<Catalogue> changed = DecodeCatalogue(R"({"version":1,"routes":[3,{"name":4,"stretch":"x"}],"services":{}})");
+	ASSERT_TRUE(changed.has_value());
+	EXPECT_EQ(changed->queues.size(), 1u);
 }
 
 TEST(PlatformFeeds, DecodesAWorker)
@@ -57,7 +57,7 @@
 	EXPECT_FALSE(DecodeWorker("i-1", R"({"service":"p"})").has_value());
 }
 
-TEST(PlatformFeeds, ReadsWhenAWorkersLifeBegan)
+TEST(PlatformFeeds, ReadsTheStartTimeOfAnIncarnation)
 {
 	const std::string entry =
 		R"({"service":"p","address":"10.0.0.1:80","zone":"z","state":"ready","labels":[],"capacity":{"cpu":1,"memMb":1})";
@@ -65,7 +65,7 @@
 	EXPECT_EQ(DecodeWorker("i-1", entry + "}")->born_ms, cBirthUnknown);
 }
 
-/// An entry that another writer has put there sends work to nobody, or one bad entry hides the others.
+/// Guards against a worker entry of another writer that makes tasks go to an address without a worker, or that hides the other entries.
 TEST(PlatformFeeds, RefusesWorkerEntriesOfAnotherWriter)
 {
 	using Json = nlohmann::json;
@@ -84,18 +84,18 @@
 		EXPECT_FALSE(DecodeWorker("i-1", without.dump()).has_value()) << "without " << field;
 		for (const Json &other : {Json(3), Json(nullptr), Json::object(), Json("never heard of")})
 		{
-			Json odd = sound;
-			odd[field] = other;
+			Json changed = sound;
+			changed[field] = other;
 			// A pool's and a zone's name may be any text
 			const bool any_text = std::string_view(field) == "service" || std::string_view(field) == "zone";
-			EXPECT_EQ(DecodeWorker("i-1", odd.dump()).has_value(), any_text && other.is_string()) << field << ' ' << other;
+			EXPECT_EQ(DecodeWorker("i-1", changed.dump()).has_value(), any_text && other.is_string()) << field << ' ' << other;
 		}
 	}
 	for (const Json &born : {Json(1.5), Json("1"), Json(nullptr)})
 	{
-		Json odd = sound;
-		odd["born"] = born;
-		EXPECT_FALSE(DecodeWorker("i-1", odd.dump()).has_value()) << born;
+		Json changed = sound;
+		changed["born"] = born;
+		EXPECT_FALSE(DecodeWorker("i-1", changed.dump()).has_value()) << born;
 	}
 	for (const char *body : {"", "[]", "\xff\xfe", "{\"service\":"})
 		EXPECT_FALSE(DecodeWorker("i-1", body).has_value()) << body;
@@ -112,7 +112,7 @@
 	EXPECT_EQ(EncodeWaveStatus(3, true).value, R"({"state":"completed","wave":3})");
 }
 
-/// A zone is closed or opened by a record that cannot be read, or by one of another kind.
+/// Guards against closing or opening a zone by a record that cannot be decoded, or by one of another kind.
 TEST(PlatformFeeds, DecodesAnOrderToEvacuate)
 {
 	const std::optional<ZoneOrder> order = DecodeZoneOrder("evacuate/hall-a", "{}");
@@ -137,8 +137,8 @@
 		EXPECT_FALSE(ParseTask(text).has_value()) << text;
 }
 
-/// A look's answer that lists so many ends.
-static HttpResult LookListing(size_t inEnds)
+/// A worker's answer to a poll that lists `inEnds` run ends.
+static HttpResult PollAnswerWith(size_t inEnds)
 {
 	std::string rows;
 	for (size_t number = 1; number <= inEnds; ++number)
@@ -151,16 +151,16 @@
 
 TEST(PlatformWorkers, TellsWhenMoreEndsMayFollow)
 {
-	// Failed first: a list of ends comes 500 at a time, and a run absent from both lists was taken for stopped
-	EXPECT_FALSE(AnswerOf(EOrder::Hold, LookListing(499)).partial);
-	const OrderAnswer full = AnswerOf(EOrder::Hold, LookListing(500));
+	// A worker lists at most 500 ends at a time. Guards against taking a run for stopped that is in neither list of a full answer
+	EXPECT_FALSE(AnswerOf(EOrder::Hold, PollAnswerWith(499)).partial);
+	const OrderAnswer full = AnswerOf(EOrder::Hold, PollAnswerWith(500));
 	EXPECT_TRUE(full.partial);
 	EXPECT_EQ(full.ended.size(), 500u);
 }
 
-TEST(PlatformWorkers, AnAnswerWithoutItsListsTellsNothing)
+TEST(PlatformWorkers, AnAnswerWithoutItsListsProvesNothing)
 {
-	// Failed first: such an answer counted as one of a worker on which nothing runs
+	// Guards against taking such an answer for one of a worker on which nothing runs
 	HttpResult result;
 	result.status = 200;
 	for (const char *body : {"", "{}", R"({"clockMs":5,"running":[]})", R"({"clockMs":5,"ended":[]})", R"({"clockMs":5,"running":[)"})
@@ -174,7 +174,7 @@
 	EXPECT_FALSE(AnswerOf(EOrder::Hold, result).partial);
 }
 
-TEST(PlatformWorkers, NothingIsTakenNoteOfBeyondADamagedEnd)
+TEST(PlatformWorkers, NoEndAfterADamagedOneIsRead)
 {
 	HttpResult result;
 	result.status = 200;
@@ -182,7 +182,7 @@
 	const OrderAnswer answer = AnswerOf(EOrder::Hold, result);
 	EXPECT_EQ(answer.ended.size(), 1u);
 	EXPECT_TRUE(answer.partial);
-	// Nor is a run gone whose row cannot be read
+	// Nor does a row that cannot be decoded mean that its run has stopped
 	result.body = R"({"running":[["a.0.0",1,"",5],["a.0.0.1",1,"",5]],"ended":[]})";
 	EXPECT_TRUE(AnswerOf(EOrder::Hold, result).partial);
 }
@@ -206,7 +206,7 @@
 	ASSERT_TRUE(config.has_value()) << LastReasonText();
 	EXPECT_EQ(config->processor_milli, 250);
 	EXPECT_EQ(config->maintenance_ms, 1500);
-	// A platform that grants shorter leases than the default still starts
+	// A host still starts where the platform grants shorter leases than the setting asks for
 	const std::optional<JobHostConfig> brief = ParseJobHostConfig(text + "worker_lease_ms = 20000\n", "f");
 	ASSERT_TRUE(brief.has_value());
 	EXPECT_EQ(brief->worker_lease_ms, 10000);
