--- a/UnitTests/InboxWriterTests.cpp
+++ b/UnitTests/InboxWriterTests.cpp
@@ -1,4 +1,4 @@
-// Callers' records on their way into an inbox.
+// Appends of callers' records to an inbox.
 
 #include <Loomreach/Loomreach.h>
 
@@ -13,16 +13,16 @@
 namespace
 {
 
-/// A log whose partition takes its appends in turn, some milliseconds each, as the users' does. A call whose time is over before its turn
-/// is carried out all the same.
-class LogInTurn
+/// A log whose partition handles its appends one after the other, 4 ms each, as the store does. An append that times out before its turn is
+/// carried out nevertheless.
+class SequentialLog
 {
 public:
 	void Append(const AppendCall &inCall, const std::function<void(const AppendAnswer &)> &inDone)
 	{
 		++this->calls;
 		const Millis now = NowMillis();
-		this->free_at = std::max(this->free_at, now) + cEachMs;
+		this->free_at = std::max(this->free_at, now) + cAppendMs;
 		const Millis wait = this->free_at - now;
 		AppendAnswer answer;
 		if (wait <= inCall.timeout_ms)
@@ -31,7 +31,7 @@
 		After(std::min(wait, inCall.timeout_ms), [answer, inDone] { inDone(answer); });
 	}
 
-	static constexpr Millis cEachMs = 4;
+	static constexpr Millis cAppendMs = 4;
 	size_t calls = 0;
 	size_t records = 0;
 	Millis free_at = 0;
@@ -43,10 +43,10 @@
 
 TEST(InboxWriter, ManyAtOnceShareCalls)
 {
-	// Failed first (msafiri-loom-grown, scale-1): with one call a record, 400 callers a second were more than a partition takes; each that
-	// got no answer in time came again, so the queue never ended: 1,122 callers in doubt in the 8 s after an outage
-	LogInTurn log;
-	InboxWriter<LogInTurn> writer(log, cInbox);
+	// With one append per record, 400 callers per second exceed what a partition can handle. Callers that time out repeat their calls, so
+	// that the queue never drains: 1,122 callers got no certain answer in the 8 s after an outage.
+	SequentialLog log;
+	InboxWriter<SequentialLog> writer(log, cInbox);
 	size_t done = 0;
 	size_t other = 0;
 	for (int i = 0; i < 1000; ++i)
@@ -58,15 +58,15 @@
 	EXPECT_LT(log.calls, 10u);
 }
 
-TEST(InboxWriter, OneAloneLeavesAtOnce)
+TEST(InboxWriter, ASingleRecordIsSentAtOnce)
 {
-	LogInTurn log;
-	InboxWriter<LogInTurn> writer(log, cInbox);
+	SequentialLog log;
+	InboxWriter<SequentialLog> writer(log, cInbox);
 	writer.Enter("record", 700, [](const AppendAnswer &) {});
 	EXPECT_EQ(log.calls, 1u);
 }
 
-TEST(InboxWriter, EachRecordHasItsOwnPlace)
+TEST(InboxWriter, EachRecordGetsItsOwnOffset)
 {
 	FakeLog log;
 	InboxWriter<FakeLog> writer(log, cInbox);
@@ -78,6 +78,7 @@
 	EXPECT_EQ(log.Size(cInbox), 4u);
 }
 
+/// Guards against a batch that waits for the answer to an earlier one until its callers time out.
 TEST(InboxWriter, ALostAnswerHoldsUpNobodyElse)
 {
 	/// Never answers its first call.
@@ -100,7 +101,8 @@
 	EXPECT_TRUE(second);
 }
 
-TEST(InboxWriter, WhatNeverLeftIsRefusedNotInDoubt)
+/// Its caller may be told for certain that the job was not accepted.
+TEST(InboxWriter, ARecordThatWasNeverSentIsRefusedNotUnknown)
 {
 	/// Answers nothing within the test's time.
 	struct Mute
--- a/UnitTests/WorkerOrderTests.cpp
+++ b/UnitTests/WorkerOrderTests.cpp
@@ -1,4 +1,4 @@
-// What the answer to an order proves: orders by real calls to workers on loopback, one of which carries a start out and loses the answer.
+// What the answer to an order proves. Orders are real calls to workers on loopback, one of which carries out a start and loses the answer.
 
 #include <Loomreach/Loomreach.h>
 
@@ -20,49 +20,49 @@
 
 using Json = nlohmann::json;
 
-constexpr Millis cStepMs = 20;             ///< As often as an owner takes news together.
-constexpr Millis cRunMs = 900;             ///< Twice what a refused worker is passed over, so a second run has time to show.
-constexpr int64 cWall = 1'700'000'000'000; ///< Any time of day.
-constexpr Millis cLookLateMs = 100;        ///< A few of the owner's steps.
-constexpr uint32 cTooMany = 429;           ///< libsoup has no name for this status.
+constexpr Millis cStepMs = 20; ///< Interval at which the owner plans and sends orders.
+constexpr Millis cRunMs = 900; ///< Twice the time for which a worker that refused is skipped, so that a second run would show.
+constexpr int64 cWallMs = 1'700'000'000'000; ///< Any wall-clock time, ms.
+constexpr Millis cPollDelayMs = 100;         ///< A few of the owner's steps.
+constexpr uint32 cTooMany = 429;             ///< libsoup has no name for this status.
 
-/// How a worker loses the answer to its first start, and what becomes of the repeat that libcurl makes by itself.
-struct Loss
+/// How a worker loses the answer to its first start, and what the repeat that libcurl makes by itself gets.
+struct LostAnswerCase
 {
 	std::string name;
-	Millis closes_after = 0;        ///< The connection closes this long after the start came; meanwhile the worker tells nothing.
-	bool ends_first = false;        ///< The run is done by then.
-	Millis not_after = 0;           ///< Starts must not leave later than this after they were made; 0: no bound.
-	bool listens = true;            ///< Whether the repeat finds anybody.
-	uint32 status = SOUP_STATUS_OK; ///< The answer to the repeat.
-	std::string reason;             ///< Why it is refused, where the answer says so.
-
-	friend void PrintTo(const Loss &inLoss, std::ostream *outText) { *outText << inLoss.name; }
+	Millis close_delay_ms = 0;      ///< The connection closes this long after the start arrived; until then polls get no answer.
+	bool ends_run = false;          ///< The run has ended by then.
+	Millis not_after = 0;           ///< Starts must not be sent later than this after they were made; 0: no bound.
+	bool listens = true;            ///< Whether the worker accepts the connection of the repeat.
+	uint32 status = SOUP_STATUS_OK; ///< HTTP status of the answer to the repeat.
+	std::string reason;             ///< Reason of the refusal, if the answer contains one.
+
+	friend void PrintTo(const LostAnswerCase &inCase, std::ostream *outText) { *outText << inCase.name; }
 };
 
-/// What all workers of a test were told to start.
+/// The starts that all workers of a test received.
 struct Starts
 {
-	uint32 calls = 0;               ///< Starts that arrived, repeats included.
-	uint32 holds_after = 0;         ///< Looks that arrived after the first start.
+	uint32 calls = 0;               ///< Starts that arrived, including repeats.
+	uint32 polls_after_start = 0;   ///< Polls that arrived after the first start.
 	std::vector<std::string> begun; ///< Starts that were carried out: task, run and worker.
 };
 
-/// A worker that keeps the platform's rules, but for the answer to the first start that any worker gets.
-class LosingWorker
+/// A worker that follows the platform's rules, except that the first start that any worker of the test receives gets no answer.
+class AnswerLosingWorker
 {
 public:
-	LosingWorker(std::string inId, const Loss &inLoss, Starts &ioStarts)
-		: id(std::move(inId)), loss(inLoss), starts(ioStarts), server(OpenServer({"127.0.0.1", 0}, this->id))
+	AnswerLosingWorker(std::string inId, const LostAnswerCase &inCase, Starts &ioStarts)
+		: id(std::move(inId)), lost_answer(inCase), starts(ioStarts), server(OpenServer({"127.0.0.1", 0}, this->id))
 	{
 		GSList *uris = soup_server_get_uris(this->server.get());
 		this->port = static_cast<uint16>(g_uri_get_port(static_cast<GUri *>(uris->data)));
 		g_slist_free_full(uris, [](gpointer inUri) { g_uri_unref(static_cast<GUri *>(inUri)); });
-		soup_server_add_handler(this->server.get(), nullptr, &LosingWorker::OnOrder, this, nullptr);
+		soup_server_add_handler(this->server.get(), nullptr, &AnswerLosingWorker::OnOrder, this, nullptr);
 	}
-	~LosingWorker() { soup_server_disconnect(this->server.get()); }
-	LosingWorker(const LosingWorker &) = delete;
-	LosingWorker &operator=(const LosingWorker &) = delete;
+	~AnswerLosingWorker() { soup_server_disconnect(this->server.get()); }
+	AnswerLosingWorker(const AnswerLosingWorker &) = delete;
+	AnswerLosingWorker &operator=(const AnswerLosingWorker &) = delete;
 
 	WorkerEntry Entry() const
 	{
@@ -75,7 +75,7 @@
 		return entry;
 	}
 
-	/// Everything that runs here is done.
+	/// Ends all runs of this worker as done.
 	void EndAll()
 	{
 		for (const Json &row : this->running)
@@ -88,14 +88,14 @@
 	{
 		const SoupMessageBody *body = soup_server_message_get_request_body(inMessage);
 		const Json order = Json::parse(body->data, body->data + body->length, nullptr, false);
-		LosingWorker *self = static_cast<LosingWorker *>(inSelf);
+		AnswerLosingWorker *self = static_cast<AnswerLosingWorker *>(inSelf);
 		if (std::string_view(inPath) == "/run-start")
 			return self->Start(inMessage, order);
-		self->starts.holds_after += self->starts.calls > 0 ? 1 : 0;
-		if (self->lost == nullptr && !self->late.IsRunning())
+		self->starts.polls_after_start += self->starts.calls > 0 ? 1 : 0;
+		if (self->unanswered_start == nullptr && !self->poll_delay.IsRunning())
 			return self->Answer(inMessage, SOUP_STATUS_OK, "");
 		soup_server_message_pause(inMessage);
-		self->waiting.push_back(Share(inMessage));
+		self->held_polls.push_back(Share(inMessage));
 	}
 
 	void Answer(SoupServerMessage *inMessage, uint32 inStatus, const std::string &inReason) const
@@ -113,58 +113,58 @@
 		++this->starts.calls;
 		const std::string what = inOrder["task"].get<std::string>() + " run " + inOrder["run"].dump() + " on " + this->id;
 		if (std::count(this->starts.begun.begin(), this->starts.begun.end(), what) > 0)
-			return this->Answer(inMessage, this->loss.status, this->loss.reason);
+			return this->Answer(inMessage, this->lost_answer.status, this->lost_answer.reason);
 		this->running.push_back({inOrder["task"], inOrder["run"], "", 0});
 		this->starts.begun.push_back(what);
 		if (this->starts.begun.size() > 1)
 			return this->Answer(inMessage, SOUP_STATUS_OK, "");
-		// Carried out, and nobody is told
+		// Carried out, but not answered
 		soup_server_message_pause(inMessage);
-		this->lost = Share(inMessage);
-		this->close.Once(this->loss.closes_after, [this] { this->Lose(); });
+		this->unanswered_start = Share(inMessage);
+		this->close.Once(this->lost_answer.close_delay_ms, [this] { this->CloseConnection(); });
 	}
 
-	void Lose()
+	void CloseConnection()
 	{
-		const ObjectPtr<GIOStream> stream(soup_server_message_steal_connection(this->lost.get()));
-		// Without a listener the repeat finds nobody
-		if (!this->loss.listens)
+		const ObjectPtr<GIOStream> stream(soup_server_message_steal_connection(this->unanswered_start.get()));
+		// Without a listener the repeat can't connect
+		if (!this->lost_answer.listens)
 			soup_server_disconnect(this->server.get());
 		g_io_stream_close(stream.get(), nullptr, nullptr);
-		this->lost.reset();
-		if (this->loss.ends_first)
+		this->unanswered_start.reset();
+		if (this->lost_answer.ends_run)
 			this->EndAll();
-		// The answer to the start, if there is one, comes before any news of the run
-		this->late.Once(cLookLateMs, [this] { this->AnswerLooks(); });
+		// The answer to the start, if there is one, arrives before any poll lists the run
+		this->poll_delay.Once(cPollDelayMs, [this] { this->AnswerPolls(); });
 	}
 
-	void AnswerLooks()
+	void AnswerPolls()
 	{
-		for (const ObjectPtr<SoupServerMessage> &look : std::exchange(this->waiting, {}))
+		for (const ObjectPtr<SoupServerMessage> &poll : std::exchange(this->held_polls, {}))
 		{
-			this->Answer(look.get(), SOUP_STATUS_OK, "");
-			soup_server_message_unpause(look.get());
+			this->Answer(poll.get(), SOUP_STATUS_OK, "");
+			soup_server_message_unpause(poll.get());
 		}
 	}
 
 	std::string id;
-	Loss loss;
+	LostAnswerCase lost_answer;
 	Starts &starts;
 	ObjectPtr<SoupServer> server;
-	ObjectPtr<SoupServerMessage> lost;                 ///< The start that gets no answer.
-	std::vector<ObjectPtr<SoupServerMessage>> waiting; ///< Looks that came meanwhile.
+	ObjectPtr<SoupServerMessage> unanswered_start;        ///< The start that gets no answer.
+	std::vector<ObjectPtr<SoupServerMessage>> held_polls; ///< Polls that arrived meanwhile.
 	Timer close;
-	Timer late; ///< Runs while looks wait on.
+	Timer poll_delay; ///< Runs while polls are still held back.
 	uint16 port = 0;
 	Json running = Json::array();
 	Json ended = Json::array();
 };
 
-/// A cell whose log takes everything at once and whose orders are calls to real addresses.
-class CallingSeat
+/// Drives a cell whose log persists everything at once and whose orders are calls to real addresses.
+class CallingCellDriver
 {
 public:
-	CallingSeat(std::vector<WorkerEntry> inWorkers, Millis inNotAfter) : workers(std::move(inWorkers)), not_after(inNotAfter)
+	CallingCellDriver(std::vector<WorkerEntry> inWorkers, Millis inNotAfter) : workers(std::move(inWorkers)), not_after(inNotAfter)
 	{
 		this->cell.Begin(1, NowMillis());
 		this->tick.Every(cStepMs, [this] { this->Step(); });
@@ -172,8 +172,8 @@
 
 	void Submit(JobSpec inSpec)
 	{
-		inSpec.accepted_wall_ms = cWall + NowMillis();
-		this->cell.Ingest({EInbox::Submit, std::move(inSpec)}, this->cell.InboxNext(), NowMillis(), cWall + NowMillis());
+		inSpec.accepted_wall_ms = cWallMs + NowMillis();
+		this->cell.Ingest({EInbox::Submit, std::move(inSpec)}, this->cell.InboxNext(), NowMillis(), cWallMs + NowMillis());
 	}
 	EJobPhase Phase(const std::string &inJob) const { return this->cell.Query("queue", inJob).phase; }
 	const std::vector<EOrderResult> &StartResults() const { return this->start_results; }
@@ -183,8 +183,8 @@
 	{
 		const Millis now = NowMillis();
 		this->cell.SetWorkers(this->workers, now);
-		this->cell.Plan(now, cWall + now);
-		if (this->cell.HasNews() && !this->cell.TakeBatch(cWall + now).empty())
+		this->cell.Plan(now, cWallMs + now);
+		if (this->cell.HasNews() && !this->cell.TakeBatch(cWallMs + now).empty())
 			this->cell.OnAppended(now);
 		for (Order &order : this->cell.TakeOrders(now))
 			this->Send(order);
@@ -212,29 +212,29 @@
 	WorkerCalls calls;
 };
 
-class LostStart : public testing::TestWithParam<Loss>
+class LostStart : public testing::TestWithParam<LostAnswerCase>
 {
 };
 
 } // namespace
 
-// Failed first on ad8ee52 (issue 21, TWICE): a start was carried out, its connection closed without an answer, and libcurl sent it again by
-// itself. What became of the repeat was taken for what had become of the start: certainly not carried out.
+// A start is carried out, its connection closes without an answer, and libcurl sends it again by itself. Guards against taking the result
+// of the repeat for the result of the start, as if it had certainly not been carried out: its task would be started twice.
 
-TEST_P(LostStart, IsInDoubtWhateverBecomesOfItsRepeat)
+TEST_P(LostStart, HasAnUnknownResultWhateverItsRepeatGets)
 {
 	Starts starts;
-	LosingWorker worker("w0", GetParam(), starts);
+	AnswerLosingWorker worker("w0", GetParam(), starts);
 	WorkerCalls calls;
 	std::vector<OrderAnswer> answers;
 	const auto note = [&answers](const OrderAnswer &inAnswer) { answers.push_back(inAnswer); };
-	Order look;
-	look.worker = "w0";
-	look.address = worker.Entry().address;
-	// Only a kept connection makes libcurl repeat
-	calls.Send(look, note);
+	Order poll;
+	poll.worker = "w0";
+	poll.address = worker.Entry().address;
+	// libcurl repeats calls only on kept connections
+	calls.Send(poll, note);
 	FakeLog::Settle(100);
-	Order start = look;
+	Order start = poll;
 	start.kind = EOrder::Start;
 	start.task = {"a", 0, 0, 0};
 	start.run = 1;
@@ -249,36 +249,36 @@
 		<< "starts that arrived: " << starts.calls;
 }
 
-TEST_P(LostStart, GetsNoOtherRunBeforeItsWorkerWasAsked)
+TEST_P(LostStart, GetsNoOtherRunBeforeItsWorkerWasPolled)
 {
 	Starts starts;
-	LosingWorker first("w0", GetParam(), starts);
-	LosingWorker second("w1", GetParam(), starts);
-	CallingSeat seat({first.Entry(), second.Entry()}, GetParam().not_after);
+	AnswerLosingWorker first("w0", GetParam(), starts);
+	AnswerLosingWorker second("w1", GetParam(), starts);
+	CallingCellDriver driver({first.Entry(), second.Entry()}, GetParam().not_after);
 	FakeLog::Settle(200);
-	seat.Submit(MakeJob("a", 1, 1, 1000, 5000));
+	driver.Submit(MakeJob("a", 1, 1, 1000, 5000));
 	FakeLog::Settle(cRunMs);
 	ASSERT_GE(starts.begun.size(), 1u);
 	EXPECT_EQ(starts.begun.size(), 1u) << "two runs at once: " << starts.begun.front() << ", " << starts.begun.back();
-	ASSERT_GE(seat.StartResults().size(), 1u);
-	EXPECT_EQ(NameOf(cOrderResultNames, seat.StartResults().front()), NameOf(cOrderResultNames, EOrderResult::Unknown));
-	// A worker that can be reached was asked, and what it has is the run
+	ASSERT_GE(driver.StartResults().size(), 1u);
+	EXPECT_EQ(NameOf(cOrderResultNames, driver.StartResults().front()), NameOf(cOrderResultNames, EOrderResult::Unknown));
+	// A reachable worker was polled, and the run that it has is the task's run
 	if (!GetParam().listens)
 		return;
-	EXPECT_GE(starts.holds_after, 1u);
+	EXPECT_GE(starts.polls_after_start, 1u);
 	first.EndAll();
 	second.EndAll();
 	FakeLog::Settle(cRunMs);
-	EXPECT_EQ(seat.Phase("a"), EJobPhase::Completed);
+	EXPECT_EQ(driver.Phase("a"), EJobPhase::Completed);
 	EXPECT_EQ(starts.begun.size(), 1u);
 }
 
 INSTANTIATE_TEST_SUITE_P(WorkerOrders, LostStart,
-						 testing::Values(Loss{"RefusedAsUnhealthy", 0, false, 0, true, SOUP_STATUS_SERVICE_UNAVAILABLE, ""},
-										 Loss{"RefusedAsTooMany", 0, false, 0, true, cTooMany, ""},
-										 Loss{"RefusedAsOld", 0, true, 0, true, SOUP_STATUS_CONFLICT, "old"},
-										 Loss{"TooLateToLeave", 250, false, 150, true, SOUP_STATUS_OK, ""},
-										 Loss{"FindsNobody", 0, false, 0, false, SOUP_STATUS_OK, ""}),
-						 [](const testing::TestParamInfo<Loss> &inInfo) { return inInfo.param.name; });
+						 testing::Values(LostAnswerCase{"RefusedAsUnhealthy", 0, false, 0, true, SOUP_STATUS_SERVICE_UNAVAILABLE, ""},
+										 LostAnswerCase{"RefusedAsTooMany", 0, false, 0, true, cTooMany, ""},
+										 LostAnswerCase{"RefusedAsOld", 0, true, 0, true, SOUP_STATUS_CONFLICT, "old"},
+										 LostAnswerCase{"TooLateToLeave", 250, false, 150, true, SOUP_STATUS_OK, ""},
+										 LostAnswerCase{"FindsNobody", 0, false, 0, false, SOUP_STATUS_OK, ""}),
+						 [](const testing::TestParamInfo<LostAnswerCase> &inInfo) { return inInfo.param.name; });
 
 } // namespace Loomreach::Jobs::Platform
