--- a/UnitTests/EndLedgerTests.cpp
+++ b/UnitTests/EndLedgerTests.cpp
@@ -1,4 +1,5 @@
-// The stand-in's judge of starts after ends: as strict as the users' page, and no stricter.
+// The fake platform's check for tasks that are started again after an acknowledged run end: as strict as the platform's rules, and no
+// stricter.
 
 #include <Loomreach/Loomreach.h>
 
@@ -13,68 +14,69 @@
 {
 
 const RunSeen cFirst{"job.0.0.0", 1, "a", 100};
-const RunSeen cAgain{"job.0.0.0", 2, "b", 200};
+const RunSeen cSecond{"job.0.0.0", 2, "b", 200};
 
 } // namespace
 
-TEST(EndLedger, AStartAfterANotedEndIsBroken)
+TEST(EndLedger, AStartAfterAnAcknowledgedEndIsAViolation)
 {
 	EndLedger ledger;
 	EXPECT_TRUE(ledger.Start(cFirst).empty());
 	ledger.Done(cFirst, 1);
 	EXPECT_TRUE(ledger.Noted("a", 1, 150).empty());
-	EXPECT_EQ(ledger.Start(cAgain).size(), 1u);
+	EXPECT_EQ(ledger.Start(cSecond).size(), 1u);
 }
 
-TEST(EndLedger, ANotedEndCountsForGood)
+TEST(EndLedger, AnAcknowledgedEndIsNeverRevoked)
 {
 	EndLedger ledger;
 	ledger.Done(cFirst, 1);
 	ledger.Noted("a", 1, 150);
-	// Neither a lease that runs out later nor the worker's end takes it back
+	// Neither a lease that expires later nor the loss of the worker revokes it
 	ledger.Lapsed("a");
 	ledger.Gone("a");
-	EXPECT_EQ(ledger.Start(cAgain).size(), 1u);
+	EXPECT_EQ(ledger.Start(cSecond).size(), 1u);
 	EXPECT_TRUE(ledger.Excused().empty());
 }
 
-TEST(EndLedger, AStartIsBrokenWhenTheEndIsNotedAfterwards)
+TEST(EndLedger, AStartIsAViolationWhenTheEndIsAcknowledgedAfterwards)
 {
 	EndLedger ledger;
 	ledger.Done(cFirst, 3);
-	EXPECT_TRUE(ledger.Start(cAgain).empty());
-	// A look that reaches earlier ends only says nothing of this one
+	EXPECT_TRUE(ledger.Start(cSecond).empty());
+	// A poll that acknowledges only earlier ends, or ends of another worker, does not acknowledge this one
 	EXPECT_TRUE(ledger.Noted("a", 2, 300).empty());
 	EXPECT_TRUE(ledger.Noted("b", 3, 300).empty());
 	const std::vector<std::string> lines = ledger.Noted("a", 3, 400);
 	ASSERT_EQ(lines.size(), 1u);
-	// Both runs, workers and times are told
+	// The line names both runs with their workers and times
 	for (const char *word : {"run 1 on a at 100", "run 2 on b at 200", "taken note of at 400"})
 		EXPECT_NE(lines[0].find(word), std::string::npos) << word;
 }
 
-TEST(EndLedger, ALapseVoidsWhatWasNotNotedBefore)
+/// Once the lease of a worker has expired, its tasks may be started again, unless their end was acknowledged before.
+TEST(EndLedger, ALapseVoidsEndsNotYetAcknowledged)
 {
 	EndLedger ledger;
 	ledger.Done(cFirst, 1);
-	EXPECT_TRUE(ledger.Start(cAgain).empty());
+	EXPECT_TRUE(ledger.Start(cSecond).empty());
 	ledger.Lapsed("a");
 	EXPECT_TRUE(ledger.Noted("a", 1, 300).empty());
 	EXPECT_TRUE(ledger.Start({"job.0.0.0", 3, "c", 350}).empty());
-	// Allowed, and told
+	// Allowed, but listed
 	EXPECT_EQ(ledger.Excused().size(), 2u);
 }
 
-TEST(EndLedger, ALapseVoidsNoEndOfAfterwards)
+TEST(EndLedger, ALapseVoidsNoLaterEnd)
 {
 	EndLedger ledger;
 	ledger.Lapsed("a");
 	ledger.Done(cFirst, 1);
-	EXPECT_TRUE(ledger.Start(cAgain).empty());
+	EXPECT_TRUE(ledger.Start(cSecond).empty());
 	EXPECT_EQ(ledger.Noted("a", 1, 300).size(), 1u);
 }
 
-TEST(EndLedger, TellsWhatNobodyHasHeard)
+TEST(EndLedger, CountsEndsNotYetAcknowledged)
 {
 	EndLedger ledger;
 	ledger.Done(cFirst, 1);
@@ -91,7 +93,7 @@
 	EndLedger ledger;
 	ledger.Done(cFirst, 1);
 	ledger.Lapsed("b");
-	EXPECT_TRUE(ledger.Start(cAgain).empty());
+	EXPECT_TRUE(ledger.Start(cSecond).empty());
 	EXPECT_EQ(ledger.Noted("a", 1, 300).size(), 1u);
 }
 
--- a/UnitTests/EndReplicaTests.cpp
+++ b/UnitTests/EndReplicaTests.cpp
@@ -1,4 +1,4 @@
-// Replicas of ends that an owner has read and its log does not hold yet.
+// Replicas of run ends that an owner has read and not persisted yet.
 
 #include <Loomreach/Loomreach.h>
 
@@ -16,7 +16,7 @@
 constexpr uint32 cCell = 3;
 constexpr uint64 cEpoch = 7;
 
-EndedRow Row(uint64 inNumber, ERunEnd inEnd = ERunEnd::Done)
+EndedRow MakeEnd(uint64 inNumber, ERunEnd inEnd = ERunEnd::Done)
 {
 	return {inNumber, {"0123456789abcdef", 0, 0, static_cast<uint32>(inNumber)}, 1, inEnd, ""};
 }
@@ -28,17 +28,17 @@
 	return owner;
 }
 
-bool IsGone(uint32, uint64) { return true; }
-bool IsAtWork(uint32, uint64) { return false; }
+bool HasOwnerStopped(uint32, uint64) { return true; }
+bool IsOwnerRunning(uint32, uint64) { return false; }
 
-/// All that an owner has to tell reaches the host that keeps replicas.
-void Tell(EndReplicator &ioOwner, EndReplicas &ioReplicas, Millis inNow)
+/// Delivers all pending updates of the owner to the host that keeps replicas.
+void Deliver(EndReplicator &ioOwner, EndReplicas &ioReplicas, Millis inNow)
 {
 	while (std::optional<EndsUpdate> update = ioOwner.Take(inNow))
 		ioReplicas.OnUpdate(std::move(*update), inNow);
 }
 
-void Log(EndReplicator &ioOwner)
+void Persist(EndReplicator &ioOwner)
 {
 	ioOwner.BeginWriting();
 	ioOwner.OnWriting();
@@ -47,65 +47,65 @@
 
 } // namespace
 
-/// What an owner that is killed had read was known to nobody else.
+/// Guards against losing the run ends that a killed owner had read and not persisted.
 TEST(EndReplicas, AnEndOutlivesTheOwnerThatReadIt)
 {
 	EndReplicator owner = Owner();
 	EndReplicas replicas;
-	owner.Note("w1", Row(1));
-	owner.Note("w2", Row(5, ERunEnd::Failed));
-	Tell(owner, replicas, 100);
-	EXPECT_TRUE(replicas.TakeOrphans(&IsAtWork, 200).empty());
-	const std::vector<OrphanedEnds> orphans = replicas.TakeOrphans(&IsGone, 300);
+	owner.Note("w1", MakeEnd(1));
+	owner.Note("w2", MakeEnd(5, ERunEnd::Failed));
+	Deliver(owner, replicas, 100);
+	EXPECT_TRUE(replicas.TakeOrphans(&IsOwnerRunning, 200).empty());
+	const std::vector<OrphanedEnds> orphans = replicas.TakeOrphans(&HasOwnerStopped, 300);
 	ASSERT_EQ(orphans.size(), 2u);
 	EXPECT_EQ(orphans[0].cell, cCell);
 	EXPECT_EQ(orphans[0].report.worker, "w1");
 	EXPECT_EQ(orphans[0].report.epoch, cEpoch);
 	EXPECT_EQ(orphans[1].report.ended.at(0).number, 5u);
-	EXPECT_TRUE(replicas.TakeOrphans(&IsGone, 400).empty());
+	EXPECT_TRUE(replicas.TakeOrphans(&HasOwnerStopped, 400).empty());
 }
 
-/// At each change of owner, all that had ever ended would be handed in again.
-TEST(EndReplicas, NothingIsKeptThatTheLogHolds)
+/// Guards against keeping ends that the log contains: at each change of owner, all of them would be submitted again.
+TEST(EndReplicas, PersistedEndsAreNotKept)
 {
 	EndReplicator owner = Owner();
 	EndReplicas replicas;
-	owner.Note("w1", Row(1));
-	Tell(owner, replicas, 100);
+	owner.Note("w1", MakeEnd(1));
+	Deliver(owner, replicas, 100);
 	owner.BeginWriting();
-	owner.Note("w1", Row(2));
-	Tell(owner, replicas, 110);
+	owner.Note("w1", MakeEnd(2));
+	Deliver(owner, replicas, 110);
 	owner.OnWriting();
 	owner.OnLogged();
-	Tell(owner, replicas, 2000);
+	Deliver(owner, replicas, 2000);
 	EXPECT_EQ(replicas.Size(), 1u);
-	Log(owner);
-	Tell(owner, replicas, 4000);
+	Persist(owner);
+	Deliver(owner, replicas, 4000);
 	EXPECT_EQ(replicas.Size(), 0u);
 }
 
-/// A release that comes before the ends it speaks of must not keep them for good.
-TEST(EndReplicas, WhatComesLateIsDroppedInTime)
+/// A release may arrive before the ends that it refers to; they must not be kept for ever.
+TEST(EndReplicas, EndsThatArriveLateAreDroppedInTime)
 {
 	EndReplicator owner = Owner();
 	EndReplicas replicas;
-	owner.Note("w1", Row(1));
+	owner.Note("w1", MakeEnd(1));
 	const std::optional<EndsUpdate> late = owner.Take(100);
-	Log(owner);
-	Tell(owner, replicas, 2000);
+	Persist(owner);
+	Deliver(owner, replicas, 2000);
 	ASSERT_TRUE(late.has_value());
 	replicas.OnUpdate(*late, 2000);
 	EXPECT_EQ(replicas.Size(), 1u);
-	EXPECT_TRUE(replicas.TakeOrphans(&IsGone, 60000).empty());
+	EXPECT_TRUE(replicas.TakeOrphans(&HasOwnerStopped, 60000).empty());
 	EXPECT_EQ(replicas.Size(), 0u);
 }
 
-/// One answer may list more ends than a datagram holds.
+/// A worker's answer may list more ends than fit into one datagram.
 TEST(EndReplicas, ManyEndsFitDatagrams)
 {
 	EndReplicator owner = Owner();
 	for (uint64 number = 1; number <= 1000; ++number)
-		owner.Note("w1", Row(number));
+		owner.Note("w1", MakeEnd(number));
 	size_t rows = 0;
 	while (const std::optional<EndsUpdate> update = owner.Take(100))
 	{
@@ -116,15 +116,15 @@
 	EXPECT_EQ(rows, 1000u);
 }
 
-/// Without a bound, owners that hang would fill the memory of the host that keeps their replicas.
+/// Without a bound, unresponsive owners would exhaust the memory of the host that keeps their replicas.
 TEST(EndReplicas, TheirNumberIsBounded)
 {
 	EndReplicator owner = Owner();
 	EndReplicas replicas;
 	for (uint64 number = 1; number <= 5000; ++number)
 	{
-		owner.Note("w1", Row(number));
-		Tell(owner, replicas, 100);
+		owner.Note("w1", MakeEnd(number));
+		Deliver(owner, replicas, 100);
 	}
 	EXPECT_EQ(replicas.Size(), 2000u);
 }
--- a/UnitTests/EndsHandInTests.cpp
+++ b/UnitTests/EndsHandInTests.cpp
@@ -1,4 +1,4 @@
-// Ends that only a former owner was told of, on their way to the next one.
+// Run ends that only a former owner knows, submitted to the inbox for its successor.
 
 #include <Loomreach/Loomreach.h>
 
@@ -19,7 +19,7 @@
 constexpr uint32 cCell = 2;
 const LogName cInbox{"inbox", cCell};
 
-/// A former owner's way into an inbox.
+/// A former owner that submits run ends to an inbox.
 struct FormerOwner
 {
 	FakeLog log;
@@ -29,7 +29,7 @@
 
 EndReport ReportOf(const TaskId &inTask, uint32 inRun, ERunEnd inEnd) { return {"w0", 1, {{1, inTask, inRun, inEnd, ""}}}; }
 
-/// What hosts of versions without reports of ends know of an inbox's record.
+/// The inbox record as hosts of versions without reports of run ends decode it.
 struct OlderInboxRecord
 {
 	EInbox kind = EInbox::Submit;
@@ -52,15 +52,15 @@
 	EXPECT_EQ(owner.ends.UnderWay(), 1u);
 	FakeLog::Settle(2000);
 	EXPECT_EQ(owner.ends.UnderWay(), 0u);
-	// The one whose answer was lost, and the one after it
+	// The append whose answer was lost, and its repeat
 	EXPECT_EQ(owner.log.Size(cInbox), 2u);
 }
 
-TEST(EndsHandIn, OlderHostsPassOverWhatTheyDoNotKnow)
+TEST(EndsHandIn, OlderHostsSkipRecordsTheyDoNotKnow)
 {
 	const std::string ends = EncodeValue(InboxRecord{EInbox::Ends, {}, ReportOf({"job", 0, 0, 0}, 1, ERunEnd::Done)});
 	EXPECT_FALSE(DecodeValue<OlderInboxRecord>(ends).has_value());
-	// And what they do know is the same to both
+	// Records of the kinds that they know are encoded as before
 	const JobSpec job = MakeJob("job", 1, 2, 500, 800);
 	for (EInbox kind : {EInbox::Submit, EInbox::Cancel})
 	{
@@ -77,7 +77,7 @@
 	world.run_ms["job"] = 1000;
 	world.Submit(MakeJob("job", 1, 1, 500, 800));
 	world.Run(500);
-	// The run ends as failed, by its predecessor's word: three times the same attempt
+	// The predecessor reports the same attempt as failed three times
 	InboxRecord record{EInbox::Ends, {}, ReportOf({"job", 0, 0, 0}, 1, ERunEnd::Failed)};
 	for (uint64 offset = 100; offset < 103; ++offset)
 		world.Core().Ingest(record, offset, world.Now(), world.Now());
@@ -98,7 +98,7 @@
 	EXPECT_EQ(world.Shown("job").phase, EJobPhase::Completed);
 }
 
-TEST(EndsHandIn, WhatIsOfNobodysConcernChangesNothing)
+TEST(EndsHandIn, EndsOfUnknownTasksChangeNothing)
 {
 	CellWorld world(1, Trouble{}, 1);
 	world.Submit(MakeJob("job", 1, 1, 500, 800));
--- a/UnitTests/FleetSeatTests.cpp
+++ b/UnitTests/FleetSeatTests.cpp
@@ -1,4 +1,4 @@
-// The fleet's owner: which orders to hosts leave, and when it may hand over.
+// Which orders the driver of the fleet sends to hosts, and when it may hand over to a successor.
 
 #include <Loomreach/Loomreach.h>
 
@@ -14,10 +14,10 @@
 namespace
 {
 
-constexpr Millis cLongMs = 600'000;
+constexpr Millis cLongLeaseMs = 600'000;
 
-/// A machine service that the test answers for.
-struct HandMachines
+/// A machine service whose answers to orders the test gives.
+struct ManualMachineService
 {
 	using OnList = std::function<void(const std::optional<std::vector<HostEntry>> &)>;
 	using OnDuty = std::function<void(EDutyResult)>;
@@ -39,13 +39,13 @@
 	uint32 lists = 0;
 };
 
-struct HandHub
+struct TestHub
 {
 	static LogName StatusLog() { return {"keyed.status", 0}; }
 	static LogRecord EncodeWaveStatus(int64 inWave, bool) { return {std::to_string(inWave), "state", 0}; }
 
 	FakeLog store;
-	HandMachines machines;
+	ManualMachineService machines;
 };
 
 HostEntry SpareHost(const std::string &inName)
@@ -59,7 +59,7 @@
 	return host;
 }
 
-/// A host's configuration that names a machine service: without one the fleet's owner lists no hosts.
+/// Configuration with a machine service; without one, the fleet's owner lists no hosts.
 JobHostConfig WithMachines()
 {
 	JobHostConfig config;
@@ -67,34 +67,34 @@
 	return config;
 }
 
-/// A seat that has won its claim. Pools answer that they need `need`, if that is anything.
-class HandFleet
+/// A fleet driver that has won its claim. Pools report `need` as their demand, unless it is zero.
+class TestFleetDriver
 {
 public:
-	HandFleet()
+	TestFleetDriver()
 		: lease(LeaseTuning{}), owners("host", LeaseTuning{}),
-		  seat(this->hub, SeatContext{this->config, this->metrics, this->lease, this->owners, {"host", 1, 1}},
-			   [this](const std::string &, const PeerQuestion &, const PeerQuery::OnAnswer &inDone)
-			   {
-				   PeerAnswer answer;
-				   answer.owner = this->need.cpu_milli > 0;
-				   answer.demand.need = this->need;
-				   inDone(answer);
-			   })
+		  driver(this->hub, SeatContext{this->config, this->metrics, this->lease, this->owners, {"host", 1, 1}},
+				 [this](const std::string &, const PeerQuestion &, const PeerQuery::OnAnswer &inDone)
+				 {
+					 PeerAnswer answer;
+					 answer.owner = this->need.cpu_milli > 0;
+					 answer.demand.need = this->need;
+					 inDone(answer);
+				 })
 	{
 		const Millis now = NowMillis();
-		this->lease.OnAcknowledged(now, cLongMs, now);
+		this->lease.OnAcknowledged(now, cLongLeaseMs, now);
 		Catalogue catalogue;
 		catalogue.pools["busy"] = {"busy", false, false};
 		catalogue.pools["spare"] = {"spare", false, true};
-		this->seat.SetCatalogue(std::make_shared<const Catalogue>(catalogue));
+		this->driver.SetCatalogue(std::make_shared<const Catalogue>(catalogue));
 		this->hub.machines.hosts = {SpareHost("a")};
-		this->seat.Claim(0, [](bool) {});
-		for (int i = 0; i < 40 && !this->seat.IsHeld(); ++i)
+		this->driver.Claim(0, [](bool) {});
+		for (int i = 0; i < 40 && !this->driver.IsHeld(); ++i)
 			FakeLog::Settle(50);
 	}
 
-	/// Waits for the first order to a host; false: none came.
+	/// Waits for the first order to a host. Returns false if none is sent within 2 s.
 	bool WaitForOrder()
 	{
 		for (int i = 0; i < 40 && this->hub.machines.sent.empty(); ++i)
@@ -102,73 +102,74 @@
 		return !this->hub.machines.sent.empty();
 	}
 
-	void AskForWave()
+	void RequestWave()
 	{
 		UpkeepWave wave;
 		wave.number = 1;
 		wave.hosts = {"a"};
 		wave.within_ms = 60'000;
-		this->seat.SetWaves({{1, wave}});
+		this->driver.SetWaves({{1, wave}});
 	}
 
-	HandHub hub;
+	TestHub hub;
 	JobHostConfig config = WithMachines();
 	Metrics metrics;
 	OwnLease lease;
 	OwnerTable owners;
 	Resources need;
-	FleetSeat<HandHub> seat;
+	FleetSeat<TestHub> driver;
 };
 
 } // namespace
 
-TEST(FleetSeat, HandsOverNoOrderThatIsUnderWay)
+TEST(FleetSeat, DoesNotHandOverWhileAnOrderIsInFlight)
 {
-	// Failed first: the successor begins at once, and the order arrives after its own, beyond what a wave allows
-	HandFleet fleet;
-	ASSERT_TRUE(fleet.seat.IsHeld());
-	fleet.AskForWave();
+	// Guards against handing over while an order is in flight: the successor starts at once, and the order arrives after its own and
+	// exceeds what a wave allows
+	TestFleetDriver fleet;
+	ASSERT_TRUE(fleet.driver.IsHeld());
+	fleet.RequestWave();
 	ASSERT_TRUE(fleet.WaitForOrder());
 	ASSERT_EQ(fleet.hub.machines.sent.size(), 1u);
-	EXPECT_FALSE(fleet.seat.IsQuiet());
+	EXPECT_FALSE(fleet.driver.IsQuiet());
 	fleet.hub.machines.open[0](EDutyResult::Done);
-	for (int i = 0; i < 20 && !fleet.seat.IsQuiet(); ++i)
+	for (int i = 0; i < 20 && !fleet.driver.IsQuiet(); ++i)
 		FakeLog::Settle(10);
-	EXPECT_TRUE(fleet.seat.IsQuiet());
+	EXPECT_TRUE(fleet.driver.IsQuiet());
 }
 
-TEST(FleetSeat, AnOrderWithoutAnAnswerCountsAsUnderWay)
+TEST(FleetSeat, AnOrderWithoutAnAnswerCountsAsInFlight)
 {
-	HandFleet fleet;
-	EXPECT_FALSE(fleet.seat.HasOrdersUnderWay());
-	fleet.AskForWave();
+	TestFleetDriver fleet;
+	EXPECT_FALSE(fleet.driver.HasOrdersUnderWay());
+	fleet.RequestWave();
 	ASSERT_TRUE(fleet.WaitForOrder());
-	EXPECT_TRUE(fleet.seat.HasOrdersUnderWay());
+	EXPECT_TRUE(fleet.driver.HasOrdersUnderWay());
 	fleet.hub.machines.open[0](EDutyResult::Unknown);
-	EXPECT_TRUE(fleet.seat.HasOrdersUnderWay());
+	EXPECT_TRUE(fleet.driver.HasOrdersUnderWay());
 }
 
-TEST(FleetSeat, OrdersAHostOnlyOneThing)
+TEST(FleetSeat, SendsAHostOnlyOneOrder)
 {
-	// Failed first: what a wave had just chosen was told to the balancer with the next list only
-	HandFleet fleet;
+	// Guards against the balancer learning only with the next list of hosts which of them a wave has chosen
+	TestFleetDriver fleet;
 	fleet.need = {16000, 32768, 0};
-	fleet.AskForWave();
+	fleet.RequestWave();
 	ASSERT_TRUE(fleet.WaitForOrder());
 	FakeLog::Settle(350);
 	EXPECT_EQ(fleet.hub.machines.sent.size(), 1u);
 }
 
-TEST(FleetSeat, TakesDownNoHostThatItHasJustMoved)
+TEST(FleetSeat, OrdersNoHostDownThatItHasJustMoved)
 {
-	// Failed first: a list that lags shows the host in the spare pool still, where nothing runs
-	HandFleet fleet;
+	// A list that lags still shows a moved host in the spare pool, where nothing runs; it must not be ordered down
+	TestFleetDriver fleet;
 	fleet.need = {16000, 32768, 0};
 	ASSERT_TRUE(fleet.WaitForOrder());
 	ASSERT_EQ(fleet.hub.machines.sent.size(), 1u);
 	ASSERT_EQ(fleet.hub.machines.sent[0].kind, EDuty::Move);
 	fleet.hub.machines.open[0](EDutyResult::Done);
-	fleet.AskForWave();
+	fleet.RequestWave();
 	FakeLog::Settle(800);
 	EXPECT_EQ(fleet.hub.machines.sent.size(), 1u);
 }
--- a/UnitTests/PeerQueryTests.cpp
+++ b/UnitTests/PeerQueryTests.cpp
@@ -1,4 +1,4 @@
-// Questions between entry hosts over real datagrams.
+// Queries and notifications between entry hosts, over real datagrams.
 
 #include <Loomreach/Loomreach.h>
 
@@ -18,20 +18,20 @@
 namespace
 {
 
-/// A plain socket on a free port of the loopback address.
-class Datagrams
+/// A UDP socket on a free loopback port.
+class UdpSocket
 {
 public:
-	Datagrams() : descriptor(socket(AF_INET, SOCK_DGRAM | SOCK_NONBLOCK, 0))
+	UdpSocket() : descriptor(socket(AF_INET, SOCK_DGRAM | SOCK_NONBLOCK, 0))
 	{
 		sockaddr_in own{};
 		own.sin_family = AF_INET;
 		own.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
 		EXPECT_EQ(bind(this->descriptor, reinterpret_cast<sockaddr *>(&own), sizeof own), 0);
 	}
-	~Datagrams() { close(this->descriptor); }
-	Datagrams(const Datagrams &) = delete;
-	Datagrams &operator=(const Datagrams &) = delete;
+	~UdpSocket() { close(this->descriptor); }
+	UdpSocket(const UdpSocket &) = delete;
+	UdpSocket &operator=(const UdpSocket &) = delete;
 
 	uint16 Port() const
 	{
@@ -61,15 +61,15 @@
 	int descriptor;
 };
 
-/// A port that is free now.
-uint16 FreePort() { return Datagrams().Port(); }
+/// A loopback port that is free at the time of the call.
+uint16 FreePort() { return UdpSocket().Port(); }
 
 } // namespace
 
 TEST(PeerQuery, ARepeatAfterTheAnswerChangesNothing)
 {
-	// Failed first (msafiri-loom-grown, trouble-2, REFUSED): a helper could not append and said so; a repeat of the question, sent before
-	// that answer came, was carried out anew, and the job ran although its caller had been told that it would not
+	// A helper that could not append says so. Guards against carrying out a repeat of the query that was sent before this answer arrived:
+	// the job would run although its caller was told that it would not.
 	Metrics metrics;
 	size_t carried_out = 0;
 	const uint16 port = FreePort();
@@ -84,41 +84,41 @@
 		},
 		[](EPeerNews, const std::string &) {});
 	ASSERT_TRUE(helper.Open());
-	const Datagrams asker;
+	const UdpSocket client;
 	PeerQuestion question;
 	question.kind = EQuestion::Enter;
 	question.nonce = 7;
 	for (int i = 0; i < 3; ++i)
 	{
-		asker.Send(port, 'Q' + EncodeValue(question));
+		client.Send(port, 'Q' + EncodeValue(question));
 		FakeLog::Settle(20);
 	}
 	EXPECT_EQ(carried_out, 1u);
-	EXPECT_EQ(asker.Receive(), 3u);
-	// Another question of the same asker is another matter
+	EXPECT_EQ(client.Receive(), 3u);
+	// A query with another nonce is a new one
 	question.nonce = 8;
-	asker.Send(port, 'Q' + EncodeValue(question));
+	client.Send(port, 'Q' + EncodeValue(question));
 	FakeLog::Settle(20);
 	EXPECT_EQ(carried_out, 2u);
 }
 
-TEST(PeerQuery, NewsReachesTheHostsThatAreTold)
+TEST(PeerQuery, NotificationsReachTheirDestinations)
 {
 	Metrics metrics;
-	std::vector<std::pair<EPeerNews, std::string>> heard;
+	std::vector<std::pair<EPeerNews, std::string>> received;
 	const auto no_answer = [](const PeerQuestion &, const std::function<void(PeerAnswer)> &) {};
 	const uint16 port = FreePort();
 	PeerQuery listener({"127.0.0.1", port}, metrics, no_answer,
-					   [&heard](EPeerNews inKind, const std::string &inNews) { heard.emplace_back(inKind, inNews); });
+					   [&received](EPeerNews inKind, const std::string &inNews) { received.emplace_back(inKind, inNews); });
 	ASSERT_TRUE(listener.Open());
-	PeerQuery teller({"127.0.0.1", FreePort()}, metrics, no_answer, [](EPeerNews, const std::string &) {});
-	ASSERT_TRUE(teller.Open());
-	// Nobody listens at the second address: that is no matter of the first
-	teller.Tell({{"127.0.0.1", port}, {"127.0.0.1", FreePort()}}, EPeerNews::Beat, "news");
-	teller.Tell({{"127.0.0.1", port}}, EPeerNews::Ends, "ends");
+	PeerQuery sender({"127.0.0.1", FreePort()}, metrics, no_answer, [](EPeerNews, const std::string &) {});
+	ASSERT_TRUE(sender.Open());
+	// A destination on which nobody listens does not affect the other one
+	sender.Tell({{"127.0.0.1", port}, {"127.0.0.1", FreePort()}}, EPeerNews::Beat, "news");
+	sender.Tell({{"127.0.0.1", port}}, EPeerNews::Ends, "ends");
 	FakeLog::Settle(20);
-	const std::vector<std::pair<EPeerNews, std::string>> told = {{EPeerNews::Beat, "news"}, {EPeerNews::Ends, "ends"}};
-	EXPECT_EQ(heard, told);
+	const std::vector<std::pair<EPeerNews, std::string>> expected = {{EPeerNews::Beat, "news"}, {EPeerNews::Ends, "ends"}};
+	EXPECT_EQ(received, expected);
 }
 
 } // namespace Loomreach::Jobs
