--- a/UnitTests/FleetDutyTests.cpp
+++ b/UnitTests/HostOrderTests.cpp
@@ -1,4 +1,4 @@
-// Waves of maintenance and the balance of hosts over pools.
+// Maintenance waves, and the balance of hosts over pools.
 
 #include <Loomreach/Loomreach.h>
 
@@ -33,10 +33,10 @@
 	return catalogue;
 }
 
-/// Plays a wave to its end and returns the most hosts that were down at once.
-uint32 PlayWave(UpkeepPlanner &ioPlanner, std::vector<HostEntry> inHosts, int64 inWave, EDutyResult inResult)
+/// Runs a wave to its end. Returns the greatest number of hosts that were down at the same time.
+uint32 RunWave(UpkeepPlanner &ioPlanner, std::vector<HostEntry> inHosts, int64 inWave, EDutyResult inResult)
 {
-	uint32 most = 0;
+	uint32 max_down = 0;
 	std::map<std::string, Millis> down_since;
 	for (Millis now = 1000; now < 60000 && !ioPlanner.IsCompleted(inWave); now += 100)
 	{
@@ -51,50 +51,50 @@
 		ioPlanner.SetHosts(inHosts, now);
 		for (const HostEntry &host : ioPlanner.ToEmpty(now))
 			ioPlanner.OnEmpty(host.name, now, now);
-		for (const HostDuty &duty : ioPlanner.TakeDuties(now))
+		for (const HostDuty &host_order : ioPlanner.TakeDuties(now))
 		{
-			down_since[duty.host] = now;
-			ioPlanner.OnDuty(duty, inResult, now);
+			down_since[host_order.host] = now;
+			ioPlanner.OnDuty(host_order, inResult, now);
 		}
-		most = std::max(most, static_cast<uint32>(down_since.size()));
+		max_down = std::max(max_down, static_cast<uint32>(down_since.size()));
 	}
-	return most;
+	return max_down;
 }
 
-/// A wave of one host that was asked about at 1000 and ordered down at 1100, with an unknown outcome.
-UpkeepPlanner PlannerInDoubt()
+/// A wave of one host that was drained at 1000 ms and ordered down at 1100 ms, with an unknown result.
+UpkeepPlanner PlannerWithUnknownResult()
 {
 	UpkeepPlanner planner(UpkeepTuning{});
 	planner.AddWave({1, {"m0"}, 26000, 1}, {}, 1000);
 	planner.SetHosts({Host("m0", "busy")}, 1000);
 	EXPECT_EQ(planner.ToEmpty(1000).size(), 1u);
 	planner.OnEmpty("m0", 1000, 1050);
-	const std::vector<HostDuty> duties = planner.TakeDuties(1100);
-	EXPECT_EQ(duties.size(), 1u);
-	if (!duties.empty())
-		planner.OnDuty(duties[0], EDutyResult::Unknown, 1200);
+	const std::vector<HostDuty> host_orders = planner.TakeDuties(1100);
+	EXPECT_EQ(host_orders.size(), 1u);
+	if (!host_orders.empty())
+		planner.OnDuty(host_orders[0], EDutyResult::Unknown, 1200);
 	return planner;
 }
 
 } // namespace
 
-TEST(UpkeepPlanner, SendsAnOrderAgainOnlyToAHostThatIsStillEmpty)
+TEST(UpkeepPlanner, SendsAnOrderAgainOnlyToAHostThatIsStillDrained)
 {
-	// Failed first: the order went again 1.5 s later unasked, when the promise was over and new runs might be there
-	UpkeepPlanner planner = PlannerInDoubt();
+	// Guards against repeating the order 1.5 s later without a new drain grant, when new runs may be on the host
+	UpkeepPlanner planner = PlannerWithUnknownResult();
 	for (Millis now = 1300; now < 6000; now += 100)
 		EXPECT_TRUE(planner.TakeDuties(now).empty()) << now;
 	planner.OnEmpty("m0", 6000, 6050);
 	EXPECT_EQ(planner.TakeDuties(6100).size(), 1u);
 }
 
-TEST(UpkeepPlanner, KeepsAHostEmptyWhileItsOrderIsInDoubt)
+TEST(UpkeepPlanner, KeepsAHostDrainedWhileItsOrdersResultIsUnknown)
 {
-	// Failed first: nobody asked about it any more, and the first order may be carried out late
-	UpkeepPlanner planner = PlannerInDoubt();
+	// The first order may be carried out late; the host must stay drained until its result is known
+	UpkeepPlanner planner = PlannerWithUnknownResult();
 	EXPECT_EQ(planner.ToEmpty(1300).size(), 1u);
 	EXPECT_EQ(planner.ToEmpty(3000).size(), 1u);
-	// Once it is seen down it was the order
+	// Once the host is seen down, the order has been carried out
 	planner.SetHosts({Host("m0", "busy", EHostState::Maintenance)}, 3100);
 	EXPECT_TRUE(planner.ToEmpty(3100).empty());
 	planner.OnEmpty("m0", 3100, 3150);
@@ -103,9 +103,9 @@
 	EXPECT_TRUE(planner.IsCompleted(1));
 }
 
-TEST(UpkeepPlanner, ARefusedRepeatLeavesTheFirstOrderInDoubt)
+TEST(UpkeepPlanner, ARefusedRepeatLeavesTheFirstOrdersResultUnknown)
 {
-	// Failed first: the refusal of the second order was taken for the first one's fate, and another host went down beside it
+	// Guards against taking the refusal of the second order for the result of the first one: another host would go down beside it
 	for (const EDutyResult refusal : {EDutyResult::Refused, EDutyResult::Busy, EDutyResult::StaleToken})
 	{
 		UpkeepPlanner planner(UpkeepTuning{});
@@ -117,50 +117,50 @@
 		};
 		planner.SetHosts({Host("m0", "busy"), Host("m1", "busy")}, 1000);
 		empty(1000);
-		std::vector<HostDuty> duties = planner.TakeDuties(1100);
-		ASSERT_EQ(duties.size(), 1u);
-		planner.OnDuty(duties[0], EDutyResult::Unknown, 1200);
-		// The service is slow: it lists nothing meanwhile
+		std::vector<HostDuty> host_orders = planner.TakeDuties(1100);
+		ASSERT_EQ(host_orders.size(), 1u);
+		planner.OnDuty(host_orders[0], EDutyResult::Unknown, 1200);
+		// The machine service is slow and lists nothing meanwhile
 		empty(2900);
-		duties = planner.TakeDuties(2950);
-		ASSERT_EQ(duties.size(), 1u);
-		EXPECT_EQ(duties[0].host, "m0");
-		planner.OnDuty(duties[0], refusal, 3000);
+		host_orders = planner.TakeDuties(2950);
+		ASSERT_EQ(host_orders.size(), 1u);
+		EXPECT_EQ(host_orders[0].host, "m0");
+		planner.OnDuty(host_orders[0], refusal, 3000);
 		planner.ToEmpty(3050);
 		planner.OnEmpty("m1", 3050, 3050);
 		EXPECT_TRUE(planner.TakeDuties(3100).empty());
-		// Once the list shows it up long after, it was not the order
+		// If the list shows the host up long after, the order was not carried out
 		planner.SetHosts({Host("m0", "busy"), Host("m1", "busy")}, 3200);
 		empty(5000);
-		duties = planner.TakeDuties(5050);
-		ASSERT_EQ(duties.size(), 1u);
-		EXPECT_EQ(duties[0].host, "m0");
-		planner.OnDuty(duties[0], refusal, 5100);
+		host_orders = planner.TakeDuties(5050);
+		ASSERT_EQ(host_orders.size(), 1u);
+		EXPECT_EQ(host_orders[0].host, "m0");
+		planner.OnDuty(host_orders[0], refusal, 5100);
 		planner.ToEmpty(5150);
 		planner.OnEmpty("m1", 5150, 5150);
-		duties = planner.TakeDuties(5200);
-		ASSERT_EQ(duties.size(), 1u);
-		EXPECT_EQ(duties[0].host, "m1");
+		host_orders = planner.TakeDuties(5200);
+		ASSERT_EQ(host_orders.size(), 1u);
+		EXPECT_EQ(host_orders[0].host, "m1");
 	}
 }
 
-TEST(UpkeepPlanner, AnOrderLeavesWhileThePromiseHoldsOrNotAtAll)
+TEST(UpkeepPlanner, AnOrderIsSentOnlyWithinItsDrainGrant)
 {
-	// Failed first: an order that the log held up could leave 2.2 s after the question; the owner's promise lasts 1.5 s
+	// Guards against an order that waits for the log and is sent 2.2 s after the drain request: the owner's drain grant lasts 1.5 s
 	UpkeepPlanner planner(UpkeepTuning{});
 	planner.AddWave({1, {"m0"}, 26000, 1}, {}, 1000);
 	planner.SetHosts({Host("m0", "busy")}, 1000);
 	ASSERT_EQ(planner.ToEmpty(1000).size(), 1u);
 	planner.OnEmpty("m0", 1000, 1050);
-	const std::vector<HostDuty> duties = planner.TakeDuties(1900);
-	ASSERT_EQ(duties.size(), 1u);
-	EXPECT_GT(duties[0].not_after, 1900);
-	EXPECT_LT(duties[0].not_after, 1000 + cEmptyForMs);
+	const std::vector<HostDuty> host_orders = planner.TakeDuties(1900);
+	ASSERT_EQ(host_orders.size(), 1u);
+	EXPECT_GT(host_orders[0].not_after, 1900);
+	EXPECT_LT(host_orders[0].not_after, 1000 + cEmptyForMs);
 }
 
-TEST(PoolBalancer, AMoveLeavesWhileThePromiseHoldsOrNotAtAll)
+TEST(PoolBalancer, AMoveIsSentOnlyWithinItsDrainGrant)
 {
-	// Failed first, as with maintenance; and nobody kept the worker empty while the order's outcome was unknown
+	// As with maintenance; in addition, the worker must stay drained while the result of the order is unknown
 	PoolBalancer balancer(BalanceTuning{});
 	balancer.SetPools(TwoPools());
 	balancer.SetHosts({Host("m0", "busy"), Host("m1", "idle"), Host("m2", "idle"), Host("m3", "idle"), Host("m4", "idle")}, {}, 1000);
@@ -181,10 +181,9 @@
 	EXPECT_TRUE(balancer.InDoubt().empty());
 }
 
-TEST(UpkeepPlanner, EachWaveOfAHostIsItsOwn)
+TEST(UpkeepPlanner, AHostDownForOneWaveIsNotDoneForAnother)
 {
-	// Failed first (parkline-addis, hunt mix seed 17678361649, MIXED): two waves at a time named the same hosts; a host that was down for
-	// the one counted as done for the other
+	// Two waves at a time may name the same hosts. Guards against counting a host that is down for one wave as done for the other
 	UpkeepPlanner planner(UpkeepTuning{});
 	std::vector<HostEntry> hosts{Host("m0", "busy"), Host("m1", "busy"), Host("m2", "busy")};
 	planner.AddWave({1, {"m0", "m1"}, 26000, 1}, {}, 1000);
@@ -201,11 +200,11 @@
 		planner.SetHosts(hosts, now);
 		for (const HostEntry &host : planner.ToEmpty(now))
 			planner.OnEmpty(host.name, now, now);
-		for (const HostDuty &duty : planner.TakeDuties(now))
+		for (const HostDuty &host_order : planner.TakeDuties(now))
 		{
-			down_since[duty.host] = now;
-			ordered[duty.wave].insert(duty.host);
-			planner.OnDuty(duty, EDutyResult::Done, now);
+			down_since[host_order.host] = now;
+			ordered[host_order.wave].insert(host_order.host);
+			planner.OnDuty(host_order, EDutyResult::Done, now);
 		}
 	}
 	EXPECT_TRUE(planner.IsCompleted(1) && planner.IsCompleted(2));
@@ -224,7 +223,7 @@
 	}
 	UpkeepPlanner planner(UpkeepTuning{});
 	planner.AddWave(wave, {}, 1000);
-	EXPECT_EQ(PlayWave(planner, hosts, 1, EDutyResult::Done), 3u);
+	EXPECT_EQ(RunWave(planner, hosts, 1, EDutyResult::Done), 3u);
 	EXPECT_TRUE(planner.IsCompleted(1));
 }
 
@@ -245,12 +244,12 @@
 	EXPECT_FALSE(planner.IsCompleted(1));
 	planner.SetHosts({Host("m0", "busy"), Host("m1", "busy")}, 1000);
 	EXPECT_FALSE(planner.IsCompleted(1));
-	// A host that left the fleet needs nothing
+	// A host that has left the fleet needs no maintenance
 	planner.SetHosts({Host("m0", "busy")}, 1200);
 	EXPECT_TRUE(planner.IsCompleted(1));
 }
 
-TEST(UpkeepPlanner, AnEmptyHostIsTrustedForAShortTimeOnly)
+TEST(UpkeepPlanner, ADrainGrantCountsForAShortTimeOnly)
 {
 	UpkeepTuning tuning;
 	UpkeepPlanner planner(tuning);
@@ -261,7 +260,7 @@
 	EXPECT_TRUE(planner.TakeDuties(1000 + tuning.ready_for_ms).empty());
 }
 
-TEST(UpkeepPlanner, LeavesTightPoolsAloneUntilPressed)
+TEST(UpkeepPlanner, LeavesPoolsInDeficitAloneUntilTheWavesTimeRunsOut)
 {
 	UpkeepPlanner planner(UpkeepTuning{});
 	planner.AddWave({1, {"m0"}, 26000, 1}, {}, 1000);
@@ -280,14 +279,14 @@
 	demand.need = {28000, 1000, 0};
 	balancer.OnDemand("busy", demand, 1000);
 	const std::vector<HostDuty> moves = balancer.TakeMoves(1100);
-	// 28 cores and headroom are three hosts, one more is margin; one is there
+	// 28 cores and headroom need three hosts, one more is margin, and one is there
 	EXPECT_EQ(moves.size(), 3u);
 	for (const HostDuty &move : moves)
 		EXPECT_EQ(move.pool, "busy");
 	EXPECT_TRUE(balancer.TakeMoves(1200).empty());
 }
 
-TEST(PoolBalancer, MovesOnlyHostsWhoseOwnerPromisedThemEmpty)
+TEST(PoolBalancer, MovesOnlyHostsWithADrainGrant)
 {
 	PoolBalancer balancer(BalanceTuning{});
 	balancer.SetPools(TwoPools());
@@ -310,7 +309,7 @@
 	const std::vector<HostDuty> moves = balancer.TakeMoves(1300);
 	ASSERT_EQ(moves.size(), 1u);
 	EXPECT_EQ(moves[0].host, "i2");
-	// The promise is over
+	// The drain grant has ended
 	balancer.OnMove(moves[0], EDutyResult::Refused, 1400);
 	EXPECT_TRUE(balancer.TakeMoves(5000).empty());
 }
@@ -326,7 +325,8 @@
 	EXPECT_TRUE(balancer.TakeMoves(1100).empty());
 }
 
-/// Hosts of a zone in which nothing may be started are counted as room, or are moved to a pool in need.
+/// Guards against counting hosts of an evacuated zone, in which nothing may be started, as capacity, and against moving them to a pool in
+/// need.
 TEST(PoolBalancer, LeavesOutHostsOfAnEvacuatedZone)
 {
 	PoolBalancer balancer(BalanceTuning{});
@@ -345,7 +345,7 @@
 	EXPECT_EQ(moves[1].host, "s2");
 }
 
-TEST(PoolBalancer, RemembersPoolsThatTakeOtherHosts)
+TEST(PoolBalancer, RemembersPoolsThatNeedOtherKindsOfHosts)
 {
 	PoolBalancer balancer(BalanceTuning{});
 	balancer.SetPools(TwoPools());
