--- a/UnitTests/FleetTests.cpp
+++ b/UnitTests/FleetTests.cpp
@@ -1,4 +1,4 @@
-// Planners over random fleets: placements that the fold takes, budgets that hold, waves that end, failures that are recovered from.
+// The planners over small and random fleets: their proposals are accepted, budgets hold, waves end, and failures are recovered from.
 
 #include <Loomreach/Loomreach.h>
 
@@ -17,16 +17,16 @@
 namespace
 {
 
-/// Folds a plan; every proposal of a plan made on the present state must be accepted.
-void FoldPlan(TestFleet &ioFleet, const std::vector<ProposalBody> &inProposals)
+/// Applies a plan. Every proposal of a plan that was made on the present state must be accepted.
+void ApplyPlan(TestFleet &ioFleet, const std::vector<ProposalBody> &inProposals)
 {
 	for (const ProposalBody &body : inProposals)
 		ioFleet.Accept(body);
 	ioFleet.state.CheckInvariants();
 }
 
-/// Takes every host that is leaving as far as it can go, as its keeper would. Returns whether anything changed.
-bool KeepLeaving(TestFleet &ioFleet)
+/// Advances every leaving host by one step, as its lifecycle would. Returns whether anything changed.
+bool AdvanceLeavingHosts(TestFleet &ioFleet)
 {
 	bool changed = false;
 	std::vector<std::string> names;
@@ -59,7 +59,7 @@
 	fleet.Accept(ApplySettings{0, TestFleet::OnePool(0, 4), "me"});
 	for (int i = 0; i < 8; ++i)
 		fleet.AddHealthy("h" + std::to_string(i), "/pool", "rack-" + std::to_string(i / 2), "zone-" + std::to_string(i / 4));
-	FoldPlan(fleet, PlacementPlanner(fleet.state, "/pool").Plan().proposals);
+	ApplyPlan(fleet, PlacementPlanner(fleet.state, "/pool").Plan().proposals);
 	std::set<std::string> racks;
 	for (const auto &[replica, placement] : fleet.state.placements)
 		racks.insert(fleet.state.hosts.at(placement.host).spec.rack);
@@ -78,7 +78,7 @@
 	fleet.Accept(ApplySettings{0, nodes, "me"});
 	fleet.AddHealthy("h0");
 	fleet.AddHealthy("h1");
-	FoldPlan(fleet, PlacementPlanner(fleet.state, "/pool").Plan().proposals);
+	ApplyPlan(fleet, PlacementPlanner(fleet.state, "/pool").Plan().proposals);
 	ASSERT_EQ(fleet.state.placements.size(), 5U);
 	nodes.push_back({"/pool/urgent",
 					 ENodeKind::Job,
@@ -86,7 +86,7 @@
 	fleet.Accept(ApplySettings{fleet.state.settings_version, nodes, "me"});
 	const PlacementPlan plan = PlacementPlanner(fleet.state, "/pool").Plan();
 	EXPECT_EQ(plan.preempted, 1U);
-	FoldPlan(fleet, plan.proposals);
+	ApplyPlan(fleet, plan.proposals);
 	EXPECT_EQ(fleet.state.placements.count({"/pool/urgent", 0}), 1U);
 }
 
@@ -105,19 +105,19 @@
 	EXPECT_EQ(plan.unplaced[0].why, EUnplaced::NeverFits);
 	EXPECT_EQ(plan.unplaced[1].why, EUnplaced::QuotaTooSmall);
 	EXPECT_NE(ExplainUnplaced(fleet.state, plan.unplaced[0]).find("can never run"), std::string::npos);
-	// It holds nothing up
+	// It does not delay other placements
 	EXPECT_EQ(plan.proposals.size(), 1U);
 }
 
-TEST(Wave, FailuresTakeDrainsBack)
+TEST(Wave, FailuresCancelDrains)
 {
 	TestFleet fleet;
 	fleet.Accept(ApplySettings{0, TestFleet::OnePool(50, 2), "me"});
 	for (int i = 0; i < 6; ++i)
 		fleet.AddHealthy("h" + std::to_string(i), "/pool", "rack-" + std::to_string(i));
-	FoldPlan(fleet, PlacementPlanner(fleet.state, "/pool").Plan().proposals);
+	ApplyPlan(fleet, PlacementPlanner(fleet.state, "/pool").Plan().proposals);
 	fleet.Accept(StartWave{"w", "", "", ""});
-	FoldPlan(fleet, WavePlanner(fleet.state, "/pool", {}).Plan().proposals);
+	ApplyPlan(fleet, WavePlanner(fleet.state, "/pool", {}).Plan().proposals);
 	EXPECT_EQ(fleet.state.pool_counts.at("/pool").available, 3U);
 	for (const auto &[name, host] : std::map(fleet.state.hosts))
 		if (host.IsAvailable())
@@ -127,11 +127,11 @@
 		}
 	const WavePlan plan = WavePlanner(fleet.state, "/pool", {}).Plan();
 	EXPECT_EQ(plan.taken_back, 1U);
-	FoldPlan(fleet, plan.proposals);
+	ApplyPlan(fleet, plan.proposals);
 	EXPECT_EQ(fleet.state.pool_counts.at("/pool").available, 3U);
 }
 
-TEST(Wave, HostsOfASilentZoneCountAsUnavailable)
+TEST(Wave, HostsOfAnUnresponsiveZoneCountAsUnavailable)
 {
 	TestFleet fleet;
 	fleet.Accept(ApplySettings{0, TestFleet::OnePool(50, 0), "me"});
@@ -143,7 +143,7 @@
 	EXPECT_EQ(WavePlanner(fleet.state, "/pool", {"h3"}).Plan().drains, 1U);
 }
 
-TEST(RollingPlan, EveryPoolHasOneTurnInEachPeriodAndTheyAreSpread)
+TEST(RollingPlan, EveryPoolHasOneWaveInEachPeriodAndTheyAreSpread)
 {
 	TestFleet fleet;
 	std::vector<SettingsNode> nodes = {{"/", ENodeKind::Group, {{ESetting::MaintainEveryDays, {14, {}}}}}};
@@ -157,11 +157,11 @@
 	constexpr int64 cDayS = 86'400;
 	constexpr int64 cHourS = 3600;
 	constexpr int64 cPeriodS = 14 * cDayS;
-	int most_a_day = 0;
+	int max_turns_per_day = 0;
 	constexpr int64 cStart = 1'800'000'000;
 	for (int64 day = 0; day < 42; ++day)
 	{
-		int today = 0;
+		int turns = 0;
 		for (int64 hour = 0; hour < 24; ++hour)
 			for (const auto &[path, pool] : std::map(fleet.state.pools))
 			{
@@ -170,25 +170,25 @@
 				if (!turn.has_value())
 					continue;
 				fleet.Accept(*turn);
-				// Two stewards at once: the second is rejected
-				EXPECT_FALSE(fleet.Fold(*turn).Accepted());
+				// If two hosts plan for the pool at once, the second proposal is rejected
+				EXPECT_FALSE(fleet.Apply(*turn).Accepted());
 				fleet.Accept(ChangeWave{turn->name, EWaveAction::Cancel});
 				// Neither later than a period after the last turn, nor much earlier
 				const int64 since = date - last_turn.try_emplace(path, cStart).first->second;
 				EXPECT_LE(since, cPeriodS + cHourS) << path;
 				EXPECT_TRUE(last_turn[path] == cStart || since >= cPeriodS - cDayS) << path;
 				last_turn[path] = date;
-				++today;
+				++turns;
 			}
-		most_a_day = std::max(most_a_day, today);
+		max_turns_per_day = std::max(max_turns_per_day, turns);
 	}
 	EXPECT_EQ(last_turn.size(), static_cast<size_t>(cPools));
 	for (const auto &[path, date] : last_turn)
 		EXPECT_GE(date, cStart + 42 * cDayS - cPeriodS - cHourS) << path;
-	EXPECT_LE(most_a_day, 14);
+	EXPECT_LE(max_turns_per_day, 14);
 }
 
-TEST(HostKeeper, TrustsOnlyTheWorkersOwnWord)
+TEST(HostKeeper, CountsAHostAsDrainedOnlyByItsWorkersAnswer)
 {
 	TestFleet fleet;
 	fleet.Accept(ApplySettings{0, TestFleet::OnePool(0, 0), "me"});
@@ -206,7 +206,7 @@
 	EXPECT_TRUE(decide(false).empty());
 	ASSERT_EQ(decide(true).size(), 1U);
 	EXPECT_EQ(std::get<StepHost>(decide(true)[0]).step, EHostStep::Drained);
-	// A silent host may be at work behind a cut: failed, never drained
+	// An unresponsive host may still run replicas behind a network partition: it is failed, never drained
 	observed.last_answer = 1000;
 	observed.quiet_since = 0;
 	ASSERT_EQ(decide(true).size(), 1U);
@@ -239,7 +239,7 @@
 	EXPECT_EQ(backoff.Waiting(fleet.state, 7000).size(), 1U);
 	EXPECT_EQ(backoff.Waiting(fleet.state, 16'999).size(), 1U);
 	EXPECT_TRUE(backoff.Waiting(fleet.state, 17'000).empty());
-	// New settings are a new chance
+	// New settings end the backoff
 	fail_on("h0");
 	fleet.Accept(ApplySettings{fleet.state.settings_version, TestFleet::OnePool(0, 1), "me"});
 	EXPECT_TRUE(backoff.Waiting(fleet.state, 17'001).empty());
@@ -266,7 +266,7 @@
 	EXPECT_EQ(std::get<StepHost>(decided[0]).step, EHostStep::Quarantine);
 }
 
-/// A random fleet with jobs whose declarations may be far off, and some that can never run.
+/// A random fleet with jobs of random size, some of which can never run.
 TestFleet RandomFleet()
 {
 	TestFleet fleet;
@@ -290,8 +290,8 @@
 	return fleet;
 }
 
-/// No replica of higher priority waits for room that lower ones hold on one host and could give.
-void CheckNobodyWaitsInVain(const FleetState &inState, const PlacementPlan &inPlan)
+/// Checks that no replica waits for capacity that replicas of lower priority hold on one host and could release.
+void CheckNoReplicaWaitsForLowerPriority(const FleetState &inState, const PlacementPlan &inPlan)
 {
 	for (const Unplaced &waiting : inPlan.unplaced)
 	{
@@ -302,11 +302,11 @@
 		{
 			if (!host.IsAvailable() || host.pool != job.pool)
 				continue;
-			Resources room = host.Free();
+			Resources releasable = host.Free();
 			for (const ReplicaKey &replica : host.replicas)
 				if (inState.placements.at(replica).priority < job.priority)
-					room += inState.placements.at(replica).need;
-			RC_ASSERT(!job.need.FitIn(room));
+					releasable += inState.placements.at(replica).need;
+			RC_ASSERT(!job.need.FitIn(releasable));
 		}
 	}
 }
@@ -320,10 +320,10 @@
 		const PlacementPlan plan = PlacementPlanner(fleet.state, "/pool").Plan();
 		if (plan.proposals.empty())
 		{
-			CheckNobodyWaitsInVain(fleet.state, plan);
+			CheckNoReplicaWaitsForLowerPriority(fleet.state, plan);
 			return;
 		}
-		FoldPlan(fleet, plan.proposals);
+		ApplyPlan(fleet, plan.proposals);
 	}
 	RC_FAIL("placement does not settle");
 }
@@ -332,7 +332,7 @@
 {
 	SetInvariantsAbort(true);
 	TestFleet fleet = RandomFleet();
-	FoldPlan(fleet, PlacementPlanner(fleet.state, "/pool").Plan().proposals);
+	ApplyPlan(fleet, PlacementPlanner(fleet.state, "/pool").Plan().proposals);
 	fleet.Accept(StartWave{"w", "", "", ""});
 	const int failures = *rc::gen::inRange(0, 5);
 	int failed = 0;
@@ -342,15 +342,15 @@
 		const PoolCounts before = fleet.state.pool_counts.at("/pool");
 		const uint32 required = fleet.state.RequiredAvailable("/pool");
 		const WavePlan wave = WavePlanner(fleet.state, "/pool", {}).Plan();
-		FoldPlan(fleet, wave.proposals);
+		ApplyPlan(fleet, wave.proposals);
 		const uint32 after = fleet.state.pool_counts.at("/pool").available;
-		// The system's own act never goes below the budget, nor further below it
+		// The planner's own drains never take a pool below its budget, nor further below it
 		RC_ASSERT(after >= std::min(before.available, required));
 		const PlacementPlan placed = PlacementPlanner(fleet.state, "/pool").Plan();
-		FoldPlan(fleet, placed.proposals);
+		ApplyPlan(fleet, placed.proposals);
 		for (const auto &[replica, placement] : fleet.state.placements)
 			RC_ASSERT(fleet.state.hosts.at(placement.host).pool == "/pool");
-		const bool kept = KeepLeaving(fleet);
+		const bool advanced = AdvanceLeavingHosts(fleet);
 		if (failed < failures && *rc::gen::inRange(0, 4) == 0)
 		{
 			auto host = fleet.state.hosts.begin();
@@ -361,10 +361,10 @@
 				++failed;
 			}
 		}
-		idle = wave.proposals.empty() && placed.proposals.empty() && !kept ? idle + 1 : 0;
+		idle = wave.proposals.empty() && placed.proposals.empty() && !advanced ? idle + 1 : 0;
 	}
 	RC_ASSERT(idle >= 3);
-	// What waits at the end waits for a stated reason: failed hosts, the budget, or no room
+	// What waits at the end waits for a stated reason: failed hosts, the budget, or no capacity
 	const Wave &wave = fleet.state.waves.at("w");
 	if (failures == 0 && wave.state != EWaveState::Done)
 		RC_ASSERT(!WavePlanner(fleet.state, "/pool", {}).Plan().held_by.empty() ||
--- a/UnitTests/MemberTests.cpp
+++ b/UnitTests/MemberTests.cpp
@@ -1,4 +1,4 @@
-// Messages between entry hosts under damage, forgery and replay; liveness, stewards and views.
+// Messages between entry hosts under damage, forgery and replay; liveness, assigned planners and views.
 
 #include <Loomreach/Loomreach.h>
 
@@ -64,7 +64,7 @@
 	EXPECT_EQ(tracker.Find("a")->digest.incarnation, 2U);
 	EXPECT_TRUE(tracker.IsLive("a", 1009));
 	EXPECT_FALSE(tracker.IsLive("a", 1010));
-	// One that was taken for over by mistake is heard again once the other is silent
+	// An incarnation that was taken for superseded by mistake is heard again once the other one is unresponsive
 	EXPECT_TRUE(tracker.Hear(DigestOf("a", 1, 7), 2000));
 }
 
@@ -77,7 +77,8 @@
 	return view;
 }
 
-TEST(StewardPicker, OneStewardForEachKeyAndANewOneAfterSilence)
+/// Guards against a pool that no host plans for, or two hosts.
+TEST(StewardPicker, OnePlannerForEachKeyAndANewOneWhenItIsUnresponsive)
 {
 	const std::vector<std::string> names = {"a", "b", "c", "d"};
 	const View view = ViewOf({{"a", "z1"}, {"b", "z1"}, {"c", "z2"}, {"d", "z2"}});
@@ -92,10 +93,10 @@
 	for (int key = 0; key < 50; ++key)
 	{
 		const std::string text = "pool-" + std::to_string(key);
-		int stewards = 0;
+		int planners = 0;
 		for (const auto &[name, member] : view.members)
-			stewards += picker(name, member.availability_zone, {}).IsMine(text) ? 1 : 0;
-		EXPECT_EQ(stewards, 1);
+			planners += picker(name, member.availability_zone, {}).IsMine(text) ? 1 : 0;
+		EXPECT_EQ(planners, 1);
 		int without_a = 0;
 		for (const auto &[name, member] : view.members)
 			if (name != "a")
@@ -104,7 +105,7 @@
 	}
 }
 
-TEST(ViewPlanner, APausedProcessListensAnewBeforeItRemovesAnybody)
+TEST(ViewPlanner, APausedProcessListensAgainBeforeItRemovesMembers)
 {
 	ListeningSpan span;
 	EXPECT_EQ(span.Note(1000, 500), 1000);
@@ -128,16 +129,16 @@
 	const Member newer{"b", 9, "r", "z2", {}, {}};
 	fleet.Accept(ChangeView{0, {self, newer}, true});
 	PeerTracker tracker("a", "z1", 1000, 1000);
-	// Heard before the cut: the incarnation before the one in the view
+	// Heard before the network partition: the incarnation before the one in the view
 	tracker.Hear(DigestOf("b", 8, 1, "z2"), 100);
 	EXPECT_FALSE(PlanView({fleet.state, tracker, self, 2000, 0, 5000, 1000}).has_value());
-	// Heard newer than the view's: that one is gone once silent
+	// A newer incarnation was heard than the one in the view: the one in the view has ended
 	fleet.Accept(ChangeView{1, {self, {"b", 8, "r", "z2", {}, {}}}, false});
 	tracker.Hear(DigestOf("b", 9, 1, "z2"), 3000);
 	EXPECT_TRUE(PlanView({fleet.state, tracker, self, 3100, 0, 5000, 1000}).has_value());
 }
 
-TEST(ViewPlanner, AZoneThatIsNotHeardMayTellByTheLog)
+TEST(ViewPlanner, AnUnheardZoneIsAliveIfTheLogSaysSo)
 {
 	const View view = ViewOf({{"a", "z1"}, {"b", "z2"}});
 	PeerTracker tracker("a", "z1", 1000, 1000);
--- a/UnitTests/StateTests.cpp
+++ b/UnitTests/StateTests.cpp
@@ -1,4 +1,4 @@
-// The fold's preconditions one by one, snapshots, damaged records, and random proposals against the invariants.
+// The preconditions of each proposal, snapshots, damaged records, and random proposals against the invariants.
 
 #include <Loomreach/Loomreach.h>
 
@@ -42,13 +42,13 @@
 
 TEST(Fold, DrainKeepsTheBudget)
 {
-	TestFleet fleet = FleetOf(4, 70); // 3 of 4 must stay
+	TestFleet fleet = FleetOf(4, 70); // 3 of 4 hosts must stay available
 	fleet.Step("h0", EHostStep::Drain);
 	fleet.Reject(fleet.MakeStep("h1", EHostStep::Drain), EError::BudgetExceeded);
 	fleet.Step("h0", EHostStep::Undrain);
 	fleet.Step("h1", EHostStep::Failed);
 	fleet.Reject(fleet.MakeStep("h0", EHostStep::Drain), EError::BudgetExceeded);
-	// A host that is unavailable anyway leaves for nothing
+	// Draining a host that is unavailable anyway takes nothing from the budget
 	fleet.Step("h1", EHostStep::Drain);
 }
 
@@ -67,7 +67,7 @@
 	fleet.Step("h1", EHostStep::Drain, "w");
 }
 
-TEST(Fold, StaleStepsAndDoubledIdsChangeNothing)
+TEST(Fold, StaleStepsAndRepeatedIdsChangeNothing)
 {
 	TestFleet fleet = FleetOf(4, 50);
 	const StepHost early = fleet.MakeStep("h0", EHostStep::Drain);
@@ -103,7 +103,7 @@
 	fleet.state.CheckInvariants();
 }
 
-TEST(Fold, PlacementNeedsRoomQuotaAndGeneration)
+TEST(Fold, PlacementNeedsCapacityQuotaAndGeneration)
 {
 	TestFleet fleet;
 	std::vector<SettingsNode> nodes = TestFleet::OnePool(0, 9, 9000);
@@ -116,7 +116,7 @@
 	fleet.Reject(PlaceReplica{{"/pool/job", 0}, "h1", 0}, EError::StaleGeneration);
 	fleet.Accept(PlaceReplica{{"/pool/job", 1}, "h1", 0});
 	fleet.Reject(PlaceReplica{{"/pool/job", 2}, "h2", 0}, EError::QuotaExceeded);
-	// Moving a replica gives back what it held
+	// Moving a replica releases what it had reserved
 	fleet.Accept(PlaceReplica{{"/pool/job", 0}, "h2", first});
 	fleet.Reject(PlaceReplica{{"/pool/job", 99}, "h2", 0}, EError::UnknownJob);
 	fleet.Step("h1", EHostStep::Quarantine);
@@ -124,14 +124,14 @@
 	fleet.state.CheckInvariants();
 }
 
-TEST(Fold, BlameGoesBothWays)
+TEST(Fold, AFailureIsRecordedForTheHostAndTheJob)
 {
 	TestFleet fleet = FleetOf(2, 0);
 	const LogPosition generation = fleet.Accept(PlaceReplica{{"/pool/job", 0}, "h0", 0});
 	fleet.Accept(StopReplica{{"/pool/job", 0}, generation, EStopReason::JobFailed});
 	EXPECT_EQ(fleet.state.hosts.at("h0").failed_jobs.count("/pool/job"), 1U);
 	EXPECT_EQ(fleet.state.history.at("/pool/job").failed_hosts.count("h0"), 1U);
-	// An older generation's end is no end of the present one
+	// The end of an older generation does not end the present one
 	fleet.Accept(PlaceReplica{{"/pool/job", 0}, "h1", 0});
 	fleet.Reject(StopReplica{{"/pool/job", 0}, generation, EStopReason::Finished}, EError::StaleGeneration);
 }
@@ -144,7 +144,7 @@
 	fleet.Reject(ChangeView{0, {member("a", 1)}, false}, EError::ViewRejected);
 	fleet.Accept(ChangeView{0, {member("a", 1)}, true});
 	fleet.Accept(ChangeView{1, {member("a", 1), member("b", 2)}, false});
-	// b has taken over nothing yet, so a may not go
+	// b has taken over no range yet, so a must stay
 	fleet.Reject(ChangeView{2, {member("b", 2)}, false}, EError::ViewRejected);
 	std::vector<uint32> all;
 	for (uint32 range = 0; range < cClaimRanges; ++range)
@@ -152,7 +152,7 @@
 	fleet.Reject(TakeOver{1, "b", all}, EError::ViewRejected);
 	fleet.Accept(TakeOver{2, "b", all});
 	fleet.Accept(ChangeView{2, {member("b", 2)}, false});
-	// A restarted b has forgotten its claims: that is a reset, and must say so
+	// A restarted b has lost its claims: such a view is only accepted as a reset
 	fleet.Reject(ChangeView{3, {member("b", 3)}, false}, EError::ViewRejected);
 	fleet.Accept(ChangeView{3, {member("b", 3)}, true});
 	EXPECT_EQ(fleet.state.view.resets, 2U);
@@ -180,6 +180,7 @@
 	EXPECT_EQ(state.next_offset, 1U);
 }
 
+/// Guards against a state that is assembled from an incomplete snapshot.
 TEST(Snapshot, NeedsEveryPieceInAnyOrder)
 {
 	TestFleet fleet = FleetOf(3, 50);
@@ -204,7 +205,7 @@
 	again->CheckInvariants();
 }
 
-TEST(AppendQueue, RepeatsTheSameBatchUntilItStands)
+TEST(AppendQueue, RepeatsTheSameBatchUntilItIsInTheLog)
 {
 	AppendQueue queue(7, 1);
 	queue.SetRate(1000.0);
@@ -242,6 +243,7 @@
 	EXPECT_EQ(queue.DropStale(5010).size(), 4096U);
 }
 
+/// Guards against repeating a batch that an adopted snapshot contains already.
 TEST(AppendQueue, AnAdoptedStateSettlesWhatItHolds)
 {
 	AppendQueue queue(7, 1);
@@ -295,7 +297,7 @@
 		const ProposalBody body = RandomProposal(fleet.state);
 		const StepHost *step = std::get_if<StepHost>(&body);
 		const bool own_act = step != nullptr && (step->step == EHostStep::Drain || step->step == EHostStep::Quarantine);
-		const Verdict verdict = fleet.Fold(body);
+		const Verdict verdict = fleet.Apply(body);
 		const PoolCounts after = fleet.state.pool_counts["/pool"];
 		if (verdict.Accepted() && own_act && after.available < before.available)
 			RC_ASSERT(after.available >= fleet.state.RequiredAvailable("/pool"));
