--- a/UnitTests/ForwardTests.cpp
+++ b/UnitTests/ForwardTests.cpp
@@ -1,4 +1,4 @@
-// Orders sent through other hosts: when, through which, until when, and what happens when one of them is gone.
+// Orders that an owner sends through other hosts: when, through which, until when, and what happens if a forwarder is lost.
 
 #include <Loomreach/Loomreach.h>
 
@@ -18,7 +18,7 @@
 namespace
 {
 
-constexpr Millis cLongMs = 60'000;
+constexpr Millis cLongTimeMs = 60'000;
 
 Address HostAt(uint32 inNumber) { return {"10.0.0." + std::to_string(inNumber), 7060}; }
 
@@ -36,11 +36,11 @@
 	order.kind = EOrder::Start;
 	order.worker = inWorker;
 	order.availability_zone = inZone;
-	order.not_after = cLongMs;
+	order.not_after = cLongTimeMs;
 	return order;
 }
 
-/// A plan whose hosts all have told their clocks.
+/// A plan that knows the clocks of all its hosts.
 ForwardPlan ReadyPlan(const std::vector<IdleHost> &inHosts, int64 inProcessorMilli)
 {
 	ForwardTuning tuning;
@@ -52,8 +52,8 @@
 	return plan;
 }
 
-/// Plays `inPerSecond` orders a second from `inFrom` to `inTo`; how many were left to this host.
-size_t Play(ForwardPlan &ioPlan, int64 inPerSecond, Millis inFrom, Millis inTo)
+/// Plans `inPerSecond` orders per second from `inFrom` to `inTo`. Returns how many of them this host sends itself.
+size_t PlanOrders(ForwardPlan &ioPlan, int64 inPerSecond, Millis inFrom, Millis inTo)
 {
 	size_t own = 0;
 	for (int64 i = 0; i < inPerSecond * (inTo - inFrom) / 1000; ++i)
@@ -65,35 +65,36 @@
 
 } // namespace
 
-TEST(ForwardPlan, ATurnOfLoadIsForwardedAndTheRestIsNot)
+TEST(ForwardPlan, APeakOfLoadIsForwardedAndTheRestIsNot)
 {
-	// The load: 4 s of 3,500 orders a second, a twentieth for 12 s, for an owner of 0.5 cores. Sent by itself a turn takes 2.1 times its
-	// processor; what is left to it here takes less than a third
+	// The load: 4 s of 3,500 orders per second, then a twentieth of that for 12 s, for an owner with 0.5 cores. Sending a whole peak itself
+	// would take 2.1 times its processor time; what it still sends itself here takes less than a third
 	ForwardPlan plan = ReadyPlan(IdleIn(cSixZones), 500);
 	const double cost_cores = 0.0003;
-	EXPECT_EQ(Play(plan, 175, 0, 4000), 700u);
-	const size_t own = Play(plan, 3500, 4000, 8000);
+	EXPECT_EQ(PlanOrders(plan, 175, 0, 4000), 700u);
+	const size_t own = PlanOrders(plan, 3500, 4000, 8000);
 	EXPECT_GT(4 * 3500 * cost_cores / 4.0, 2 * 0.5);
 	EXPECT_LT(static_cast<double>(own) * cost_cores / 4.0, 0.33 * 0.5);
-	// Soon after the turn it depends on nobody
-	Play(plan, 175, 8000, 9000);
-	EXPECT_EQ(Play(plan, 175, 9000, 12000), 525u);
+	// Soon after the peak it sends all orders itself
+	PlanOrders(plan, 175, 8000, 9000);
+	EXPECT_EQ(PlanOrders(plan, 175, 9000, 12000), 525u);
 }
 
+/// 300 orders per second are too many for a host with 0.12 cores, but not for one with 0.5 cores.
 TEST(ForwardPlan, ASmallHostForwardsSooner)
 {
 	ForwardPlan small = ReadyPlan(IdleIn(cSixZones), 120);
 	ForwardPlan large = ReadyPlan(IdleIn(cSixZones), 500);
-	Play(small, 300, 0, 2000);
-	Play(large, 300, 0, 2000);
+	PlanOrders(small, 300, 0, 2000);
+	PlanOrders(large, 300, 0, 2000);
 	EXPECT_TRUE(small.IsForwarding());
 	EXPECT_FALSE(large.IsForwarding());
 }
 
-TEST(ForwardPlan, AWorkersOrdersTakeOneWayInItsZone)
+TEST(ForwardPlan, AWorkersOrdersUseOneForwarderInItsZone)
 {
 	ForwardPlan plan = ReadyPlan(IdleIn(cSixZones), 120);
-	Play(plan, 2000, 0, 1000);
+	PlanOrders(plan, 2000, 0, 1000);
 	std::map<std::string, std::set<Address>> used;
 	for (int i = 0; i < 100; ++i)
 		for (const char *worker : {"w1", "w2", "w3", "w4"})
@@ -105,14 +106,14 @@
 		EXPECT_EQ(hosts.size(), 1u) << worker;
 		EXPECT_TRUE(*hosts.begin() == HostAt(3) || *hosts.begin() == HostAt(4));
 	}
-	// Nobody stands in a zone without idle hosts
+	// Nobody forwards into a zone without idle hosts
 	EXPECT_FALSE(plan.Choose(OrderFor("w1", "d"), 1100).has_value());
 }
 
-TEST(ForwardPlan, ASilentHostIsLeftOut)
+TEST(ForwardPlan, AnUnresponsiveHostIsLeftOut)
 {
 	ForwardPlan plan = ReadyPlan(IdleIn(cSixZones), 120);
-	Play(plan, 2000, 0, 1000);
+	PlanOrders(plan, 2000, 0, 1000);
 	const Address first = plan.Choose(OrderFor("w1", "b"), 1000)->address;
 	plan.OnSilent(first, 1000);
 	const std::optional<Forwarder> second = plan.Choose(OrderFor("w1", "b"), 1001);
@@ -120,28 +121,29 @@
 	EXPECT_NE(second->address, first);
 	plan.OnSilent(second->address, 1001);
 	EXPECT_FALSE(plan.Choose(OrderFor("w1", "b"), 1002).has_value());
-	Play(plan, 2000, 1002, 6100);
+	PlanOrders(plan, 2000, 1002, 6100);
 	EXPECT_EQ(plan.Choose(OrderFor("w1", "b"), 6101)->address, first);
 }
 
-/// A host that has gone, in a fleet whose hosts tell of themselves seldom, costs an order its time again and again.
-TEST(ForwardPlan, AHostThatStaysSilentIsLeftOutLonger)
+/// Where hosts send heartbeats seldom, a lost host stays listed for long. Guards against orders that time out on it again and again.
+TEST(ForwardPlan, AHostThatStaysUnresponsiveIsLeftOutLonger)
 {
 	ForwardPlan plan = ReadyPlan(IdleIn(cSixZones), 120);
-	Play(plan, 2000, 0, 1000);
+	PlanOrders(plan, 2000, 0, 1000);
 	const Address first = plan.Choose(OrderFor("w1", "b"), 1000)->address;
 	plan.OnSilent(first, 1000);
-	Play(plan, 2000, 1002, 6100);
+	PlanOrders(plan, 2000, 1002, 6100);
 	ASSERT_EQ(plan.Choose(OrderFor("w1", "b"), 6101)->address, first);
 	plan.OnSilent(first, 6200);
-	Play(plan, 2000, 6201, 11'300);
+	PlanOrders(plan, 2000, 6201, 11'300);
 	EXPECT_NE(plan.Choose(OrderFor("w1", "b"), 11'301)->address, first);
 	// Its answer ends that
 	plan.OnClock(first, 20'000, 16'300);
-	Play(plan, 2000, 11'302, 16'400);
+	PlanOrders(plan, 2000, 11'302, 16'400);
 	EXPECT_EQ(plan.Choose(OrderFor("w1", "b"), 16'401)->address, first);
 }
 
+/// A forwarder judges an order's deadline by its own clock, so the owner must know that clock first.
 TEST(ForwardPlan, AHostIsUsedOnlyOnceItsClockIsKnown)
 {
 	ForwardTuning tuning;
@@ -151,28 +153,28 @@
 	plan.SetHosts(hosts);
 	EXPECT_EQ(plan.ToAsk().size(), hosts.size());
 	EXPECT_TRUE(plan.ToAsk().empty());
-	Play(plan, 2000, 0, 1000);
+	PlanOrders(plan, 2000, 0, 1000);
 	EXPECT_FALSE(plan.Choose(OrderFor("w1", "a"), 1000).has_value());
 	plan.OnClock(HostAt(1), 5000, 1000);
 	EXPECT_EQ(plan.Choose(OrderFor("w1", "a"), 1001)->address, HostAt(1));
-	// Another process at the address may run on another clock
+	// Another process at the address may have another clock
 	hosts[1].life = 999;
 	plan.SetHosts(hosts);
 	EXPECT_FALSE(plan.Choose(OrderFor("w1", "a"), 1002).has_value());
 	EXPECT_EQ(plan.ToAsk(), std::vector<Address>{HostAt(1)});
 }
 
-TEST(ForwardPlan, FewIdleHostsAreLeftAlone)
+TEST(ForwardPlan, FewIdleHostsAreNotUsed)
 {
 	ForwardPlan plan = ReadyPlan(IdleIn({"a", "a", "a"}), 120);
-	Play(plan, 2000, 0, 2000);
+	PlanOrders(plan, 2000, 0, 2000);
 	EXPECT_FALSE(plan.Choose(OrderFor("w1", "a"), 2000).has_value());
 	EXPECT_TRUE(plan.ToAsk().empty());
 }
 
 RC_GTEST_PROP(ForwardPlan, AForwardedOrderEndsNoLaterThanItsOwn, ())
 {
-	// Clocks that differ by any offset and run up to 2% apart (the users' figure); the clock's reading was some time on its way
+	// Clocks that differ by any offset and whose rates differ by up to 2%; the reading of the clock was up to 3 s in transit
 	const Millis offset = *rc::gen::inRange<Millis>(-1'000'000, 1'000'000) + 2'000'000;
 	const double rate = *rc::gen::inRange(980, 1021) / 1000.0;
 	const Millis read_at = *rc::gen::inRange<Millis>(10'000, 15'000);
@@ -199,13 +201,13 @@
 namespace
 {
 
-/// An agent that answers each order at once and remembers it.
-struct HandAgent
+/// An agent that answers each order at once and records it.
+struct RecordingAgent
 {
 	void Send(const Order &inOrder, const std::function<void(const OrderAnswer &)> &inDone)
 	{
 		this->sent.push_back(inOrder);
-		if (this->silent)
+		if (this->never_answers)
 			return this->open.push_back(inDone);
 		OrderAnswer answer;
 		answer.result = this->result;
@@ -216,7 +218,7 @@
 
 	std::vector<Order> sent;
 	std::vector<std::function<void(const OrderAnswer &)>> open;
-	bool silent = false;
+	bool never_answers = false;
 	EOrderResult result = EOrderResult::Done;
 };
 
@@ -239,7 +241,7 @@
 public:
 	ForwardingHosts()
 	{
-		for (size_t i = 0; i < cHelpers; ++i)
+		for (size_t i = 0; i < cHelperCount; ++i)
 			this->helpers.push_back(std::make_unique<Helper>(100 + i));
 		this->owner_peers = std::make_unique<PeerQuery>(
 			Address{"127.0.0.1", FreePort()}, this->metrics, [](const PeerQuestion &, const std::function<void(PeerAnswer)> &) {},
@@ -249,8 +251,8 @@
 		tuning.window_ms = 1;
 		tuning.begin_percent = 0;
 		tuning.end_percent = 0;
-		this->owner = std::make_unique<OrderSender<HandAgent>>(this->own_agent, *this->owner_peers, tuning);
-		this->Tell();
+		this->owner = std::make_unique<OrderSender<RecordingAgent>>(this->own_agent, *this->owner_peers, tuning);
+		this->AnnounceHosts();
 		FakeLog::Settle(60);
 		// After the first window every order is forwarded
 		for (int i = 0; i < 4; ++i)
@@ -263,11 +265,11 @@
 			helper->agent.sent.clear();
 	}
 
-	void Tell()
+	void AnnounceHosts()
 	{
 		std::vector<IdleHost> idle;
 		for (const auto &helper : this->helpers)
-			idle.push_back({"a", helper->address, helper->told_life});
+			idle.push_back({"a", helper->address, helper->announced_incarnation});
 		this->owner->SetHosts(idle);
 	}
 	static Order MakeOrder()
@@ -276,12 +278,12 @@
 		order.not_after = NowMillis() + 1200;
 		return order;
 	}
-	/// Sends an order and waits for its answer.
-	std::optional<OrderAnswer> Ask(const Order &inOrder, Millis inMost)
+	/// Sends an order and waits for its answer, for `inTimeoutMs` ms at most.
+	std::optional<OrderAnswer> Ask(const Order &inOrder, Millis inTimeoutMs)
 	{
 		std::optional<OrderAnswer> got;
 		this->owner->Send(inOrder, [&got](const OrderAnswer &inAnswer) { got = inAnswer; });
-		for (Millis waited = 0; waited < inMost && !got.has_value(); waited += 5)
+		for (Millis waited = 0; waited < inTimeoutMs && !got.has_value(); waited += 5)
 			FakeLog::Settle(5);
 		return got;
 	}
@@ -295,40 +297,41 @@
 
 	struct Helper
 	{
-		explicit Helper(uint64 inLife) : address{"127.0.0.1", FreePort()}, life(inLife), told_life(inLife)
+		explicit Helper(uint64 inIncarnation)
+			: address{"127.0.0.1", FreePort()}, incarnation(inIncarnation), announced_incarnation(inIncarnation)
 		{
 			this->peers = std::make_unique<PeerQuery>(
 				this->address, this->metrics,
 				[this](const PeerQuestion &inQuestion, std::function<void(PeerAnswer)> inReply)
 				{
 					if (inQuestion.kind == EQuestion::Forward)
-						return this->sender->SendFor(inQuestion, this->life, std::move(inReply));
+						return this->sender->SendFor(inQuestion, this->incarnation, std::move(inReply));
 					inReply(PeerAnswer{});
 				},
 				[](EPeerNews, const std::string &) {});
-			this->sender = std::make_unique<OrderSender<HandAgent>>(this->agent, *this->peers, ForwardTuning{});
+			this->sender = std::make_unique<OrderSender<RecordingAgent>>(this->agent, *this->peers, ForwardTuning{});
 			EXPECT_TRUE(this->peers->Open());
 		}
 		Metrics metrics;
-		HandAgent agent;
+		RecordingAgent agent;
 		Address address;
-		uint64 life;
-		uint64 told_life;
+		uint64 incarnation;
+		uint64 announced_incarnation;
 		std::unique_ptr<PeerQuery> peers;
-		std::unique_ptr<OrderSender<HandAgent>> sender;
+		std::unique_ptr<OrderSender<RecordingAgent>> sender;
 	};
 
-	static constexpr size_t cHelpers = 4;
+	static constexpr size_t cHelperCount = 4;
 	Metrics metrics;
-	HandAgent own_agent;
+	RecordingAgent own_agent;
 	std::vector<std::unique_ptr<Helper>> helpers;
 	std::unique_ptr<PeerQuery> owner_peers;
-	std::unique_ptr<OrderSender<HandAgent>> owner;
+	std::unique_ptr<OrderSender<RecordingAgent>> owner;
 };
 
 } // namespace
 
-TEST(OrderSender, AForwardedOrdersAnswerComesBackWhole)
+TEST(OrderSender, AForwardedOrdersAnswerArrivesComplete)
 {
 	ForwardingHosts hosts;
 	const std::optional<OrderAnswer> got = hosts.Ask(ForwardingHosts::MakeOrder(), 1000);
@@ -342,7 +345,7 @@
 	EXPECT_TRUE(hosts.own_agent.sent.empty());
 }
 
-TEST(OrderSender, AGoneForwardersOrderIsSentByItsOwner)
+TEST(OrderSender, ALostForwardersOrderIsSentByItsOwner)
 {
 	ForwardingHosts hosts;
 	for (const auto &helper : hosts.helpers)
@@ -357,8 +360,8 @@
 
 TEST(OrderSender, WhatAForwarderMayHaveSentIsNeverCalledNotSent)
 {
-	// Failed first (msafiri-loom-large, hunt-d7f4-3, TWICE): a forwarder started a run, a cut held up its answer, and the owner's own try
-	// never left. That was taken for proof that nothing ran: the task was started a second time, after its first run had ended well
+	// A forwarder starts a run, a network partition delays its answer, and the owner's own attempt is never sent. Guards against taking
+	// that for proof that nothing runs: the task would be started a second time after its first run had ended well
 	for (const EOrderResult own : {EOrderResult::NotSent, EOrderResult::NoRoom, EOrderResult::Unhealthy, EOrderResult::TooLate,
 								   EOrderResult::StaleToken, EOrderResult::Rejected, EOrderResult::NoTicket})
 	{
@@ -376,7 +379,7 @@
 {
 	ForwardingHosts hosts;
 	for (const auto &helper : hosts.helpers)
-		helper->life += 1000;
+		helper->incarnation += 1000;
 	hosts.own_agent.result = EOrderResult::NotSent;
 	const std::optional<OrderAnswer> got = hosts.Ask(ForwardingHosts::MakeOrder(), 1000);
 	ASSERT_TRUE(got.has_value());
@@ -385,10 +388,10 @@
 
 TEST(OrderSender, AnOrderMeantForAnEarlierProcessIsNotSentByTheLater)
 {
-	// A frozen or restarted host must not carry out what its clock can't judge
+	// A paused or restarted host must not send an order whose deadline its clock can't judge
 	ForwardingHosts hosts;
 	for (const auto &helper : hosts.helpers)
-		helper->life += 1000;
+		helper->incarnation += 1000;
 	ASSERT_TRUE(hosts.Ask(ForwardingHosts::MakeOrder(), 1000).has_value());
 	EXPECT_EQ(hosts.SentByHelpers(), 0u);
 	EXPECT_EQ(hosts.own_agent.sent.size(), 1u);
@@ -408,10 +411,10 @@
 
 TEST(OrderSender, AWorkerThatDoesNotAnswerIsNotItsForwardersFault)
 {
-	// The forwarder says that it has the order: its silence is the worker's, and the order is not sent again meanwhile
+	// The forwarder confirms that it has the order: a missing answer is then the worker's, and the order is not sent again meanwhile
 	ForwardingHosts hosts;
 	for (const auto &helper : hosts.helpers)
-		helper->agent.silent = true;
+		helper->agent.never_answers = true;
 	const std::optional<OrderAnswer> got = hosts.Ask(ForwardingHosts::MakeOrder(), 600);
 	EXPECT_FALSE(got.has_value());
 	EXPECT_EQ(hosts.SentByHelpers(), 1u);
