--- a/UnitTests/TeamSharesTests.cpp
+++ b/UnitTests/TeamSharesTests.cpp
@@ -1,5 +1,5 @@
-// Teams' limits over several cells: the fleet's owner shares them out by messages that get lost, doubled, late, between owners that come
-// and go.
+// Limits of teams across several cells. The fleet's owner divides them among the cells' owners by messages that may be lost, duplicated or
+// late, while owners stop and others take over.
 
 #include <Loomreach/Loomreach.h>
 
@@ -20,7 +20,7 @@
 
 constexpr Millis cStepMs = 5;
 constexpr Millis cLongestRunMs = 1500;
-constexpr Millis cOwnerGapMs = 2000;
+constexpr Millis cTakeOverMs = 2000;
 constexpr int64 cLimit = 10000;
 
 Catalogue Limited(int64 inCpuMilli, int64 inVersion = 1)
@@ -32,8 +32,8 @@
 	return catalogue;
 }
 
-/// What may go wrong, in percent.
-struct ShareTrouble
+/// Probabilities of faults, in percent.
+struct ShareFaults
 {
 	uint64 lost = 0;
 	uint64 late = 0;
@@ -41,11 +41,11 @@
 	uint64 fleet_owner_lost = 0; ///< Per second.
 };
 
-/// Cells whose owners start tasks of one team as their shares allow, and the fleet's owner.
-class ShareWorld
+/// Simulates the owners of several cells, which start tasks of one team as their shares allow, and the fleet's owner.
+class ShareSimulation
 {
 public:
-	ShareWorld(uint64 inSeed, const ShareTrouble &inTrouble, size_t inCells) : random(inSeed), trouble(inTrouble), cells(inCells)
+	ShareSimulation(uint64 inSeed, const ShareFaults &inFaults, size_t inCells) : random(inSeed), faults(inFaults), cells(inCells)
 	{
 		this->fleet.emplace(++this->fleet_epoch, this->now, cLongestRunMs);
 		this->SetUp(*this->fleet);
@@ -53,8 +53,8 @@
 			this->StartOwner(cell);
 	}
 
-	/// Tasks of so much processor time wait in a cell.
-	void Hand(size_t inCell, size_t inTasks, int64 inCpuMilli)
+	/// Adds `inTasks` waiting tasks of `inCpuMilli` each to a cell.
+	void AddTasks(size_t inCell, size_t inTasks, int64 inCpuMilli)
 	{
 		this->cells[inCell].waiting.insert(this->cells[inCell].waiting.end(), inTasks, inCpuMilli);
 	}
@@ -72,7 +72,7 @@
 		for (const Millis end = this->now + inMillis; this->now < end;)
 			this->Step();
 	}
-	void Calm() { this->trouble = {}; }
+	void ClearFaults() { this->faults = {}; }
 	size_t Waiting() const
 	{
 		size_t waiting = 0;
@@ -91,23 +91,23 @@
 	void LoseFleetOwner()
 	{
 		this->fleet.reset();
-		this->fleet_back_at = this->now + cOwnerGapMs;
+		this->fleet_back_at = this->now + cTakeOverMs;
 	}
 	void LoseOwner(size_t inCell)
 	{
 		this->cells[inCell].owner.reset();
-		this->cells[inCell].back_at = this->now + cOwnerGapMs;
+		this->cells[inCell].back_at = this->now + cTakeOverMs;
 	}
-	std::string broken;
-	int64 most = 0;
+	std::string violations;
+	int64 max_running = 0;
 
 private:
-	/// A task at work. Its owner hears of its end some time later.
+	/// A running task. Its owner learns of its end some time later.
 	struct Task
 	{
 		int64 cpu_milli = 0;
 		Millis ends_at = 0;
-		Millis heard_at = 0;
+		Millis recorded_at = 0;
 	};
 	struct CellState
 	{
@@ -117,8 +117,8 @@
 		std::vector<int64> waiting;
 		std::vector<Task> running;
 	};
-	/// A question or an answer under way.
-	struct Parcel
+	/// A request or an answer in transit.
+	struct Message
 	{
 		Millis at = 0;
 		bool is_answer = false;
@@ -140,85 +140,85 @@
 		ioCell.owner.emplace();
 		ioCell.owner->SetTeams(Limited(this->limit));
 		++ioCell.epoch;
-		// What the log has of runs, ended or not
+		// The log contains all runs whose end has not been recorded, whether they have ended or not
 		for (Task &task : ioCell.running)
 			ioCell.owner->Add("a", {task.cpu_milli, 0, 0});
 	}
-	void Send(Parcel inParcel)
+	void Send(Message inMessage)
 	{
-		const uint64 copies = this->random.Chance(this->trouble.lost) ? 0 : 1 + (this->random.Chance(this->trouble.late) ? 1 : 0);
+		const uint64 copies = this->random.Chance(this->faults.lost) ? 0 : 1 + (this->random.Chance(this->faults.late) ? 1 : 0);
 		for (uint64 i = 0; i < copies; ++i)
 		{
-			const bool late = i > 0 || this->random.Chance(this->trouble.late);
-			inParcel.at = this->now + 1 + static_cast<Millis>(this->random.Below(late ? 3000 : 5));
-			this->parcels.push_back(inParcel);
+			const bool late = i > 0 || this->random.Chance(this->faults.late);
+			inMessage.at = this->now + 1 + static_cast<Millis>(this->random.Below(late ? 3000 : 5));
+			this->messages.push_back(inMessage);
 		}
 	}
-	void MakeTrouble()
+	void InjectFaults()
 	{
 		if (this->now % 1000 != 0)
 			return;
-		if (this->fleet.has_value() && this->random.Chance(this->trouble.fleet_owner_lost))
+		if (this->fleet.has_value() && this->random.Chance(this->faults.fleet_owner_lost))
 			this->LoseFleetOwner();
 		for (size_t i = 0; i < this->cells.size(); ++i)
-			if (this->cells[i].owner.has_value() && this->random.Chance(this->trouble.cell_owner_lost))
+			if (this->cells[i].owner.has_value() && this->random.Chance(this->faults.cell_owner_lost))
 				this->LoseOwner(i);
 	}
 	void Deliver()
 	{
-		std::vector<Parcel> due;
-		for (size_t i = 0; i < this->parcels.size();)
+		std::vector<Message> due;
+		for (size_t i = 0; i < this->messages.size();)
 		{
-			if (this->parcels[i].at > this->now)
+			if (this->messages[i].at > this->now)
 			{
 				++i;
 				continue;
 			}
-			due.push_back(std::move(this->parcels[i]));
-			this->parcels[i] = std::move(this->parcels.back());
-			this->parcels.pop_back();
+			due.push_back(std::move(this->messages[i]));
+			this->messages[i] = std::move(this->messages.back());
+			this->messages.pop_back();
 		}
-		for (Parcel &parcel : due)
+		for (Message &message : due)
 		{
-			CellState &cell = this->cells[parcel.question.cell];
-			if (parcel.is_answer && cell.owner.has_value() && cell.epoch == parcel.question.epoch)
-				cell.owner->OnAnswer(parcel.answer, this->now);
-			if (parcel.is_answer || !this->fleet.has_value())
+			CellState &cell = this->cells[message.question.cell];
+			if (message.is_answer && cell.owner.has_value() && cell.epoch == message.question.epoch)
+				cell.owner->OnAnswer(message.answer, this->now);
+			if (message.is_answer || !this->fleet.has_value())
 				continue;
-			parcel.answer = this->fleet->OnQuestion(parcel.question, this->now);
-			parcel.is_answer = true;
-			this->Send(parcel);
+			message.answer = this->fleet->OnQuestion(message.question, this->now);
+			message.is_answer = true;
+			this->Send(message);
 		}
 	}
-	void Drive(uint32 inNumber)
+	void RunOwner(uint32 inNumber)
 	{
 		CellState &cell = this->cells[inNumber];
 		std::erase_if(cell.running,
 					  [&](const Task &inTask)
 					  {
-						  const bool heard = cell.owner.has_value() && this->now >= inTask.heard_at;
-						  if (heard)
+						  const bool recorded = cell.owner.has_value() && this->now >= inTask.recorded_at;
+						  if (recorded)
 							  cell.owner->Subtract("a", {inTask.cpu_milli, 0, 0});
-						  return heard;
+						  return recorded;
 					  });
 		if (!cell.owner.has_value())
 			return;
-		bool is_short = false;
-		while (!cell.waiting.empty() && !is_short)
+		bool lacks_share = false;
+		while (!cell.waiting.empty() && !lacks_share)
 		{
 			const Resources need{cell.waiting.back(), 0, 0};
-			is_short = !cell.owner->HasRoom("a", need, this->now);
-			if (is_short)
+			lacks_share = !cell.owner->HasRoom("a", need, this->now);
+			if (lacks_share)
 				break;
 			const Millis ends_at = this->now + 300 + static_cast<Millis>(this->random.Below(static_cast<uint64>(cLongestRunMs - 300)));
 			cell.running.push_back({need.cpu_milli, ends_at, ends_at + static_cast<Millis>(this->random.Below(150))});
 			cell.owner->Add("a", need);
 			cell.waiting.pop_back();
-			this->most = std::max(this->most, this->Running());
+			this->max_running = std::max(this->max_running, this->Running());
 			if (this->Running() > this->limit)
-				this->broken += "at " + std::to_string(this->now) + ": " + std::to_string(this->Running()) + " running\n";
+				this->violations += "at " + std::to_string(this->now) + ": " + std::to_string(this->Running()) + " running\n";
 		}
-		if (this->now < cell.owner->NextAskAt(is_short))
+		if (this->now < cell.owner->NextAskAt(lacks_share))
 			return;
 		std::map<std::string, Resources> wanted;
 		for (int64 cpu_milli : cell.waiting)
@@ -230,7 +230,7 @@
 	void Step()
 	{
 		this->now += cStepMs;
-		this->MakeTrouble();
+		this->InjectFaults();
 		if (!this->fleet.has_value() && this->now >= this->fleet_back_at)
 		{
 			this->fleet.emplace(++this->fleet_epoch, this->now, cLongestRunMs);
@@ -241,102 +241,103 @@
 				this->StartOwner(cell);
 		this->Deliver();
 		for (uint32 i = 0; i < this->cells.size(); ++i)
-			this->Drive(i);
+			this->RunOwner(i);
 	}
 
 	Random random;
-	ShareTrouble trouble;
+	ShareFaults faults;
 	Millis now = 1000;
 	int64 limit = cLimit;
 	std::vector<CellState> cells;
 	std::optional<TeamShares> fleet;
 	uint64 fleet_epoch = 0;
 	Millis fleet_back_at = 0;
-	std::vector<Parcel> parcels;
+	std::vector<Message> messages;
 };
 
 } // namespace
 
-TEST(TeamShares, OneCellInItsTurnGetsTheWholeLimit)
+TEST(TeamShares, TheOnlyBusyCellGetsTheWholeLimit)
 {
-	ShareWorld world(1, {}, 4);
-	world.Run(1000);
-	// 20 tasks of 1 core under a limit of 10: half of them at once, not a quarter of the limit
-	world.Hand(2, 20, 1000);
-	world.Run(250);
-	EXPECT_EQ(world.Running(), cLimit);
-	world.Run(6000);
-	EXPECT_EQ(world.Waiting(), 0u);
-	EXPECT_EQ(world.broken, "");
+	ShareSimulation simulation(1, {}, 4);
+	simulation.Run(1000);
+	// 20 tasks of 1 core under a limit of 10: half of them start at once, not as many as fit into a quarter of the limit
+	simulation.AddTasks(2, 20, 1000);
+	simulation.Run(250);
+	EXPECT_EQ(simulation.Running(), cLimit);
+	simulation.Run(6000);
+	EXPECT_EQ(simulation.Waiting(), 0u);
+	EXPECT_EQ(simulation.violations, "");
 }
 
-TEST(TeamShares, TasksAlmostAsLargeAsTheLimitGoByTurns)
+TEST(TeamShares, TasksAlmostAsLargeAsTheLimitTakeTurns)
 {
-	// Cut into equal parts, the limit would let none of them start for good
-	ShareWorld world(2, {}, 4);
+	// With equal shares of the limit none of them could ever start
+	ShareSimulation simulation(2, {}, 4);
 	for (size_t cell = 0; cell < 4; ++cell)
-		world.Hand(cell, 5, 7000);
-	world.Run(60000);
-	EXPECT_EQ(world.Waiting(), 0u);
-	EXPECT_EQ(world.broken, "");
+		simulation.AddTasks(cell, 5, 7000);
+	simulation.Run(60000);
+	EXPECT_EQ(simulation.Waiting(), 0u);
+	EXPECT_EQ(simulation.violations, "");
 }
 
 TEST(TeamShares, ACellThatComesLaterIsNotKeptOut)
 {
-	ShareWorld world(3, {}, 2);
-	world.Hand(0, 200, 1000);
-	world.Run(2000);
-	world.Hand(1, 5, 1000);
-	const size_t before = world.Waiting();
-	// Its tasks go before those of the cell that has the whole limit, as room comes free
-	world.Run(2500);
-	EXPECT_LT(world.Waiting(), before);
-	world.Run(60000);
-	EXPECT_EQ(world.Waiting(), 0u);
-	EXPECT_EQ(world.broken, "");
+	ShareSimulation simulation(3, {}, 2);
+	simulation.AddTasks(0, 200, 1000);
+	simulation.Run(2000);
+	simulation.AddTasks(1, 5, 1000);
+	const size_t before = simulation.Waiting();
+	// As capacity becomes free, its tasks go before those of the cell that has the whole limit
+	simulation.Run(2500);
+	EXPECT_LT(simulation.Waiting(), before);
+	simulation.Run(60000);
+	EXPECT_EQ(simulation.Waiting(), 0u);
+	EXPECT_EQ(simulation.violations, "");
 }
 
-TEST(TeamShares, WhatIsHeldBridgesAFleetWithoutAnOwner)
+TEST(TeamShares, HeldSharesBridgeATimeWithoutAFleetOwner)
 {
-	ShareWorld world(4, {}, 4);
-	world.Hand(0, 400, 1000);
-	world.Run(1000);
-	world.LoseFleetOwner();
-	world.Run(1900);
-	EXPECT_GT(world.Running(), cLimit / 2);
-	world.Run(120000);
-	EXPECT_EQ(world.Waiting(), 0u);
-	EXPECT_EQ(world.broken, "");
+	ShareSimulation simulation(4, {}, 4);
+	simulation.AddTasks(0, 400, 1000);
+	simulation.Run(1000);
+	simulation.LoseFleetOwner();
+	simulation.Run(1900);
+	EXPECT_GT(simulation.Running(), cLimit / 2);
+	simulation.Run(120000);
+	EXPECT_EQ(simulation.Waiting(), 0u);
+	EXPECT_EQ(simulation.violations, "");
 }
 
 TEST(TeamShares, ANewFleetOwnerWaitsForACellThatItHasNotHeardOf)
 {
-	ShareWorld world(5, {}, 2);
-	world.Hand(0, 30, 1000);
-	world.Run(400);
-	EXPECT_EQ(world.Running(), cLimit);
-	// Cell 0 has no owner while its tasks run on; whoever shares out next must not give their part to cell 1
-	world.LoseFleetOwner();
-	world.Run(1000);
-	world.LoseOwner(0);
-	world.Hand(1, 30, 1000);
-	world.Run(60000);
-	EXPECT_EQ(world.broken, "");
-	EXPECT_EQ(world.Waiting(), 0u);
+	ShareSimulation simulation(5, {}, 2);
+	simulation.AddTasks(0, 30, 1000);
+	simulation.Run(400);
+	EXPECT_EQ(simulation.Running(), cLimit);
+	// Cell 0 has no owner while its tasks run on; the next owner of the fleet must not grant their share to cell 1
+	simulation.LoseFleetOwner();
+	simulation.Run(1000);
+	simulation.LoseOwner(0);
+	simulation.AddTasks(1, 30, 1000);
+	simulation.Run(60000);
+	EXPECT_EQ(simulation.violations, "");
+	EXPECT_EQ(simulation.Waiting(), 0u);
 }
 
-TEST(TeamShares, NewWorkStartsWithinWhatWasDealtAhead)
+TEST(TeamShares, NewWorkStartsWithinTheShareGrantedInAdvance)
 {
-	// Where each task waited for an answer first, five days with trouble were worth 0.313 in the mean, with this 0.344
-	ShareWorld world(7, {}, 4);
-	world.Hand(1, 1, 500);
-	world.Run(3000);
-	EXPECT_EQ(world.Running(), 0);
-	world.Hand(1, 5, 500);
-	world.Run(cStepMs);
-	EXPECT_EQ(world.Running(), cLimit / 4);
+	// If each task waited for an answer first, the mean score of five simulated days with faults would be 0.313 instead of 0.344
+	ShareSimulation simulation(7, {}, 4);
+	simulation.AddTasks(1, 1, 500);
+	simulation.Run(3000);
+	EXPECT_EQ(simulation.Running(), 0);
+	simulation.AddTasks(1, 5, 500);
+	simulation.Run(cStepMs);
+	EXPECT_EQ(simulation.Running(), cLimit / 4);
 }
 
+/// Guards against a late request, of an earlier number or epoch, that overwrites what the cell has claimed since.
 TEST(TeamShares, AnOlderQuestionIsNotAnswered)
 {
 	TeamShares shares(3, 0, 1000);
@@ -350,19 +351,20 @@
 	EXPECT_EQ(shares.OnQuestion(question, 30).number, 0u);
 }
 
-TEST(TeamShares, ALowerLimitHoldsWithinMoments)
+/// Shares granted under the former limit must not outlast the longest running task.
+TEST(TeamShares, ALowerLimitTakesEffectSoon)
 {
-	ShareWorld world(6, {}, 3);
+	ShareSimulation simulation(6, {}, 3);
 	for (size_t cell = 0; cell < 3; ++cell)
-		world.Hand(cell, 300, 1000);
-	world.Run(5000);
-	world.SetLimit(3000);
-	world.Run(cLongestRunMs + 400);
-	EXPECT_LE(world.Running(), 3000);
-	world.broken.clear();
-	world.Run(20000);
-	EXPECT_EQ(world.broken, "");
-	EXPECT_GT(world.Running(), 0);
+		simulation.AddTasks(cell, 300, 1000);
+	simulation.Run(5000);
+	simulation.SetLimit(3000);
+	simulation.Run(cLongestRunMs + 400);
+	EXPECT_LE(simulation.Running(), 3000);
+	simulation.violations.clear();
+	simulation.Run(20000);
+	EXPECT_EQ(simulation.violations, "");
+	EXPECT_GT(simulation.Running(), 0);
 }
 
 RC_GTEST_PROP(TeamShares, KeepTheLimitWhateverIsLost, ())
@@ -370,27 +372,27 @@
 	SetInvariantsAbort(true);
 	const uint64 seed = *rc::gen::inRange<uint64>(1, 1'000'000'000);
 	Random random(seed);
-	ShareTrouble trouble;
-	trouble.lost = random.Below(40);
-	trouble.late = random.Below(40);
-	trouble.cell_owner_lost = random.Below(15);
-	trouble.fleet_owner_lost = random.Below(20);
+	ShareFaults faults;
+	faults.lost = random.Below(40);
+	faults.late = random.Below(40);
+	faults.cell_owner_lost = random.Below(15);
+	faults.fleet_owner_lost = random.Below(20);
 	const size_t cells = 1 + random.Below(5);
-	ShareWorld world(seed, trouble, cells);
+	ShareSimulation simulation(seed, faults, cells);
 	for (int i = 0; i < 40; ++i)
 	{
-		world.Hand(random.Below(cells), random.Below(12), 300 + static_cast<int64>(random.Below(6000)));
-		world.Run(100 + static_cast<Millis>(random.Below(1500)));
+		simulation.AddTasks(random.Below(cells), random.Below(12), 300 + static_cast<int64>(random.Below(6000)));
+		simulation.Run(100 + static_cast<Millis>(random.Below(1500)));
 	}
-	world.Calm();
-	world.Run(300000);
-	RC_ASSERT(world.broken == "");
-	RC_ASSERT(world.Waiting() == 0);
+	simulation.ClearFaults();
+	simulation.Run(300000);
+	RC_ASSERT(simulation.violations == "");
+	RC_ASSERT(simulation.Waiting() == 0);
 }
 
 TEST(TeamUse, ACellStartsNothingBeyondItsTeamsShare)
 {
-	static constexpr int64 cWall = 1'700'000'000'000;
+	static constexpr int64 cWallMs = 1'700'000'000'000;
 	Cell cell(CellTuning{});
 	cell.SetCatalogue(std::make_shared<const Catalogue>(Limited(cLimit)));
 	cell.Begin(1, 1000);
@@ -401,33 +403,33 @@
 	worker.capacity = {64000, 64000, 0};
 	worker.clock_ms = 1;
 	cell.SetWorkers({worker}, 1000);
-	OrderAnswer well;
-	well.result = EOrderResult::Done;
-	well.clock_ms = 1;
+	OrderAnswer done_answer;
+	done_answer.result = EOrderResult::Done;
+	done_answer.clock_ms = 1;
 	for (const Order &order : cell.TakeOrders(1000))
-		cell.OnAnswer(order, well, 1000, 1001);
+		cell.OnAnswer(order, done_answer, 1000, 1001);
 	JobSpec job = MakeJob("job", 1, 8, 3000, 100);
 	job.team = "a";
-	job.accepted_wall_ms = cWall;
-	cell.Ingest({EInbox::Submit, job}, 0, 1001, cWall);
-	cell.Plan(1002, cWall);
+	job.accepted_wall_ms = cWallMs;
+	cell.Ingest({EInbox::Submit, job}, 0, 1001, cWallMs);
+	cell.Plan(1002, cWallMs);
 	EXPECT_EQ(cell.Figures().runs, 0u);
-	// No host is wanted for what the team may not have running: 8 tasks of 3 cores
-	EXPECT_EQ(cell.Demand("pool", 0, 100, 1002, cWall).need.cpu_milli, cLimit);
-	const std::optional<ShareQuestion> question = cell.AskShares(1003, cWall);
+	// The pool has no demand for what the limit of the team does not let run: 8 tasks of 3 cores
+	EXPECT_EQ(cell.Demand("pool", 0, 100, 1002, cWallMs).need.cpu_milli, cLimit);
+	const std::optional<ShareQuestion> question = cell.AskShares(1003, cWallMs);
 	ASSERT_TRUE(question.has_value());
 	EXPECT_EQ(question->claims.at(0).wanted.cpu_milli, 24000);
 	cell.OnShares({question->number, 1, {{"a", {cLimit, 0, 0}}}}, 1005);
-	cell.Plan(1006, cWall);
+	cell.Plan(1006, cWallMs);
 	EXPECT_EQ(cell.Figures().runs, 3u);
-	// What the next owner finds in the log counts, and gives it no share
-	std::vector<KeyedRecord> batch = cell.TakeBatch(cWall);
+	// The runs that the next owner finds in the log count as used, and give it no share
+	std::vector<KeyedRecord> batch = cell.TakeBatch(cWallMs);
 	Cell successor(CellTuning{});
 	successor.SetCatalogue(std::make_shared<const Catalogue>(Limited(cLimit)));
 	for (const KeyedRecord &record : batch)
 		EXPECT_TRUE(successor.Restore(record.key, record.value));
 	successor.Begin(2, 2000);
-	const std::optional<ShareQuestion> next = successor.AskShares(2001, cWall);
+	const std::optional<ShareQuestion> next = successor.AskShares(2001, cWallMs);
 	ASSERT_TRUE(next.has_value());
 	EXPECT_EQ(next->claims.at(0).used.cpu_milli, 9000);
 	EXPECT_EQ(next->claims.at(0).held.cpu_milli, 0);
