--- a/UnitTests/CatalogueTests.cpp
+++ b/UnitTests/CatalogueTests.cpp
@@ -1,4 +1,4 @@
-// Who may call: queues, teams and their keys, across versions of the configuration.
+// Admission of callers by queues, teams and API keys, across versions of the configuration.
 
 #include <Loomreach/Loomreach.h>
 
@@ -31,7 +31,7 @@
 
 TEST(Catalogue, LetsTeamsInByTheirKeysAlone)
 {
-	// Failed first (msafiri-loom-now-grown, every day: ROUTE 15 to 34): requests with keys that no configuration held were taken
+	// Guards against accepting requests with keys that no configuration contains
 	const std::optional<Catalogue> catalogue = Platform::DecodeCatalogue(cBody);
 	ASSERT_TRUE(catalogue.has_value());
 	EXPECT_EQ(catalogue->Admit("h", "/q/1", "k2")->team, "a");
@@ -39,12 +39,12 @@
 	EXPECT_EQ(ErrorFor(*catalogue, "/q/1", "k9"), EError::UnknownKey);
 	EXPECT_EQ(ErrorFor(*catalogue, "/q/1", ""), EError::UnknownKey);
 	EXPECT_EQ(ErrorFor(*catalogue, "/q/1", "k"), EError::UnknownKey);
-	// A queue that is not there is not there, whoever asks
+	// A queue that does not exist is reported as such, whatever the key
 	EXPECT_EQ(ErrorFor(*catalogue, "/x/1", "k1"), EError::NoSuchService);
 	EXPECT_EQ(AnswerOf(EError::UnknownKey).http_status, 401);
 }
 
-TEST(Catalogue, OpenQueuesAskForNoKey)
+TEST(Catalogue, PublicQueuesNeedNoKey)
 {
 	const std::optional<Catalogue> catalogue = Platform::DecodeCatalogue(cBody);
 	for (const char *key : {"", "k1", "k9"})
@@ -56,7 +56,7 @@
 	const std::optional<Catalogue> catalogue =
 		Platform::DecodeCatalogue(R"({"version":1,"routes":[{"name":"q","host":"h","pathPrefix":"/q/","service":"p"}]})");
 	EXPECT_TRUE(catalogue->Admit("h", "/q/1", "").has_value());
-	// But with none left, nobody has one
+	// An empty list of teams is not a missing one: no key is known
 	const std::optional<Catalogue> none =
 		Platform::DecodeCatalogue(R"({"version":1,"routes":[{"name":"q","host":"h","pathPrefix":"/q/","service":"p"}],"tenants":[]})");
 	EXPECT_EQ(ErrorFor(*none, "/q/1", ""), EError::UnknownKey);
@@ -75,7 +75,7 @@
 
 TEST(Catalogue, ANewerVersionDecidesForAHostThatIsBehind)
 {
-	// A host that the store turns away hands its callers' records to others, which may know that the key has been dropped since
+	// A host that the store refuses passes its callers' records on to other hosts, which may know a newer configuration without the key
 	const std::optional<Catalogue> before = Platform::DecodeCatalogue(cBody);
 	const uint64 hash = before->Admit("h", "/q/1", "k1")->key_hash;
 	EXPECT_NE(hash, 0u);
@@ -89,6 +89,7 @@
 	EXPECT_FALSE(after->StillAdmits("q", "elsewhere", "a", hash));
 }
 
+/// A cancellation in the inbox that names another team must change nothing.
 TEST(Catalogue, ATeamCancelsOnlyItsOwnJobs)
 {
 	Cell cell(CellTuning{});
--- a/UnitTests/RequestTests.cpp
+++ b/UnitTests/RequestTests.cpp
@@ -1,4 +1,4 @@
-// Admission, queues, retries, ids, slot shares and claims, each with the failures that they are meant for.
+// Admission, queues, retries, request ids, slot shares and claims, each under the failures that it is meant for.
 
 #include <Loomreach/Loomreach.h>
 
@@ -18,7 +18,7 @@
 namespace
 {
 
-/// A dispatcher over a fleet with one service on some hosts.
+/// A dispatcher for one service that runs on `inHosts` hosts.
 class DispatcherTest : public testing::Test
 {
 protected:
@@ -42,7 +42,7 @@
 		this->dispatcher.Update(this->fleet.state, inLeaving, this->now, this->decisions);
 	}
 
-	/// A request; its first decisions are left in `decisions`.
+	/// Adds a request. The decisions that follow at once are left in `decisions`.
 	RequestId Arrive(bool inRepeatable = false, int64 inPriority = 500, Millis inTime = 10'000)
 	{
 		this->decisions.clear();
@@ -94,7 +94,7 @@
 		EXPECT_EQ(endpoint.in_flight, 8U);
 }
 
-TEST_F(DispatcherTest, QueueIsBoundedAndPushesOutTheLeastImportant)
+TEST_F(DispatcherTest, QueueIsBoundedAndEvictsTheLowestPriority)
 {
 	this->Fill();
 	std::vector<RequestId> low;
@@ -107,7 +107,7 @@
 	this->Arrive(false, 500);
 	EXPECT_EQ(this->Only().error, EError::PushedOut);
 	EXPECT_EQ(this->Only().request, low.back());
-	// A slot that comes free goes to the most important
+	// A slot that becomes free goes to the request of the highest priority
 	const RequestId high = this->last;
 	this->End(this->running.front(), EAttempt::Answered);
 	ASSERT_EQ(this->decisions.size(), 2U);
@@ -126,7 +126,7 @@
 	EXPECT_EQ(this->Only().error, EError::DeadlineUnmet);
 }
 
-TEST_F(DispatcherTest, MayHaveRunIsNeverSentAgainUnlessRepeatable)
+TEST_F(DispatcherTest, WhatMayHaveRunIsSentAgainOnlyIfRepeatable)
 {
 	const RequestId once = this->Arrive(false);
 	this->End(once, EAttempt::Broke);
@@ -137,7 +137,7 @@
 	this->End(again, EAttempt::Broke);
 	EXPECT_EQ(this->Only().kind, EDecision::Start);
 	EXPECT_NE(this->Only().host, first_host);
-	// Whatever follows, "not run" can no longer be said
+	// After that, no answer may say that the request did not run
 	this->End(again, EAttempt::Refused);
 	for (int i = 0; i < 20 && !this->decisions.empty() && this->decisions[0].kind == EDecision::Start; ++i)
 		this->End(again, EAttempt::Refused);
@@ -145,7 +145,7 @@
 	EXPECT_EQ(AnswerOf(this->decisions[0].error).outcome, EOutcome::Unknown);
 }
 
-TEST_F(DispatcherTest, CertainlyNotRunIsRetriedElsewhere)
+TEST_F(DispatcherTest, WhatCertainlyDidNotRunIsRetriedElsewhere)
 {
 	const RequestId once = this->Arrive(false);
 	const std::string first_host = this->Only().host;
@@ -187,14 +187,14 @@
 	this->Update({"h1"});
 	this->Arrive();
 	EXPECT_EQ(this->Only().error, EError::NoEndpoint);
-	// An endpoint's own sign counts before the log tells
+	// An endpoint's own announcement counts before the log contains it
 	this->Update();
 	this->dispatcher.Endpoints().SawLeaving("h1", this->now);
 	this->Arrive();
 	EXPECT_TRUE(this->decisions.empty());
 }
 
-TEST_F(DispatcherTest, EjectsOnEvidenceAndTakesBackByProbation)
+TEST_F(DispatcherTest, EjectsFailingEndpointsAndReadmitsThemOnProbation)
 {
 	std::string bad;
 	for (int i = 0; i < 12; ++i)
@@ -206,7 +206,7 @@
 	const RequestId id = this->Arrive();
 	EXPECT_NE(this->Only().host, bad);
 	this->now += 1001;
-	// On probation: one at a time
+	// On probation: one request at a time
 	std::vector<std::string> hosts;
 	for (int i = 0; i < 4; ++i)
 	{
@@ -217,7 +217,7 @@
 	this->End(id, EAttempt::Answered);
 }
 
-TEST_F(DispatcherTest, WhenAllLookBadAGuessBeatsARefusal)
+TEST_F(DispatcherTest, SendsToAnEndpointEvenIfAllHaveFailed)
 {
 	for (int i = 0; i < 12; ++i)
 	{
@@ -341,7 +341,7 @@
 	EXPECT_EQ(window.BeginIssued(id).answer->body, "once");
 }
 
-TEST(IdWindow, WhatFallsOutNeverRunsAgain)
+TEST(IdWindow, AForgottenIdNeverRunsAgain)
 {
 	IdWindow window;
 	const uint64 first = window.Issue();
@@ -359,7 +359,7 @@
 		full.BeginIssued(ids.back());
 		full.Ran(IdWindow::IssuedKey(ids.back()), {200, "", large});
 	}
-	// The oldest answer went, the id stayed
+	// The oldest answer was dropped, and its id kept
 	EXPECT_EQ(full.BeginIssued(ids.front()).use, EIdUse::Begun);
 	EXPECT_EQ(full.BeginIssued(ids.back()).use, EIdUse::Answered);
 }
@@ -378,7 +378,7 @@
 	const std::vector<uint32> demands = *rc::gen::container<std::vector<uint32>>(6, rc::gen::inRange<uint32>(0, 40));
 	RC_ASSERT(SumOfLimits<FixedSlotShare>(8, demands) == 8);
 	const uint64 total = std::accumulate(demands.begin(), demands.end(), uint64(0));
-	// Beyond the slots themselves only the one that a member without a share may borrow
+	// The sum may exceed the slots only by the one that each member without a share may borrow
 	if (total > 8)
 		RC_ASSERT(SumOfLimits<DemandSlotShare>(8, demands) <= 8 + 6);
 	for (uint32 self = 0; self < demands.size(); ++self)
@@ -386,7 +386,7 @@
 			RC_ASSERT(DemandSlotShare::Limit({8, self, demands}) >= demands[self]);
 }
 
-TEST(ClaimTable, AGuardRefusesWhatItMayNotAnswerFor)
+TEST(ClaimTable, AMemberRefusesClaimsItMayNotAnswer)
 {
 	TestFleet fleet;
 	const Member self{"a", 1, "r", "z1", {}, {}};
@@ -406,7 +406,7 @@
 	EXPECT_EQ(table.Answer("late", range, 7, 1, true, 0, holder), EClaim::OldView);
 	EXPECT_EQ(table.Answer("late", range, 7, 3, true, 0, holder), EClaim::NotReady);
 	EXPECT_FALSE(table.HandOver(range, 3).has_value());
-	// A process that restarted under the same name holds nothing of its predecessor's
+	// A process that restarted under the same name has none of its predecessor's claims
 	ClaimTable restarted("a", 9);
 	restarted.Update(fleet.state);
 	EXPECT_EQ(restarted.Answer("id", range, 8, 2, true, 0, holder), EClaim::NotReady);
@@ -414,13 +414,13 @@
 	EXPECT_TRUE(restarted.Missing().empty());
 }
 
-/// Members with their claim tables over one accepted state; a network that drops and delays by not asking.
+/// Members with their claim tables over one accepted state. Messages are lost and delayed by not being sent.
 RC_GTEST_PROP(ClaimProperty, AnIdIsBoundToOneOwnerAcrossViews, ())
 {
 	SetInvariantsAbort(true);
 	TestFleet fleet;
 	std::map<std::string, std::unique_ptr<ClaimTable>> tables;
-	std::map<std::string, FleetState> states; ///< How far each member has read.
+	std::map<std::string, FleetState> states; ///< The state up to which each member has read the log.
 	uint64 incarnations = 0;
 	std::map<std::string, Member> members;
 	const auto start = [&](const std::string &inName)
@@ -430,7 +430,7 @@
 		states[inName] = FleetState();
 	};
 	const auto propose_view = [&](const std::vector<Member> &inMembers) {
-		fleet.Fold(ChangeView{fleet.state.view.number, inMembers, false});
+		fleet.Apply(ChangeView{fleet.state.view.number, inMembers, false});
 	};
 	start("m0");
 	fleet.Accept(ChangeView{0, {members["m0"]}, true});
@@ -444,7 +444,7 @@
 		const std::string name = "m" + std::to_string(*rc::gen::inRange(0, 5));
 		switch (*rc::gen::inRange(0, 7))
 		{
-		case 0: // Joins, or restarts with an empty memory
+		case 0: // Joins, or restarts without its claims
 		{
 			start(name);
 			std::vector<Member> next;
@@ -473,7 +473,7 @@
 				tables[name]->Update(fleet.state);
 			}
 			break;
-		case 4: // Takes over what it lacks from one holder
+		case 4: // Takes over the ranges that it lacks, each from one holder
 			if (tables.count(name) != 0)
 				for (const auto &[range, holder] : tables[name]->Missing())
 				{
@@ -483,10 +483,10 @@
 					if (!list.has_value())
 						continue;
 					tables[name]->TakeIn(range, *list, now);
-					fleet.Fold(TakeOver{tables[name]->ViewNumber(), name, {range}});
+					fleet.Apply(TakeOver{tables[name]->ViewNumber(), name, {range}});
 				}
 			break;
-		default: // Claims, asking each member of the group in turn; an ask may be lost at any member
+		default: // Claims an id by asking each member of the group in turn; a request may be lost at any member
 		{
 			if (tables.count(name) == 0 || states[name].view.members.count(name) == 0)
 				break;
--- a/UnitTests/SettingsTests.cpp
+++ b/UnitTests/SettingsTests.cpp
@@ -1,4 +1,4 @@
-// The settings tree and the two readers of TOML: inheritance, every kind of error with its position, and round trips.
+// The settings tree and the two readers of TOML: inheritance, each kind of error with its position, and round trips.
 
 #include <Loomreach/Loomreach.h>
 
@@ -16,7 +16,7 @@
 namespace
 {
 
-/// A text that must be refused, with the position and a word of the reason.
+/// A text that must be refused, with the position of the error and a word of its reason.
 struct BadText
 {
 	const char *text;
@@ -24,7 +24,7 @@
 	const char *word;
 };
 
-/// The test's name holds the text, not the bytes of the pointers to it.
+/// Prints the text into the test's name; the default is the bytes of the pointers to it.
 static void PrintTo(const BadText &inText, std::ostream *outStream) { *outStream << testing::PrintToString(std::string(inText.text)); }
 
 class BadSettings : public testing::TestWithParam<BadText>
@@ -95,8 +95,8 @@
 	RC_ASSERT(*again == *tree);
 }
 
-/// A daemon's configuration that is good.
-const std::string cGood =
+/// A valid configuration of the daemon.
+const std::string cValidConfig =
 	"name = \"e\"\navailability_zone = \"z\"\ncallers = \"127.0.0.1:1\"\noperators = \"127.0.0.1:2\"\npeers = \"127.0.0.1:3\"\n"
 	"platform = \"127.0.0.1:4\"\npeer_key_file = \"key\"\n";
 
@@ -116,34 +116,34 @@
 	std::string directory;
 };
 
-TEST_F(DaemonConfigTest, TakesAGoodOne)
+TEST_F(DaemonConfigTest, AcceptsAValidOne)
 {
-	const std::optional<DaemonConfig> config = ParseDaemonConfig(cGood, "d.toml", this->directory);
+	const std::optional<DaemonConfig> config = ParseDaemonConfig(cValidConfig, "d.toml", this->directory);
 	ASSERT_TRUE(config.has_value()) << LastReasonText();
 	EXPECT_EQ(config->peer_key, "0123456789abcdef0123");
 	EXPECT_EQ(config->region, "z");
 	EXPECT_EQ(config->callers.port, 1);
 }
 
-TEST_F(DaemonConfigTest, RefusesEachKindOfBadOne)
+TEST_F(DaemonConfigTest, RefusesEachKindOfInvalidOne)
 {
-	this->ExpectRefused(cGood + "heartbeet_ms = 3\n", "d.toml:8:1: unknown key 'heartbeet_ms'");
-	this->ExpectRefused(cGood + "heartbeat_ms = \"x\"\n", "d.toml:8:16: heartbeat_ms: expected a whole number from 50 to 10000");
-	this->ExpectRefused(cGood + "heartbeat_ms = 1\n", "from 50 to 10000");
-	this->ExpectRefused(cGood + "heartbeat_ms = 500\nsuspect_after_ms = 500\n", "expected more than heartbeat_ms");
-	this->ExpectRefused(cGood + "seeds = 3\n", "expected a list");
-	this->ExpectRefused(cGood + "seeds = [\"host:1\"]\n", "by numbers");
-	this->ExpectRefused(cGood + "operators_token_file = \"none\"\n", "operators_token_file");
+	this->ExpectRefused(cValidConfig + "heartbeet_ms = 3\n", "d.toml:8:1: unknown key 'heartbeet_ms'");
+	this->ExpectRefused(cValidConfig + "heartbeat_ms = \"x\"\n", "d.toml:8:16: heartbeat_ms: expected a whole number from 50 to 10000");
+	this->ExpectRefused(cValidConfig + "heartbeat_ms = 1\n", "from 50 to 10000");
+	this->ExpectRefused(cValidConfig + "heartbeat_ms = 500\nsuspect_after_ms = 500\n", "expected more than heartbeat_ms");
+	this->ExpectRefused(cValidConfig + "seeds = 3\n", "expected a list");
+	this->ExpectRefused(cValidConfig + "seeds = [\"host:1\"]\n", "by numbers");
+	this->ExpectRefused(cValidConfig + "operators_token_file = \"none\"\n", "operators_token_file");
 	this->ExpectRefused("name = \"e\"\n", "missing key 'availability_zone'");
 	this->ExpectRefused("name = 3\n", "expected text in quotes");
-	std::string open = cGood;
+	std::string open = cValidConfig;
 	open.replace(open.find("127.0.0.1:2"), 11, "10.0.0.1:2");
 	this->ExpectRefused(open, "loopback only");
-	std::string same = cGood;
+	std::string same = cValidConfig;
 	same.replace(same.find("127.0.0.1:2"), 11, "127.0.0.1:1");
 	this->ExpectRefused(same, "listeners of their own");
 	std::ofstream(this->directory + "/short") << "short";
-	std::string weak = cGood;
+	std::string weak = cValidConfig;
 	weak.replace(weak.find("\"key\""), 5, "\"short\"");
 	this->ExpectRefused(weak, "at least 16 bytes");
 }
@@ -156,7 +156,7 @@
 		const ErrorAnswer &row = AnswerOf(static_cast<EError>(i));
 		EXPECT_TRUE(names.insert(row.name).second) << row.name;
 		EXPECT_EQ(ErrorOf(row.name), static_cast<EError>(i));
-		// Whoever is told to come back must know that nothing ran
+		// An error that asks the caller to retry must state that nothing ran
 		EXPECT_TRUE(!row.come_back || row.outcome == EOutcome::NotRun) << row.name;
 	}
 }
