--- a/UnitTests/CrashEvidenceTests.cpp
+++ b/UnitTests/CrashEvidenceTests.cpp
@@ -1,4 +1,4 @@
-// What the crashes that a task was at say against it.
+// When the worker crashes that a task took part in prove that it caused them.
 
 #include <Loomreach/Loomreach.h>
 
@@ -13,7 +13,7 @@
 namespace
 {
 
-/// A task that was blamed for crashes right after its start: one each with these rivals, by what became of them.
+/// A task that is blamed for crashes right after its start, one per entry. An entry lists the states of the other suspects of that crash.
 TaskCrashes Crashes(const std::vector<std::vector<ERival>> &inRivals)
 {
 	TaskCrashes crashes;
@@ -29,12 +29,12 @@
 	return crashes;
 }
 
-CrashWeight Weigh(const TaskCrashes &inCrashes)
+CrashWeight Summarize(const TaskCrashes &inCrashes)
 {
 	return WeighCrashes(inCrashes, [](const CrashRival &inRival) { return static_cast<ERival>(inRival.unit); });
 }
 
-struct Verdict
+struct ProofCase
 {
 	std::vector<std::vector<ERival>> rivals;
 	CrashDoubts doubts;
@@ -43,41 +43,42 @@
 
 } // namespace
 
-/// A sound task was given up for one crash that a crasher beside it had caused, and one by chance.
-TEST(CrashEvidence, Verdicts)
+/// Guards against giving up a sound task for two crashes, one caused by another task beside it and one that happened by chance.
+TEST(CrashEvidence, IsProofOnlyWhereOtherCausesAreRuledOut)
 {
-	constexpr auto cOpen = ERival::Open;
+	constexpr auto cUndecided = ERival::Open;
 	constexpr auto cCleared = ERival::Cleared;
-	constexpr auto cGuilty = ERival::Proved;
-	const std::vector<Verdict> table = {
+	constexpr auto cProvedCause = ERival::Proved;
+	const std::vector<ProofCase> table = {
 		{{{}}, {}, false},
 		{{{}, {}}, {}, true},
-		{{{cOpen}, {}}, {}, false},
+		{{{cUndecided}, {}}, {}, false},
 		{{{cCleared}, {}}, {}, true},
-		{{{cCleared, cOpen}, {}}, {}, false},
-		{{{cGuilty}, {}}, {}, false},
-		{{{cOpen}, {}, {}}, {}, true},
-		{{{cGuilty}, {}, {}}, {}, true},
-		{{{cGuilty, cCleared}, {cOpen}, {}}, {}, false},
+		{{{cCleared, cUndecided}, {}}, {}, false},
+		{{{cProvedCause}, {}}, {}, false},
+		{{{cUndecided}, {}, {}}, {}, true},
+		{{{cProvedCause}, {}, {}}, {}, true},
+		{{{cProvedCause, cCleared}, {cUndecided}, {}}, {}, false},
 		{{{}, {}}, {true, false}, false},
 		{{{}, {}}, {false, true}, false},
 		{{{}, {}, {}}, {true, true}, true},
 	};
 	for (size_t i = 0; i < table.size(); ++i)
-		EXPECT_EQ(IsCrasherProved(Weigh(Crashes(table[i].rivals)), table[i].doubts), table[i].proved) << "row " << i;
+		EXPECT_EQ(IsCrasherProved(Summarize(Crashes(table[i].rivals)), table[i].doubts), table[i].proved) << "row " << i;
 }
 
-TEST(CrashEvidence, CrashesThatARivalExplainsCountForNothing)
+TEST(CrashEvidence, CrashesThatAnotherSuspectExplainsDoNotCount)
 {
-	const CrashWeight weight = Weigh(Crashes({{ERival::Proved}, {ERival::Open}, {}}));
+	const CrashWeight weight = Summarize(Crashes({{ERival::Proved}, {ERival::Open}, {}}));
 	EXPECT_EQ(weight.explained, 1u);
 	EXPECT_EQ(weight.at_once, 2u);
 	EXPECT_EQ(weight.Total(), 2u);
 	EXPECT_EQ(weight.sole, 1u);
 }
 
-/// An owner of an earlier version counts on without cases: these must not be taken off what it counted.
-TEST(CrashEvidence, CasesJoinTheCountsThatTheyBelongTo)
+/// Owners of earlier versions update the counts without the cases. Stored cases are merged only into the counts that include them, not into
+/// counts that were started again.
+TEST(CrashEvidence, CasesAreMergedOnlyIntoTheirCounts)
 {
 	const CrashCounts counts = {{{0, 1}, Crashes({{ERival::Open}, {}})}};
 	const std::optional<CrashCounts> read = DecodeValue<CrashCounts>(EncodeValue(counts));
@@ -86,10 +87,10 @@
 	CrashCounts whole = *read;
 	TakeCases(whole, *cases);
 	EXPECT_EQ(whole.at({0, 1}).cases.size(), 2u);
-	CrashCounts begun_anew = {{{0, 1}, Crashes({{}})}};
-	begun_anew.at({0, 1}).cases.clear();
-	TakeCases(begun_anew, *cases);
-	EXPECT_TRUE(begun_anew.at({0, 1}).cases.empty());
+	CrashCounts restarted = {{{0, 1}, Crashes({{}})}};
+	restarted.at({0, 1}).cases.clear();
+	TakeCases(restarted, *cases);
+	EXPECT_TRUE(restarted.at({0, 1}).cases.empty());
 }
 
 } // namespace Loomreach::Jobs
--- a/UnitTests/HelperSearchTests.cpp
+++ b/UnitTests/HelperSearchTests.cpp
@@ -1,4 +1,4 @@
-// Which hosts are asked for help, and which are known to give it.
+// Which other entry hosts are asked whether they reach the store while this host does not, and which of them are known to reach it.
 
 #include <Loomreach/Loomreach.h>
 
@@ -20,6 +20,7 @@
 
 } // namespace
 
+/// Hosts fail together by zones. Guards against asking only the first few hosts again and again.
 TEST(HelperSearch, AsksEveryHostInItsTurn)
 {
 	HelperSearch search;
@@ -27,18 +28,18 @@
 	EXPECT_EQ(search.ToAsk({cA, cB, cC, cD, cE}, 1000), (std::vector<Address>{cA, cB, cC}));
 	EXPECT_TRUE(search.ToAsk({cA, cB, cC, cD, cE}, 1100).empty());
 	EXPECT_EQ(search.ToAsk({cA, cB, cC, cD, cE}, 1300), (std::vector<Address>{cD, cE, cA}));
-	// Each once, also when there are few
+	// No host is listed twice, even when there are fewer hosts than are asked at a time
 	EXPECT_EQ(search.ToAsk({cA, cB}, 1600).size(), 2u);
 }
 
-TEST(HelperSearch, KnowsWhoReachedTheStoreAMomentAgo)
+TEST(HelperSearch, KnowsHostsThatReachedTheStoreRecently)
 {
 	HelperSearch search;
 	search.OnAnswer(cB, true, 1000);
 	search.OnAnswer(cA, true, 1100);
 	search.OnAnswer(cC, false, 1100);
 	EXPECT_EQ(search.Known(1200), (std::vector<Address>{cA, cB}));
-	// A host that lost the store itself helps no longer; nor does one that was not heard of
+	// A host that loses the store itself is no longer known as a helper, nor is one whose last answer is too old
 	search.OnAnswer(cA, false, 1300);
 	EXPECT_EQ(search.Known(1300), std::vector<Address>{cB});
 	EXPECT_TRUE(search.Known(2000).empty());
--- a/UnitTests/LogCheckTests.cpp
+++ b/UnitTests/LogCheckTests.cpp
@@ -1,4 +1,4 @@
-// The checker of logs against short made-up ones: each finding shown once, and what must not be called one.
+// The log checker on short synthetic logs: each kind of finding once, and what must not be reported as one.
 
 #include <Loomreach/Loomreach.h>
 
@@ -12,7 +12,7 @@
 namespace
 {
 
-/// Lines of two hosts, one a word: the checker takes them as they come.
+/// Runs the checker over these lines, in the given order.
 RunChecker CheckLines(const std::vector<std::string> &inLines)
 {
 	RunChecker checker;
@@ -39,7 +39,7 @@
 		   " cell=7 epoch=" + inEpoch;
 }
 
-std::string ToldOf(const std::string &inHead, const std::string &inRuns, const std::string &inEpoch)
+std::string Dispatched(const std::string &inHead, const std::string &inRuns, const std::string &inEpoch)
 {
 	const int64 count = 1 + std::count(inRuns.begin(), inRuns.end(), ',');
 	return inHead + "event=runs_told cell=7 epoch=" + inEpoch + " count=" + std::to_string(count) + " runs=j.0.0:" + inRuns;
@@ -57,7 +57,7 @@
 	return inHead + "event=ends_logged cell=7 epoch=" + inEpoch + " count=1 ends=" + inEnds + " records=2 took_ms=9";
 }
 
-std::string Covered(const std::string &inHead, const std::string &inEnds, const std::string &inEpoch)
+std::string Acknowledged(const std::string &inHead, const std::string &inEnds, const std::string &inEpoch)
 {
 	return inHead + "event=ends_covered cell=7 epoch=" + inEpoch + " ends=" + inEnds + " logged_ms_ago=1";
 }
@@ -101,16 +101,16 @@
 	const RunChecker checker = CheckLines({
 		cStartedA,
 		Planned(At("1.0", "a"), "0.1@w1 1.1@w1", "1"),
-		ToldOf(At("1.1", "a"), "0.1,1.1", "1"),
+		Dispatched(At("1.1", "a"), "0.1,1.1", "1"),
 		Ended(At("2.0", "a"), "0", "1", "done", "1", "1"),
 		Ended(At("2.0", "a"), "1", "1", "failed", "2", "1"),
 		Planned(At("2.01", "a"), "1.2@w1", "1"),
 		Logged(At("2.1", "a"), "w1:1-2", "1"),
-		ToldOf(At("2.1", "a"), "1.2", "1"),
-		Covered(At("2.2", "a"), "w1:1-2", "1"),
+		Dispatched(At("2.1", "a"), "1.2", "1"),
+		Acknowledged(At("2.2", "a"), "w1:1-2", "1"),
 		Ended(At("3.0", "a"), "1", "2", "lapsed", "0", "1"),
 		Planned(At("3.01", "a"), "1.3@w2", "1"),
-		ToldOf(At("3.1", "a"), "1.3", "1"),
+		Dispatched(At("3.1", "a"), "1.3", "1"),
 	});
 	EXPECT_TRUE(checker.Findings().empty());
 	EXPECT_TRUE(checker.Unproved().empty());
@@ -120,76 +120,76 @@
 
 TEST(LogCheck, FindsAStartAfterADoneEnd)
 {
-	// Another owner starts it again, though the first one's log has the end
+	// Another owner starts the task again, though the first owner's log contains its end
 	const RunChecker checker = CheckLines({
 		cStartedA,
 		cStartedB,
-		ToldOf(At("1.1", "a"), "0.1", "1"),
+		Dispatched(At("1.1", "a"), "0.1", "1"),
 		Ended(At("2.0", "a"), "0", "1", "done", "1", "1"),
 		Logged(At("2.1", "a"), "w1:1-1", "1"),
 		Planned(At("5.0", "b"), "0.2@w2", "2"),
-		ToldOf(At("5.1", "b"), "0.2", "2"),
+		Dispatched(At("5.1", "b"), "0.2", "2"),
 	});
 	ASSERT_EQ(KindsOf(checker.Findings()), std::vector{EFinding::StartAfterDone});
-	// The end, the planning and the telling: one finding with its three lines
+	// The end, the plan and the dispatch: one finding with its three lines
 	EXPECT_EQ(checker.Findings()[0].lines.size(), 3u);
 	EXPECT_NE(checker.Findings()[0].what.find("j.0.0.0"), std::string::npos);
 }
 
-TEST(LogCheck, NotesAStartAfterAnEndThatWentWithItsOwner)
+TEST(LogCheck, NotesAStartAfterAnEndThatWasLostWithItsOwner)
 {
 	const RunChecker checker = CheckLines({
 		cStartedA,
 		cStartedB,
-		ToldOf(At("1.1", "a"), "0.1", "1"),
+		Dispatched(At("1.1", "a"), "0.1", "1"),
 		Ended(At("2.0", "a"), "0", "1", "done", "1", "1"),
 		Ended(At("4.0", "b"), "0", "1", "lapsed", "0", "2"),
-		ToldOf(At("5.1", "b"), "0.2", "2"),
+		Dispatched(At("5.1", "b"), "0.2", "2"),
 	});
 	EXPECT_TRUE(checker.Findings().empty());
 	EXPECT_EQ(KindsOf(checker.Notes()), std::vector{EFinding::StartAfterDone});
-	// So with a look that covers it later: the lease had lapsed in between
+	// The same with a poll that acknowledges the end later: the lease had expired in between
 	const auto with_end = [](const std::string &inEnd)
 	{
 		return CheckLines({
 			cStartedA,
 			cStartedB,
-			ToldOf(At("1.1", "a"), "0.1", "1"),
+			Dispatched(At("1.1", "a"), "0.1", "1"),
 			Ended(At("2.0", "a"), "0", "1", "done", "1", "1"),
 			Ended(At("4.0", "b"), "0", "1", inEnd, "0", "2"),
-			ToldOf(At("5.1", "b"), "0.2", "2"),
+			Dispatched(At("5.1", "b"), "0.2", "2"),
 			Ended(At("5.2", "b"), "0", "1", "done", "1", "2"),
 			Logged(At("5.3", "b"), "w1:1-1", "2"),
-			Covered(At("5.4", "b"), "w1:1-1", "2"),
+			Acknowledged(At("5.4", "b"), "w1:1-1", "2"),
 		});
 	};
 	EXPECT_TRUE(with_end("lapsed").Findings().empty());
 	EXPECT_EQ(KindsOf(with_end("lapsed").Notes()), std::vector{EFinding::StartAfterDone});
-	// Without a lapse it counts
+	// Without an expired lease it is a finding
 	EXPECT_EQ(KindsOf(with_end("stopped").Findings()), std::vector{EFinding::StartAfterDone});
 }
 
-TEST(LogCheck, AnOwnerThatHeardOfTheEndStartsNothing)
+TEST(LogCheck, AnOwnerThatReceivedTheEndStartsNothing)
 {
-	// As in a played day: the lease was taken for over, the next run was being logged when the end came, and it was told all the same
+	// The lease was taken for expired, the next run was being persisted when the end arrived, and it was dispatched nevertheless
 	const RunChecker checker = CheckLines({
 		cStartedA,
-		ToldOf(At("1.1", "a"), "0.1", "1"),
+		Dispatched(At("1.1", "a"), "0.1", "1"),
 		Ended(At("5.0", "a"), "0", "1", "lapsed", "0", "1"),
 		Planned(At("5.0", "a"), "0.2@w2", "1"),
 		Ended(At("5.01", "a"), "0", "1", "done", "1", "1"),
-		ToldOf(At("5.02", "a"), "0.2", "1"),
+		Dispatched(At("5.02", "a"), "0.2", "1"),
 	});
 	ASSERT_EQ(KindsOf(checker.Findings()), std::vector{EFinding::StartAfterDone});
 	EXPECT_EQ(checker.Findings()[0].lines.size(), 3u);
-	// Another owner's look that covers what it never heard of
+	// Another owner's poll that acknowledges an end which that owner never received
 	const RunChecker unseen = CheckLines({
 		cStartedA,
 		cStartedB,
-		ToldOf(At("1.1", "a"), "0.1", "1"),
+		Dispatched(At("1.1", "a"), "0.1", "1"),
 		Ended(At("2.0", "a"), "0", "1", "done", "1", "1"),
 		Logged(At("5.2", "b"), "w1:1-1", "2"),
-		Covered(At("5.3", "b"), "w1:1-1", "2"),
+		Acknowledged(At("5.3", "b"), "w1:1-1", "2"),
 	});
 	EXPECT_EQ(KindsOf(unseen.Findings()), std::vector{EFinding::CoveredUnseen});
 }
@@ -199,25 +199,25 @@
 	const RunChecker copies = CheckLines({
 		cStartedA,
 		Planned(At("1.0", "a"), "0.1@w1 0.2@w2", "1", "copies"),
-		ToldOf(At("1.1", "a"), "0.1,0.2", "1"),
+		Dispatched(At("1.1", "a"), "0.1,0.2", "1"),
 		Ended(At("2.0", "a"), "0", "1", "done", "1", "1"),
-		ToldOf(At("2.9", "a"), "0.3", "1"),
+		Dispatched(At("2.9", "a"), "0.3", "1"),
 	});
 	EXPECT_TRUE(copies.Findings().empty());
 	const RunChecker too_late = CheckLines({
 		cStartedA,
 		Planned(At("1.0", "a"), "0.1@w1", "1", "copies"),
-		ToldOf(At("1.1", "a"), "0.1", "1"),
+		Dispatched(At("1.1", "a"), "0.1", "1"),
 		Ended(At("2.0", "a"), "0", "1", "done", "1", "1"),
-		ToldOf(At("3.1", "a"), "0.3", "1"),
+		Dispatched(At("3.1", "a"), "0.3", "1"),
 	});
 	EXPECT_EQ(KindsOf(too_late.Findings()), std::vector{EFinding::StartAfterDone});
 	const RunChecker lasting = CheckLines({
 		cStartedA,
 		Planned(At("1.0", "a"), "0.1@w1", "1", "lasting"),
-		ToldOf(At("1.1", "a"), "0.1", "1"),
+		Dispatched(At("1.1", "a"), "0.1", "1"),
 		Ended(At("2.0", "a"), "0", "1", "done", "1", "1"),
-		ToldOf(At("2.9", "a"), "0.2", "1"),
+		Dispatched(At("2.9", "a"), "0.2", "1"),
 	});
 	EXPECT_TRUE(lasting.Findings().empty());
 }
@@ -228,53 +228,53 @@
 		cStartedA,
 		cStartedB,
 		Planned(At("1.0", "a"), "0.1@w1", "1"),
-		ToldOf(At("1.1", "a"), "0.1", "1"),
+		Dispatched(At("1.1", "a"), "0.1", "1"),
 		Planned(At("2.0", "b"), "0.2@w2", "2"),
-		ToldOf(At("2.1", "b"), "0.2", "2"),
+		Dispatched(At("2.1", "b"), "0.2", "2"),
 	});
 	ASSERT_EQ(KindsOf(checker.Findings()), std::vector{EFinding::TwoRuns});
 	EXPECT_EQ(checker.Findings()[0].lines.size(), 4u);
 }
 
-TEST(LogCheck, FindsALookThatCoversWhatTheLogDoesNotHold)
+TEST(LogCheck, FindsAPollThatAcknowledgesEndsNotPersisted)
 {
-	// The look goes out before the append is back
+	// The poll is sent before the append is answered
 	const RunChecker early = CheckLines({
 		cStartedA,
-		ToldOf(At("1.1", "a"), "0.1", "1"),
+		Dispatched(At("1.1", "a"), "0.1", "1"),
 		Ended(At("2.0", "a"), "0", "1", "done", "1", "1"),
-		Covered(At("2.05", "a"), "w1:1-1", "1"),
+		Acknowledged(At("2.05", "a"), "w1:1-1", "1"),
 		Logged(At("2.1", "a"), "w1:1-1", "1"),
 	});
 	ASSERT_EQ(KindsOf(early.Findings()), std::vector{EFinding::CoveredBeforeLogged});
 	EXPECT_NE(early.Findings()[0].what.find("done:j.0.0.0"), std::string::npos);
-	// Also when its process is killed right afterwards: it had written all that came before
+	// Also when its process is killed right afterwards: it had written all earlier lines
 	const RunChecker killed = CheckLines({
 		cStartedA,
-		ToldOf(At("1.1", "a"), "0.1", "1"),
+		Dispatched(At("1.1", "a"), "0.1", "1"),
 		Ended(At("2.0", "a"), "0", "1", "done", "1", "1"),
-		Covered(At("2.05", "a"), "w1:1-1", "1"),
+		Acknowledged(At("2.05", "a"), "w1:1-1", "1"),
 		At("2.06", "a") + "event=started host=a zone=z life=3",
 	});
 	EXPECT_EQ(KindsOf(killed.Findings()), std::vector{EFinding::CoveredBeforeLogged});
-	// It is never logged at all, though an earlier end is
+	// The end is never persisted, though an earlier one is
 	const RunChecker never = CheckLines({
 		cStartedA,
-		ToldOf(At("1.1", "a"), "0.1,1.1", "1"),
+		Dispatched(At("1.1", "a"), "0.1,1.1", "1"),
 		Ended(At("2.0", "a"), "0", "1", "done", "1", "1"),
 		Logged(At("2.1", "a"), "w1:1-1", "1"),
 		Ended(At("2.2", "a"), "1", "1", "done", "2", "1"),
-		Covered(At("2.3", "a"), "w1:1-2", "1"),
+		Acknowledged(At("2.3", "a"), "w1:1-2", "1"),
 	});
 	EXPECT_EQ(KindsOf(never.Findings()), std::vector{EFinding::CoveredBeforeLogged});
-	// Another owner's log does not count
+	// What another owner persisted does not count
 	const RunChecker other = CheckLines({
 		cStartedA,
 		cStartedB,
-		ToldOf(At("1.1", "a"), "0.1", "1"),
+		Dispatched(At("1.1", "a"), "0.1", "1"),
 		Ended(At("2.0", "a"), "0", "1", "done", "1", "1"),
 		Logged(At("2.1", "a"), "w1:1-1", "1"),
-		Covered(At("4.0", "b"), "w1:1-1", "2"),
+		Acknowledged(At("4.0", "b"), "w1:1-1", "2"),
 	});
 	EXPECT_EQ(KindsOf(other.Findings()), (std::vector{EFinding::CoveredBeforeLogged, EFinding::CoveredUnseen}));
 }
@@ -286,77 +286,78 @@
 	const RunChecker checker = CheckLines({
 		cStartedA,
 		cStartedB,
-		ToldOf(At("1.1", "a"), "0.1", "1"),
+		Dispatched(At("1.1", "a"), "0.1", "1"),
 		Ended(At("2.0", "a"), "0", "1", "done", "1", "1"),
 		Logged(At("2.1", "a"), "w1:1-1", "1"),
 		unmatched,
 		Logged(At("4.1", "b"), "w1:1-1", "2"),
-		Covered(At("4.2", "b"), "w1:1-1", "2"),
+		Acknowledged(At("4.2", "b"), "w1:1-1", "2"),
 	});
 	EXPECT_TRUE(checker.Findings().empty());
-	// And bind: nothing may start after one
-	const RunChecker again = CheckLines({cStartedA, cStartedB, unmatched, ToldOf(At("4.5", "b"), "0.2", "2")});
+	// They bind as well: the task must not start after one
+	const RunChecker again = CheckLines({cStartedA, cStartedB, unmatched, Dispatched(At("4.5", "b"), "0.2", "2")});
 	EXPECT_EQ(KindsOf(again.Findings()), std::vector{EFinding::StartAfterDone});
 }
 
 TEST(LogCheck, WhatMayBeMissingIsNotCalledClean)
 {
-	// Dropped lines: neither clean nor found
+	// With dropped lines the log is neither clean nor proves a finding
 	const std::string dropped = "   1.9 a event=log_lines_dropped lines=4";
-	const RunChecker with_drops = CheckLines({cStartedA, ToldOf(At("1.1", "a"), "0.1", "1"), dropped, ToldOf(At("2.1", "a"), "0.2", "1")});
+	const RunChecker with_drops =
+		CheckLines({cStartedA, Dispatched(At("1.1", "a"), "0.1", "1"), dropped, Dispatched(At("2.1", "a"), "0.2", "1")});
 	EXPECT_TRUE(with_drops.Findings().empty());
 	EXPECT_EQ(KindsOf(with_drops.Unproved()), std::vector{EFinding::TwoRuns});
 	EXPECT_EQ(with_drops.Unchecked().size(), 1u);
 	const RunChecker cover = CheckLines({
 		cStartedA,
-		ToldOf(At("1.1", "a"), "0.1", "1"),
+		Dispatched(At("1.1", "a"), "0.1", "1"),
 		Ended(At("1.8", "a"), "0", "1", "done", "1", "1"),
 		dropped,
-		Covered(At("2.05", "a"), "w1:1-1", "1"),
+		Acknowledged(At("2.05", "a"), "w1:1-1", "1"),
 	});
 	EXPECT_EQ(KindsOf(cover.Unproved()), std::vector{EFinding::CoveredBeforeLogged});
 	EXPECT_TRUE(cover.Findings().empty());
-	// A killed process: its last lines may have held the end
+	// A killed process: its last lines, which are lost, may have contained the end
 	const RunChecker killed = CheckLines({
 		cStartedA,
 		cStartedB,
-		ToldOf(At("1.1", "a"), "0.1", "1"),
+		Dispatched(At("1.1", "a"), "0.1", "1"),
 		At("1.5", "a") + "event=started host=a zone=z life=3",
-		ToldOf(At("3.1", "b"), "0.2", "2"),
+		Dispatched(At("3.1", "b"), "0.2", "2"),
 	});
 	EXPECT_EQ(killed.Cuts(), 1u);
 	EXPECT_EQ(KindsOf(killed.Unproved()), std::vector{EFinding::TwoRuns});
-	// One that stopped by itself has written everything
+	// A process that stopped by itself has written all its lines
 	const RunChecker stopped = CheckLines({
 		cStartedA,
 		cStartedB,
-		ToldOf(At("1.1", "a"), "0.1", "1"),
+		Dispatched(At("1.1", "a"), "0.1", "1"),
 		At("1.4", "a") + "event=stopped after_ms=30",
 		At("1.5", "a") + "event=started host=a zone=z life=3",
-		ToldOf(At("3.1", "b"), "0.2", "2"),
+		Dispatched(At("3.1", "b"), "0.2", "2"),
 	});
 	EXPECT_EQ(stopped.Cuts(), 0u);
 	EXPECT_EQ(KindsOf(stopped.Findings()), std::vector{EFinding::TwoRuns});
-	// A line cut in two, and no line at all
+	// A truncated line, and a log without lines of runs
 	const RunChecker cut_line = CheckLines({cStartedA, At("1.1", "a") + "event=runs_told cell=7 epoch=1 count=2 runs=j.0.0:0.1"});
 	EXPECT_EQ(cut_line.Unchecked().size(), 1u);
 	EXPECT_EQ(CheckLines({cStartedA}).Unchecked().size(), 1u);
 }
 
-/// The next life's ends were taken for the former one's, which a look had covered.
-TEST(LogCheck, NumbersOfEndsAreOfOneLife)
+/// Guards against taking an end of a worker's new incarnation for the one of its previous incarnation that a poll acknowledged.
+TEST(LogCheck, EndNumbersBelongToOneIncarnation)
 {
 	const std::string again = "event=worker_started_again worker=w1 born_ms=2000 was_born_ms=1000 cell=7 epoch=1";
 	const RunChecker checker = CheckLines({
 		cStartedA,
-		ToldOf(At("1.1", "a"), "0.1", "1"),
+		Dispatched(At("1.1", "a"), "0.1", "1"),
 		Ended(At("2.0", "a"), "0", "1", "done", "1", "1"),
 		Logged(At("2.1", "a"), "w1:1-1", "1"),
-		Covered(At("2.2", "a"), "w1:1-1", "1"),
+		Acknowledged(At("2.2", "a"), "w1:1-1", "1"),
 		At("2.3", "a") + again,
-		ToldOf(At("2.4", "a"), "1.1", "1"),
+		Dispatched(At("2.4", "a"), "1.1", "1"),
 		Ended(At("2.5", "a"), "1", "1", "done", "1", "1"),
-		Covered(At("2.6", "a"), "w1:1-1", "1"),
+		Acknowledged(At("2.6", "a"), "w1:1-1", "1"),
 	});
 	EXPECT_EQ(KindsOf(checker.Findings()), std::vector{EFinding::CoveredBeforeLogged});
 }
--- a/UnitTests/LogStreamTests.cpp
+++ b/UnitTests/LogStreamTests.cpp
@@ -1,4 +1,4 @@
-// Log lines and a reader that does not read.
+// The log stream with a reader that does not read.
 
 #include <Loomreach/Loomreach.h>
 
@@ -15,7 +15,7 @@
 namespace
 {
 
-/// A pipe; its reading end does not wait.
+/// A pipe with a non-blocking read end.
 struct Pipe
 {
 	Pipe()
@@ -42,16 +42,16 @@
 
 } // namespace
 
-TEST(LogStream, NeverWaitsForItsReader)
+TEST(LogStream, NeverBlocksOnItsReader)
 {
-	// Failed first: written through stdio, the first line that a full pipe did not take stopped the process
+	// Guards against writing through stdio, where the first line that a full pipe does not accept blocks the process.
 	const Pipe pipe;
 	LogStream stream(pipe.ends[1], 100000);
 	const std::string line(200, 'x');
 	for (int i = 0; i < 5000; ++i)
 		stream.Write(line);
 	EXPECT_GT(stream.Dropped(), 3000u);
-	// The reader is back: what was kept comes whole, and how much was lost
+	// Once the reader reads again, it gets all buffered lines complete, and the number of dropped ones
 	std::string text;
 	for (int i = 0; i < 20; ++i)
 	{
--- a/UnitTests/RunTimesTests.cpp
+++ b/UnitTests/RunTimesTests.cpp
@@ -1,4 +1,4 @@
-// What is learned of run times.
+// Run times expected from the estimates of callers and the past runs of a queue.
 
 #include <Loomreach/Loomreach.h>
 
@@ -28,22 +28,23 @@
 	return step;
 }
 
-/// Steps whose run times spread by a factor of e to the `inSpread` around 1 s, with estimates off by e to the `inOff`.
-void Feed(RunTimes &ioTimes, double inSpread, double inOff, size_t inSteps)
+/// Learns `inSteps` steps with log-normal run times around 1 s, of standard deviation `inSpread`, whose estimates are off by log-normal
+/// factors of standard deviation `inEstimateError`.
+void Feed(RunTimes &ioTimes, double inSpread, double inEstimateError, size_t inSteps)
 {
 	std::mt19937 random(7);
 	std::normal_distribution<double> normal;
 	for (size_t i = 0; i < inSteps; ++i)
 	{
 		const double took = 1000.0 * std::exp(inSpread * normal(random));
-		const double estimate = took * std::exp(inOff * normal(random));
+		const double estimate = took * std::exp(inEstimateError * normal(random));
 		ioTimes.Learn(SpecOf("q"), StepOf(static_cast<Millis>(estimate)), static_cast<Millis>(took));
 	}
 }
 
 } // namespace
 
-TEST(RunTimes, TheEstimateCountsUntilSomethingIsKnown)
+TEST(RunTimes, TheEstimateCountsUntilRunsAreKnown)
 {
 	RunTimes times;
 	EXPECT_EQ(times.Expect(SpecOf("q"), StepOf(700)), 700);
@@ -52,7 +53,7 @@
 
 TEST(RunTimes, GoodEstimatesAreBelievedAndBadOnesAreNot)
 {
-	// Failed first: every task of a queue was expected to take its queue's mean, whatever its caller said
+	// Guards against expecting the mean of its queue for every task, whatever estimate its caller gives.
 	RunTimes good;
 	Feed(good, 0.45, 0.1, 400);
 	EXPECT_NEAR(static_cast<double>(good.Expect(SpecOf("q"), StepOf(2000))), 2000.0, 200.0);
--- a/UnitTests/StoreWatchTests.cpp
+++ b/UnitTests/StoreWatchTests.cpp
@@ -1,4 +1,4 @@
-// When a store counts as silent.
+// When a store counts as unresponsive, and when a host that the store refuses counts as isolated from it.
 
 #include <Loomreach/Loomreach.h>
 
@@ -9,7 +9,7 @@
 namespace Loomreach::Jobs
 {
 
-TEST(StoreWatch, NothingAskedNothingMissed)
+TEST(StoreWatch, IsResponsiveWithoutOpenCalls)
 {
 	StoreWatch watch;
 	EXPECT_FALSE(watch.IsSilent(1000000));
@@ -18,7 +18,7 @@
 	EXPECT_FALSE(watch.IsSilent(1000000));
 }
 
-TEST(StoreWatch, CallsWithoutAnswerMakeItSilentSoon)
+TEST(StoreWatch, CallsWithoutAnswerMakeItUnresponsive)
 {
 	StoreWatch watch;
 	for (Millis at = 0; at < 5000; at += 500)
@@ -30,17 +30,17 @@
 	EXPECT_FALSE(watch.IsLate(5100));
 	EXPECT_TRUE(watch.IsLate(5200));
 	EXPECT_FALSE(watch.IsSilent(5200));
-	// A later call does not begin the wait anew
+	// A later call does not restart the wait
 	watch.OnSent(5300);
 	EXPECT_TRUE(watch.IsSilent(5500));
-	// Nor does it stay silent once it answers
+	// An answer ends it
 	watch.OnAnswered(5300, 6000);
 	EXPECT_FALSE(watch.IsSilent(6001));
 }
 
-TEST(StoreWatch, ASlowStoreIsNotSilent)
+TEST(StoreWatch, ASlowStoreIsNotUnresponsive)
 {
-	// The users' slow store answers in 240 to 360 ms, and in turn
+	// A slow store answers in 240 to 360 ms, one call after the other
 	StoreWatch watch;
 	watch.OnSent(0);
 	watch.OnAnswered(0, 360);
@@ -52,20 +52,22 @@
 	EXPECT_TRUE(watch.IsSilent(3900));
 }
 
-TEST(TurnedAwayWatch, AnOwnerThatTheStoreTurnsAwayLetsGoBeforeItsLeaseIsOver)
+TEST(TurnedAwayWatch, AnOwnerThatTheStoreRefusesReleasesItsCellsBeforeItsLeaseExpires)
 {
-	// The users' load: a third of the hosts turned away for 9 s as a turn of demand begins. Their cells stood still for 2.3 s
+	// The store refuses a third of the hosts for 9 s while demand rises. Owners that kept their cells until their leases expired left them
+	// without an owner for 2.3 s
 	TurnedAwayWatch watch;
-	EXPECT_FALSE(watch.Note(true, false, 0)); // Nobody reaches the store: giving up helps nobody
+	EXPECT_FALSE(watch.Note(true, false, 0)); // No host reaches the store: releasing the cells would not help
 	EXPECT_FALSE(watch.Note(true, true, 100));
 	EXPECT_FALSE(watch.Note(true, true, 200));
 	EXPECT_TRUE(watch.Note(true, true, 250));
-	// One answer ends it
+	// One answer resets the watch
 	EXPECT_FALSE(watch.Note(false, true, 300));
 	EXPECT_FALSE(watch.Note(true, true, 350));
 	EXPECT_TRUE(watch.Note(true, true, 500));
 }
 
+/// Guards against taking a store for unresponsive for one lost answer while it answers other calls.
 TEST(StoreWatch, OneAnswerAmongLostOnesIsEnough)
 {
 	StoreWatch watch;
