--- a/UnitTests/CellWorld.h
+++ b/UnitTests/CellWorld.h
@@ -1,5 +1,6 @@
-// A small world around one cell, for properties: workers that keep the platform's rules, a log, an owner that is killed and replaced,
-// and a network that loses, doubles, delays and reorders. Everything is drawn from one seed; time is simulated.
+// Simulation of one cell for property tests: workers that follow the platform's rules, a log, an owner that is killed and replaced, and a
+// network that loses, duplicates, delays and reorders messages. All chances are drawn from one seed, and time is simulated. The simulation
+// checks the platform's rules while it runs and records each violation.
 
 #pragma once
 
@@ -10,317 +11,317 @@
 namespace Loomreach::Jobs
 {
 
-inline constexpr Millis cWorldStepMs = 10;
-inline constexpr std::string_view cKilled = "killed"; ///< How an owner went whose process ended at once.
-inline constexpr int64 cWorldCpuMilli = 16000;        ///< What a worker has.
+inline constexpr Millis cSimulationStepMs = 10;
+inline constexpr std::string_view cOwnerKilled = "killed"; ///< Reason of an owner's exit: its process ended abruptly.
+inline constexpr int64 cWorkerCpuMilli = 16000;            ///< Processors of a worker.
 
-/// What may go wrong, in percent or ms.
+/// Faults of a simulation. Rates are in percent: of orders, runs or stops, or per second where stated.
 struct Trouble
 {
-	uint64 lost_order = 0;          ///< An order never arrives.
-	uint64 lost_answer = 0;         ///< It is carried out, the answer is lost.
-	uint64 late_order = 0;          ///< It is carried out 2 to 12 s later, without an answer.
-	uint64 late_start = 0;          ///< The same for orders to start alone: nothing hinders the looks and stops that follow.
-	uint64 failing = 0;             ///< A run ends as failed.
-	uint64 cut = 0;                 ///< Per second and worker: cut off for some seconds.
-	uint64 crash = 0;               ///< Per second and worker: replaced by a new life.
-	uint64 kill = 0;                ///< Per second: the owner is killed, a new one comes after the lease.
-	uint64 slow_log = 0;            ///< An append takes a second instead of milliseconds.
-	uint64 log_ms = 0;              ///< An append takes up to this much longer.
-	int64 slow_clock_per_mille = 0; ///< Workers' clocks run up to this much slower.
-	uint64 repeated_start = 0;      ///< A start is carried out, comes again later, and the cell hears the second answer.
-	size_t ends_page = 0;           ///< A look lists this many ends at most; 0: all.
-	uint64 stall = 0;               ///< Per second: the owner stands still for 0.4 to 1.3 s, and keeps its ownership.
-	uint64 long_stall = 0;          ///< The same for 1.3 to 5 s; beyond its lease it owns the cell anew.
-	bool taken_over = false;        ///< While the owner stands still beyond its lease another takes the cell over, and it wakes to that.
-	bool reused = false;            ///< A worker that left by plan leaves its address to another life 2 s later.
-	uint64 leave = 0;               ///< Per second and worker: it drains, goes on for some seconds, and ends.
-	uint64 taken_down = 0;          ///< Per second: some worker is emptied, and its host taken down as soon as the cell promises it.
-	uint64 unlist = 0;              ///< Per second and worker: its entry lapses for up to 3 s.
-	uint64 hand_over = 0;           ///< Per second: the owner hands over by plan, with no gap, once its append is through.
-	uint64 slow_worker = 0;         ///< Per second and worker: it works five times as long for some seconds.
-	uint64 shrink = 0;              ///< Per second and worker: it has a part of its processors only; and again: all of them.
-	uint64 slow_stop = 0;           ///< A stop takes 0.4 to 0.9 s.
-	Millis lease_ms = 0;            ///< Lease of the workers' runs; 0: as tuned.
-	size_t batch_bytes = 0;         ///< Records of one append; 0: as tuned.
-	uint64 again = 0;               ///< Per second and worker: it crashes, and soon starts again under its id.
-	uint64 returns = 0;             ///< Of workers that end by plan so many start again under their id; the others leave for good.
-	bool listing_counts = false;    ///< With no disruption near, an end counts as taken note of 100 ms after a worker has listed it.
-	bool unread_excused = false;    ///< The same, but for an answer that its owner had not read when it was killed.
+	uint64 lost_order = 0;              ///< An order is lost.
+	uint64 lost_answer = 0;             ///< An order is executed, its answer is lost.
+	uint64 late_order = 0;              ///< An order is executed 2 to 12 s late, without an answer.
+	uint64 late_start = 0;              ///< The same for start orders only: later polls and stops arrive in time.
+	uint64 failed_run = 0;              ///< A run ends as failed.
+	uint64 worker_partition = 0;        ///< Per second and worker: unreachable for 0.5 to 9.5 s.
+	uint64 worker_crash = 0;            ///< Per second and worker: it ends, and another incarnation replaces it.
+	uint64 owner_kill = 0;              ///< Per second: the owner is killed; the next one begins once its lease is over.
+	uint64 slow_append = 0;             ///< An append takes 1 s instead of 10 ms.
+	uint64 append_jitter_ms = 0;        ///< An append takes up to this much longer.
+	int64 slow_clock_per_mille = 0;     ///< Workers' clocks run slow by up to this.
+	uint64 repeated_start = 0;          ///< A start is executed and its answer lost; the cell gets the answer to a repeat.
+	size_t poll_page_size = 0;          ///< Most ends that one poll lists; 0: no limit.
+	uint64 owner_pause = 0;             ///< Per second: the owner's process pauses for 0.4 to 1.3 s and keeps its ownership.
+	uint64 long_owner_pause = 0;        ///< The same for 1.3 to 5 s; beyond its lease it takes the cell over again.
+	bool takeover_while_paused = false; ///< Another owner takes over from one that is paused beyond its lease.
+	bool address_reuse = false;         ///< Another incarnation answers at a released address 2 s later.
+	uint64 worker_leave = 0;            ///< Per second and worker: it drains, runs on for 1 to 5 s, and ends.
+	uint64 host_removal = 0;            ///< Per second: a worker is drained; its host is removed once the cell grants it.
+	uint64 entry_lapse = 0;             ///< Per second and worker: the list does not show its entry for up to 3 s.
+	uint64 owner_handover = 0;          ///< Per second: planned handover without a gap, once the append is done.
+	uint64 slow_worker = 0;             ///< Per second and worker: its runs take five times as long for 5 s.
+	uint64 capacity_shrink = 0;         ///< Per second and worker: its processors shrink, or are restored.
+	uint64 slow_stop = 0;               ///< A stop takes 0.4 to 0.9 s.
+	Millis lease_ms = 0;                ///< Lease of the workers' runs; 0: the default.
+	size_t batch_bytes = 0;             ///< Most bytes of records in one append; 0: the default.
+	uint64 restart_same_id = 0;         ///< Per second and worker: it crashes and soon starts again under its id.
+	uint64 return_same_id = 0;          ///< Share of ended workers that start again under their ids; the others do not return.
+	bool listed_end_counts = false;     ///< A listed end counts as recorded after 100 ms; for faults that disrupt nothing.
+	bool unread_end_excused = false;    ///< Except for an answer that its owner had not read when it was killed.
 };
 
-/// A worker that keeps the platform's rules.
-class WorldWorker
+/// A worker that follows the platform's rules.
+class SimulatedWorker
 {
 public:
-	WorldWorker(std::string inId, Resources inCapacity, int64 inSlowPerMille)
-		: id(std::move(inId)), capacity(inCapacity), slow(inSlowPerMille)
+	SimulatedWorker(std::string inId, Resources inCapacity, int64 inSlowPerMille)
+		: id(std::move(inId)), capacity(inCapacity), clock_slow_per_mille(inSlowPerMille)
 	{
 	}
 
-	Millis Clock(Millis inNow) const { return inNow * (1000 - this->slow) / 1000 + this->clock_base; }
-	/// Names this life of it.
-	std::string Life() const { return this->id + '@' + std::to_string(this->born); }
+	Millis Clock(Millis inNow) const { return inNow * (1000 - this->clock_slow_per_mille) / 1000 + this->clock_base; }
+	/// Identifies this incarnation.
+	std::string IncarnationName() const { return this->id + '@' + std::to_string(this->started_at); }
 
 	std::string id;
-	int64 born = 0;           ///< When this life began.
-	Millis clock_base = 5000; ///< Where its clock began.
+	int64 started_at = 0;     ///< When this incarnation started.
+	Millis clock_base = 5000; ///< Offset of its clock.
 	Resources capacity;
-	int64 slow = 0;
+	int64 clock_slow_per_mille = 0;
 	uint64 token = 0;
-	Millis until = 0;
-	/// A run at work.
+	Millis lease_until = 0;
+	/// A run on the worker.
 	struct Work
 	{
-		Resources room;
+		Resources reserved;
 		Millis began_at = 0;
-		Millis ends_at = 0; ///< -1: lasts.
+		Millis ends_at = 0; ///< -1: long-running.
 		bool fails = false;
-		std::string meant_for;  ///< See MeantFor.
-		Millis stops_at = -1;   ///< It was told to stop, and has stopped by then.
-		bool blamed = false;    ///< It was told of as running on after its job's cancel.
-		Millis crashes_at = -1; ///< It takes its worker's process with it then; -1: never.
+		std::string misdelivery; ///< See DescribeMisdelivery.
+		Millis stops_at = -1;    ///< When an ordered stop takes effect; -1: none was ordered.
+		bool reported = false;   ///< Reported as running on after its job's cancel.
+		Millis crashes_at = -1;  ///< When it crashes its worker's process; -1: never.
 	};
 	std::map<RunId, Work> running;
-	std::map<TaskId, uint32> highest_over; ///< Highest run that was stopped or ended here.
+	std::map<TaskId, uint32> highest_ended_run; ///< Highest run of the task that was stopped or ended here.
 	std::vector<EndedRow> ended;
-	uint64 next_number = 1;
-	uint64 void_below = 1; ///< Ends with lower numbers were followed by a lapse of the lease: noting them binds nobody.
-	Millis cut_until = 0;
-	bool cut_closes = false;  ///< While it is cut off, its connections are reset; else nothing comes back.
-	Millis contact_since = 0; ///< Since then an owner has been at work, and none of its looks and stops here was lost or late.
-	uint64 shown_to = 0;      ///< The last owner that was shown its entry.
+	uint64 next_sequence = 1;
+	uint64 expired_below = 1; ///< The lease expired after ends with lower sequence numbers: recording these binds nobody.
+	Millis unreachable_until = 0;
+	bool resets_connections = false; ///< While it is unreachable its connections are reset; otherwise nothing is answered.
+	Millis contact_since = 0;        ///< Since when an owner has been active and no poll or stop here was lost or late.
+	uint64 listed_to_epoch = 0;      ///< Epoch of the last owner that got its entry.
 	bool crashed = false;
-	bool closes = false;      ///< Crashed: its host closes connections and turns new ones away; else nothing comes back.
-	Millis back_at = -1;      ///< Crashed: the next life answers at its address from then on; -1: never.
-	bool keeps_id = false;    ///< And that one has its id.
-	Millis reused_at = -1;    ///< It has left, and another life answers at its address from then on; -1: never.
-	Millis listed_until = -1; ///< Crashed: the worker list shows it until then.
+	bool closes_connections = false; ///< If crashed: its host closes and refuses connections; otherwise nothing is answered.
+	Millis next_incarnation_at = -1; ///< If crashed: when the next incarnation answers at its address; -1: never.
+	bool keeps_id = false;           ///< If crashed: the next incarnation has the same id.
+	Millis address_reused_at = -1;   ///< It has left, and another incarnation answers at its address from then on; -1: never.
+	Millis listed_until = -1;        ///< If crashed: until when the worker list shows it.
 	std::string rack = "r";
 	std::string availability_zone;
-	Resources room_before; ///< What it had before its room shrank,
-	Millis shrunk_at = -1; ///< and when that was; -1: it has not.
-	/// The room that binds starts: what it said until a while ago, if that was more.
-	Resources BindingRoom(Millis inNow) const;
-	bool unlisted = false;  ///< It lives, but the worker list does not show it.
+	Resources capacity_before; ///< Capacity before it shrank.
+	Millis shrunk_at = -1;     ///< When the capacity shrank; -1: it has not.
+	/// Capacity that starts must fit into: for a while after it shrank still the previous one, since owners learn of it late.
+	Resources BindingCapacity(Millis inNow) const;
+	bool unlisted = false;  ///< It runs, but the worker list does not show it.
 	Millis slow_factor = 1; ///< Its runs take this many times as long.
 	Millis slow_until = 0;
 	Millis relisted_at = 0;
 	bool draining = false;
-	Millis leaves_at = -1; ///< Its life ends then, by plan.
-	bool emptied = false;  ///< The cell is being asked to empty it.
+	Millis leaves_at = -1;        ///< When it ends by plan; -1: not planned.
+	bool drain_requested = false; ///< The cell is being asked to drain it.
 };
 
-/// The world.
+/// The simulation. See the head of the file.
 class CellWorld
 {
 public:
-	CellWorld(uint64 inSeed, const Trouble &inTrouble, size_t inWorkers);
+	CellWorld(uint64 inSeed, const Trouble &inFaults, size_t inWorkers);
 
-	/// Hands in a job; it counts as accepted.
+	/// Submits a job, which counts as accepted.
 	void Submit(JobSpec inSpec);
 	void Cancel(const std::string &inId);
-	/// Lets time pass.
+	/// Advances time.
 	void Run(Millis inMillis);
-	/// Ends all trouble: what is open can finish.
-	void Calm();
-	/// How long runs of a job take, where that is not left to chance.
+	/// Ends all faults, so that unfinished work can finish.
+	void ClearFaults();
+	/// Run times by job; the runs of other jobs take random times.
 	std::map<std::string, Millis> run_ms;
-	/// Jobs all of whose tasks crash their worker, this long after each start.
+	/// Jobs whose tasks all crash their worker, and the time from a run's start to the crash.
 	std::map<std::string, Millis> crash_after_ms;
-	/// The next life of a worker crashed by a task begins after this; 0: after 0.5 to 3.5 s, by chance.
+	/// Delay of the next incarnation after a crash by a task; 0: random, 0.5 to 3.5 s.
 	Millis back_after_ms = 0;
-	/// A worker's process ends, and the next one at its address begins after `inBackMs`. `inCloses`: see WorldWorker.
-	void Crash(WorldWorker &ioWorker, bool inCloses, Millis inBackMs);
-	/// The same, and the next one has its id: it holds and knows nothing of before.
-	void Restart(WorldWorker &ioWorker, bool inCloses, Millis inBackMs);
-	/// Workers that have crashed under a task that crashes them.
-	uint32 CrashesUnder(const TaskId &inTask) const;
-	/// All rules that were broken, a line each.
+	/// Ends a worker's process; the next one at its address starts after `inBackMs`. `inCloses`: see SimulatedWorker.
+	void Crash(SimulatedWorker &ioWorker, bool inCloses, Millis inBackMs);
+	/// The same, and the next incarnation has the same id; it holds no runs or ends of the previous one.
+	void Restart(SimulatedWorker &ioWorker, bool inCloses, Millis inBackMs);
+	/// Number of workers that the runs of a task have crashed.
+	uint32 CrashesCausedBy(const TaskId &inTask) const;
+	/// All violations, one per line.
 	std::string Broken() const;
-	/// Jobs shown as failed that could have been done, in words.
+	/// Jobs reported as failed although their tasks crash no workers, one per line.
 	std::string GivenUp() const;
-	/// Whether the time to stop a cancelled job's run counts only while the owner knows the worker's address.
+	/// Whether the deadline to stop a cancelled job's run applies only while the owner knows the worker's address.
 	bool needs_address = true;
-	/// Workers take this long to stop a run.
-	Millis stop_takes = 0;
-	/// The owner is killed, and the next one begins at once. `inWhy`: in words, for what is broken of it.
+	/// Time that workers take to stop a run.
+	Millis stop_duration_ms = 0;
+	/// Kills the owner; the next one begins immediately. `inWhy`: the reason, for violation texts.
 	void ReplaceOwner(std::string_view inWhy = "replaced");
-	/// The same, but its process goes on and hands in the ends that only it knows.
-	void SucceedOwner(std::string_view inWhy);
-	/// The owner hands over by plan as soon as it can.
-	void HandOverSoon() { this->handing_over = true; }
-	/// Workers that are crashed by a task start again under their ids.
+	/// The same, but the old process survives and submits to the inbox the ends that only it knows.
+	void SupersedeOwner(std::string_view inWhy);
+	/// Requests a planned handover, which takes place as soon as the owner is ready.
+	void RequestHandover() { this->handing_over = true; }
+	/// Workers that a task crashes start again under their ids.
 	bool crashed_keep_ids = false;
-	/// Looks wait for an end, as long as they say.
-	bool looks_wait = false;
-	/// The next owners give workers leases of this length: a rollout has changed the setting.
-	void SetLease(Millis inMillis) { this->trouble.lease_ms = inMillis; }
-	/// The store has just come back: entries that go now may only have lapsed.
-	void StoreBack(Millis inTrustMs) { this->trust_until = this->now + inTrustMs; }
+	/// Polls wait for an end for as long as they ask.
+	bool polls_wait = false;
+	/// Sets the lease that later owners grant to workers, as the rollout of a changed setting does.
+	void SetLease(Millis inMillis) { this->faults.lease_ms = inMillis; }
+	/// The store is back after an outage: for this long a missing entry may only have lapsed.
+	void OnStoreRecovered(Millis inTrustMs) { this->trust_until = this->now + inTrustMs; }
 
-	/// Rules that were broken, in words.
-	std::vector<std::string> broken;
-	/// The phase that callers are shown.
+	/// Violations of the rules, as text.
+	std::vector<std::string> violations;
+	/// A job's state as callers see it.
 	JobAnswer Shown(const std::string &inId) const;
 	bool AllEnded() const { return this->Open().empty(); }
-	/// Jobs that have not ended, in words.
+	/// Jobs that have not ended, one per line.
 	std::string Open() const;
 	uint64 Starts() const { return this->starts; }
 	uint64 Takeovers() const { return this->takeovers; }
-	/// Runs that a worker began when their job had been cancelled.
+	/// Runs that began on a worker after their job's cancel.
 	uint64 StartsAfterCancel() const { return this->starts_after_cancel; }
 	Millis Now() const { return this->now; }
 	Cell &Core() { return *this->cell; }
-	std::map<std::string, WorldWorker> &Workers() { return this->workers; }
-	/// The operator evacuates a zone, or takes it back. Every owner that is at work hears of it at once, later ones before they begin.
+	std::map<std::string, SimulatedWorker> &Workers() { return this->workers; }
+	/// Evacuates a zone, or ends its evacuation. The active owner learns of it immediately, later ones before they begin.
 	void Evacuate(const std::string &inZone);
-	void TakeBack(const std::string &inZone);
+	void EndEvacuation(const std::string &inZone);
 
 private:
 	struct ListedEnd;
-	/// A life of a worker ends; another begins on its host.
-	void EndLife(WorldWorker &ioWorker);
-	/// The next life of a worker begins under its id.
-	void StartAgain(WorldWorker &ioWorker);
-	/// How long after its end a worker starts again under its id.
-	Millis UntilBack();
-	/// Answers the looks that have waited for an end, or long enough.
-	void AnswerWaiting(WorldWorker &ioWorker);
-	void MakePlannedTrouble();
-	void TroubleWorker(WorldWorker &ioWorker);
-	void TakeDown();
+	/// Ends an incarnation of a worker; another one replaces it.
+	void EndIncarnation(SimulatedWorker &ioWorker);
+	/// Starts the next incarnation under the worker's id.
+	void StartNextIncarnation(SimulatedWorker &ioWorker);
+	/// Draws the delay until a worker starts again under its id.
+	Millis DrawRestartDelay();
+	/// Answers the waiting polls for which there is a new end, or that have waited long enough.
+	void AnswerWaitingPolls(SimulatedWorker &ioWorker);
+	void InjectPlannedFaults();
+	void InjectWorkerFaults(SimulatedWorker &ioWorker);
+	void RemoveDrainedHosts();
 	void HandOver();
-	/// The cell has taken note of an end.
-	void Note(const WorldWorker &inWorker, const EndedRow &inRow);
-	OrderAnswer Look(WorldWorker &ioWorker, const Order &inOrder);
-	/// As Chance; what never happens draws nothing, so that seeds found without it stay what they were.
-	bool Hits(uint64 inPercent) { return inPercent > 0 && this->random.Chance(inPercent); }
-	Millis UpTo(uint64 inMost) { return inMost > 0 ? static_cast<Millis>(this->random.Below(inMost)) : 0; }
-	bool Stands() const { return this->now < this->stalled_until; }
-	/// Something under way to a worker or back.
-	struct Parcel
+	/// Updates the checks for an end that the cell has recorded.
+	void RecordEnd(const SimulatedWorker &inWorker, const EndedRow &inRow);
+	OrderAnswer Poll(SimulatedWorker &ioWorker, const Order &inOrder);
+	/// As Chance, but draws nothing at 0 percent, so that a new kind of fault does not change what existing seeds mean.
+	bool DrawFault(uint64 inPercent) { return inPercent > 0 && this->random.Chance(inPercent); }
+	Millis DrawUpTo(uint64 inMost) { return inMost > 0 ? static_cast<Millis>(this->random.Below(inMost)) : 0; }
+	bool IsOwnerPaused() const { return this->now < this->paused_until; }
+	/// An order or an answer in flight.
+	struct PendingMessage
 	{
 		Millis at = 0;
 		Order order;
 		OrderAnswer answer;
 		bool is_answer = false;
-		bool mute = false;    ///< No answer follows.
-		bool repeat = false;  ///< The same order has left before: that it finds nobody does not mean that it was not carried out.
-		bool timeout = false; ///< No answer came in time.
-		std::string life;     ///< Of the worker when the order left.
+		bool no_answer = false;  ///< No answer follows.
+		bool is_repeat = false;  ///< A repeat of an order: that it reaches nobody does not prove that the order was not executed.
+		bool timeout = false;    ///< No answer came in time.
+		std::string incarnation; ///< Incarnation of the worker when the order was sent.
 		Millis sent_at = 0;
-		uint64 owner = 0; ///< Which owner sent it.
+		uint64 owner = 0; ///< Epoch of the owner that sent it.
 	};
 
-	/// A look that waits at its worker. What it lets the worker forget is forgotten until it is answered.
-	struct WaitingLook
+	/// A long poll that waits at its worker. The worker drops the ends that it acknowledges when it arrives.
+	struct WaitingPoll
 	{
-		Parcel look;
-		std::string life; ///< Of the worker that it waits at.
+		PendingMessage poll;
+		std::string incarnation; ///< Incarnation of the worker where it waits.
 		Millis until = 0;
 	};
-	/// Whether looks wait: where nothing starts again, they are answered at once, so that seeds found before stay what they were.
-	bool LooksWait() const { return this->trouble.again + this->trouble.returns > 0 || this->looks_wait; }
-	/// The owner reads an answer: remembers of which listed ends it has heard.
-	void NoteRead(const Parcel &inAnswer);
-	/// A former owner puts ends into the inbox; it takes as long as any append.
-	void HandIn(EndReport inReport);
-	/// Sends what the owner tells the host that keeps replicas of its ends.
-	void TellEnds();
-	/// What was told arrives; what owners that are gone have told is handed in.
-	void KeepEnds();
-	/// Another owner takes over while this one stands still.
-	void TakeOver();
-	/// Owners that slept through that wake, and hand in what only they know.
-	void Wake();
-	bool IsAsleep(uint64 inOwner) const;
-	void TellZones();
-	/// What has been handed in arrives.
-	void TakeHandedIn();
+	/// Whether polls wait. Without restarts under the same id they are answered immediately, so that existing seeds keep their meaning.
+	bool PollsWait() const { return this->faults.restart_same_id + this->faults.return_same_id > 0 || this->polls_wait; }
+	/// Marks the listed ends in an answer as read by the owner.
+	void MarkRead(const PendingMessage &inAnswer);
+	/// A former owner submits ends to the inbox, which takes as long as any append.
+	void SubmitToInbox(EndReport inReport);
+	/// Sends the owner's updates to the host that keeps replicas of its run ends.
+	void SendEndsUpdates();
+	/// Delivers these updates, and submits the replicated ends of owners that have stopped.
+	void DeliverEndsUpdates();
+	/// Lets another owner take over while the current one is paused.
+	void TakeOverFromPaused();
+	/// Resumes former owners whose pause is over; they submit the ends that only they know.
+	void ResumePausedOwners();
+	bool IsPausedFormerOwner(uint64 inOwner) const;
+	void UpdateEvacuatedZones();
+	/// Delivers submitted ends to the inbox.
+	void DeliverSubmittedEnds();
 	void Step();
-	void Drive();
+	void DriveOwner();
 	void StartOwner();
 	void KillOwner(std::string_view inWhy);
-	/// Whether a listed end counts as taken note of by now.
-	bool IsNoted(const ListedEnd &inEnd) const;
-	/// How it came that an end was listed and its task started all the same.
-	std::string StoryOf(const ListedEnd &inEnd) const;
-	void MakeTrouble();
+	/// Whether a listed end must have been recorded by now.
+	bool CountsAsRecorded(const ListedEnd &inEnd) const;
+	/// Describes when an end was listed and read, and what became of the owner; for violation texts.
+	std::string DescribeListedEnd(const ListedEnd &inEnd) const;
+	void InjectFaults();
 	void Send(const Order &inOrder);
-	OrderAnswer CarryOut(WorldWorker &ioWorker, const Order &inOrder);
-	OrderAnswer CarryOutStart(WorldWorker &ioWorker, const Order &inOrder);
-	void Pass(WorldWorker &ioWorker);
-	/// Crashes the workers whose runs do so now.
-	void CrashByRuns();
-	/// A process that has gone answers nothing; its host, or the next process there, may.
-	std::optional<OrderAnswer> AnswerOfGone(const WorldWorker &inWorker) const;
-	void End(WorldWorker &ioWorker, const RunId &inRun, ERunEnd inEnd);
-	/// For what is broken: whether a start was meant for a former life of its worker.
-	std::string MeantFor(const WorldWorker &inWorker) const;
-	void CheckStart(const WorldWorker &inWorker, const Order &inOrder);
-	/// No run of a job goes on after its cancel for longer than a worker in contact takes to stop it.
-	void CheckCanceled(WorldWorker &ioWorker);
-	void TellWorkers();
-	void Break(const std::string &inWhat) { this->broken.push_back("at " + std::to_string(this->now) + ": " + inWhat); }
+	OrderAnswer Execute(SimulatedWorker &ioWorker, const Order &inOrder);
+	OrderAnswer ExecuteStart(SimulatedWorker &ioWorker, const Order &inOrder);
+	void AdvanceWorker(SimulatedWorker &ioWorker);
+	/// Crashes the workers whose runs crash them now, and starts the incarnations that are due.
+	void CrashWorkersByRuns();
+	/// The answer for a process that has ended, from its host or the next process at its address; none if nothing answers.
+	std::optional<OrderAnswer> AnswerOfEndedProcess(const SimulatedWorker &inWorker) const;
+	void EndRun(SimulatedWorker &ioWorker, const RunId &inRun, ERunEnd inEnd);
+	/// For violation texts: states it if a start was sent to a previous incarnation of its worker.
+	std::string DescribeMisdelivery(const SimulatedWorker &inWorker) const;
+	void CheckStart(const SimulatedWorker &inWorker, const Order &inOrder);
+	/// Checks that no run of a cancelled job goes on for longer than a worker in contact needs to stop it.
+	void CheckCanceled(SimulatedWorker &ioWorker);
+	void UpdateWorkerList();
+	void AddViolation(const std::string &inWhat) { this->violations.push_back("at " + std::to_string(this->now) + ": " + inWhat); }
 
 	Random random;
-	Random hand_in_random; ///< By itself, so that seeds found before there were hand-ins stay what they were.
-	Random life_random;    ///< Likewise, of workers that start again.
-	Random replica_random; ///< Likewise, of what is told between hosts.
-	Trouble trouble;
-	bool unread_excused = false; ///< See Trouble; also in the calm.
-	bool slow_stops = false;     ///< Whether stops may take long; one ordered before the calm goes on into it.
+	Random submit_random;  ///< Draws for submitted ends. A separate generator leaves the meaning of existing seeds unchanged.
+	Random restart_random; ///< The same for workers that start again.
+	Random replica_random; ///< The same for replicated ends.
+	Trouble faults;
+	bool unread_end_excused = false; ///< As the fault of this name; also applies after ClearFaults.
+	bool slow_stops = false;         ///< Whether stops may be slow; one ordered before ClearFaults goes on after it.
 	Millis now = 1000;
 	std::unique_ptr<Cell> cell;
-	std::map<std::string, WorldWorker> workers;
+	std::map<std::string, SimulatedWorker> workers;
 	std::map<std::string, std::string> log;
 	std::vector<InboxRecord> inbox;
-	std::vector<std::pair<Millis, EndReport>> handed_in;     ///< On their way to the inbox, and when they are there.
-	std::vector<std::pair<Millis, EndsUpdate>> ends_updates; ///< On their way to the host that keeps replicas, and when they are there.
+	std::vector<std::pair<Millis, EndReport>> submitted_ends; ///< In flight to the inbox, with their arrival times.
+	std::vector<std::pair<Millis, EndsUpdate>> ends_updates;  ///< In flight to the replica host, with their arrival times.
 	EndReplicas replicas;
-	/// An owner that stands still while another is at work.
-	struct Sleeper
+	/// A paused owner that another one has replaced.
+	struct PausedOwner
 	{
 		uint64 epoch = 0;
 		Millis until = 0;
 		std::unique_ptr<Cell> cell;
 	};
-	std::vector<Sleeper> sleepers;
-	std::set<uint64> alive_after; ///< Former owners whose processes go on.
+	std::vector<PausedOwner> paused_owners;
+	std::set<uint64> surviving_owners; ///< Former owners whose processes survive.
 	std::map<std::string, JobSpec> specs;
 	std::map<std::string, Millis> canceled; ///< When the cancel was accepted.
-	std::map<TaskId, uint32> failures_noted;
-	std::map<TaskId, uint32> crashes_under;      ///< Workers that crashed by a run of the task.
-	std::map<TaskId, uint32> starts_after_three; ///< Its starts after the third.
-	std::set<TaskId> done_noted;
+	std::map<TaskId, uint32> failures_recorded;
+	std::map<TaskId, uint32> crashes_by_task;   ///< Workers that the task's runs crashed.
+	std::map<TaskId, uint32> starts_over_limit; ///< Starts after the crash limit was reached.
+	std::set<TaskId> done_recorded;
 	std::set<TaskId> done_ever;
-	std::map<std::pair<std::string, uint64>, Millis> ended_at; ///< By life of a worker and number of the end.
+	std::map<std::pair<std::string, uint64>, Millis> ended_at; ///< By incarnation and sequence number.
 	std::map<TaskId, Millis> last_start;
-	std::map<TaskId, std::string> last_start_meant; ///< See MeantFor.
-	/// An end done that a look has shown, and what became of it.
+	std::map<TaskId, std::string> last_start_misdelivery; ///< See DescribeMisdelivery.
+	/// A successful end that a poll has listed.
 	struct ListedEnd
 	{
 		Millis at = 0;
-		uint64 owner = 0;    ///< Whose look it was.
+		uint64 owner = 0;    ///< Epoch of the owner that polled.
 		Millis read_at = -1; ///< When that owner read it; -1: it has not.
 	};
 	std::map<TaskId, ListedEnd> listed_done;
-	std::map<uint64, std::string> owners_ended; ///< How each owner but the last went.
-	std::vector<Parcel> parcels;
-	std::vector<WaitingLook> waiting;
-	std::map<std::string, Millis> evacuated;         ///< Zones, and since when.
-	std::string meant_for;                           ///< Which life of its worker the order under way was sent to.
-	std::set<std::pair<uint64, uint64>> open_orders; ///< Owner and serial of orders without an answer yet.
+	std::map<uint64, std::string> owner_exits; ///< How each former owner ended.
+	std::vector<PendingMessage> messages;
+	std::vector<WaitingPoll> waiting;
+	std::map<std::string, Millis> evacuated;               ///< Evacuated zones, and since when.
+	std::string addressed_to;                              ///< Incarnation that the order being executed was sent to.
+	std::set<std::pair<uint64, uint64>> unanswered_orders; ///< Epoch and serial of orders without an answer yet.
 	std::vector<KeyedRecord> batch;
-	Millis batch_at = -1;
+	Millis append_done_at = -1;
 	uint64 epoch = 0;
-	Millis owner_back_at = 0;
-	Millis workers_told_at = 0;
+	Millis next_owner_at = 0;
+	Millis list_updated_at = 0;
 	Millis trust_until = 0;
-	Millis stalled_until = 0;
-	Millis stalled_at = 0;
-	Millis disturbed_at = -10000; ///< When the owner last stood still, or the store was slow.
+	Millis paused_until = 0;
+	Millis paused_at = 0;
+	Millis disturbed_at = -10000; ///< When the owner was last paused or the store slow.
 	bool handing_over = false;
 	Millis retired_at = -1;
 	size_t next_worker = 0;
@@ -329,7 +330,7 @@
 	uint64 takeovers = 0;
 };
 
-/// A job of one or more like steps in a row.
+/// A job of one or more equal steps, each after the previous one.
 JobSpec MakeJob(const std::string &inId, uint32 inSteps, uint32 inCount, int64 inCpuMilli, Millis inEstimateMs);
 
 } // namespace Loomreach::Jobs
--- a/UnitTests/CellWorldWorkers.cpp
+++ b/UnitTests/CellWorldWorkers.cpp
@@ -1,4 +1,4 @@
-// What the world's workers do with orders, runs and crashes, and the users' rules that they judge.
+// The simulated workers: orders, runs and crashes, and the checks of the platform's rules.
 
 #include <Loomreach/Loomreach.h>
 
@@ -8,91 +8,91 @@
 namespace Loomreach::Jobs
 {
 
-/// Room that has shrunk binds starts after `cContactMs` and a heartbeat (the users' rule).
-static constexpr Millis cBeatMs = 1500;
-/// A crashed worker's entry stays for three heartbeats of 1.5 s (the users' figures).
-static constexpr Millis cEntryStaysMs = 4500;
-/// A task is not started for the third time after this many workers have crashed under it (the users' rule).
-static constexpr uint32 cCrashesBorne = 3;
-static constexpr uint32 cStartsTooMany = 3;
-/// An address is another life's this soon (the users' `addrReuseS`).
-static constexpr Millis cReuseMs = 2000;
-/// An end counts as taken note of this long after it was listed (the users' rule).
-static constexpr Millis cListedMs = 100;
-/// A cancelled job's runs are to be gone this long after the cancel (the users' figures: `cancel_ms`, and `contactMs` for a run that began
-/// later), and the time of a stop (0.4 s, or 0.9 s) on top. Two messages and two steps of the world come to it.
-/// A start reaches a zone no later than this after its evacuation: the longest standstill of an owner that keeps its cell.
-static constexpr Millis cEvacuateMs = 1500;
-static constexpr Millis cCancelMs = 3000;
+/// A reduced capacity binds starts after `cContactMs` and one heartbeat.
+static constexpr Millis cHeartbeatMs = 1500;
+/// A crashed worker's entry stays listed for three heartbeats of 1.5 s.
+static constexpr Millis cEntryLifetimeMs = 4500;
+/// Once this many workers have crashed under a task, its third start from then on is a violation.
+static constexpr uint32 cCrashLimit = 3;
+static constexpr uint32 cFirstForbiddenStart = 3;
+/// Another incarnation answers at a released address after this time (`addrReuseS`).
+static constexpr Millis cAddressReuseMs = 2000;
+/// A listed end counts as recorded after this time.
+static constexpr Millis cRecordAfterListedMs = 100;
+/// A start may reach a zone this long after its evacuation: the longest pause of an owner that keeps its cell.
+static constexpr Millis cEvacuationDeadlineMs = 1500;
+/// Runs of a cancelled job must have ended this long after the cancel (`cancel_ms`), or `cContactMs` after their start if they began later,
+/// plus the time of a stop (0.4 s or 0.9 s). The slack covers two messages and two steps of the simulation.
+static constexpr Millis cCancelDeadlineMs = 3000;
 static constexpr Millis cContactMs = 3000;
 static constexpr Millis cStopMs = 400;
 static constexpr Millis cSlowStopMs = 900;
 static constexpr Millis cStopSlackMs = 50;
-/// A worker cuts a longer lease down to this (the users' `maxHoldMs`).
-static constexpr Millis cMostLeaseMs = 10000;
-/// A life's clock begins anywhere below this.
-static constexpr uint64 cMostClockBaseMs = 8'000'000;
-/// A worker that starts again under its id does so soon, or up to this much later.
-static constexpr uint64 cSoonBackMs = 300;
-static constexpr uint64 cLateBackMs = 5000;
+/// A worker shortens a longer lease to this (`maxHoldMs`).
+static constexpr Millis cMaxLeaseMs = 10000;
+/// Bound of an incarnation's clock offset.
+static constexpr uint64 cMaxClockBaseMs = 8'000'000;
+/// Bounds of the delay after which a worker starts again under its id; half of the delays are short.
+static constexpr uint64 cShortRestartDelayMs = 300;
+static constexpr uint64 cLongRestartDelayMs = 5000;
 
-Resources WorldWorker::BindingRoom(Millis inNow) const
+Resources SimulatedWorker::BindingCapacity(Millis inNow) const
 {
-	return this->shrunk_at >= 0 && inNow < this->shrunk_at + cContactMs + cBeatMs ? this->room_before : this->capacity;
+	return this->shrunk_at >= 0 && inNow < this->shrunk_at + cContactMs + cHeartbeatMs ? this->capacity_before : this->capacity;
 }
 
-void CellWorld::Crash(WorldWorker &ioWorker, bool inCloses, Millis inBackMs)
+void CellWorld::Crash(SimulatedWorker &ioWorker, bool inCloses, Millis inBackMs)
 {
 	for (const auto &[id, work] : ioWorker.running)
 		if (work.crashes_at >= 0 && this->now >= work.crashes_at)
-			++this->crashes_under[id.task];
+			++this->crashes_by_task[id.task];
 	ioWorker.crashed = true;
 	ioWorker.running.clear();
-	ioWorker.closes = inCloses;
-	ioWorker.back_at = this->now + inBackMs;
-	ioWorker.listed_until = this->now + cEntryStaysMs;
+	ioWorker.closes_connections = inCloses;
+	ioWorker.next_incarnation_at = this->now + inBackMs;
+	ioWorker.listed_until = this->now + cEntryLifetimeMs;
 }
 
-void CellWorld::Restart(WorldWorker &ioWorker, bool inCloses, Millis inBackMs)
+void CellWorld::Restart(SimulatedWorker &ioWorker, bool inCloses, Millis inBackMs)
 {
 	this->Crash(ioWorker, inCloses, inBackMs);
 	ioWorker.keeps_id = true;
 }
 
-void CellWorld::StartAgain(WorldWorker &ioWorker)
+void CellWorld::StartNextIncarnation(SimulatedWorker &ioWorker)
 {
-	WorldWorker life(ioWorker.id, {cWorldCpuMilli, 32768, 0}, ioWorker.slow);
-	life.rack = ioWorker.rack;
-	life.born = this->now;
-	life.clock_base = static_cast<Millis>(this->life_random.Below(cMostClockBaseMs));
-	life.contact_since = this->now;
-	ioWorker = std::move(life);
+	SimulatedWorker replacement(ioWorker.id, {cWorkerCpuMilli, 32768, 0}, ioWorker.clock_slow_per_mille);
+	replacement.rack = ioWorker.rack;
+	replacement.started_at = this->now;
+	replacement.clock_base = static_cast<Millis>(this->restart_random.Below(cMaxClockBaseMs));
+	replacement.contact_since = this->now;
+	ioWorker = std::move(replacement);
 }
 
-uint32 CellWorld::CrashesUnder(const TaskId &inTask) const
+uint32 CellWorld::CrashesCausedBy(const TaskId &inTask) const
 {
-	auto found = this->crashes_under.find(inTask);
-	return found == this->crashes_under.end() ? 0 : found->second;
+	auto found = this->crashes_by_task.find(inTask);
+	return found == this->crashes_by_task.end() ? 0 : found->second;
 }
 
 std::string CellWorld::Broken() const
 {
 	std::string text;
-	for (const std::string &line : this->broken)
+	for (const std::string &line : this->violations)
 		text += line + '\n';
 	return text;
 }
 
 std::string CellWorld::GivenUp() const
 {
-	std::string given_up;
+	std::string wrongly_failed;
 	for (const auto &[id, spec] : this->specs)
 		if (this->Shown(id).phase == EJobPhase::Failed && !this->crash_after_ms.contains(id))
-			given_up += "given up: " + id + '\n';
-	return given_up;
+			wrongly_failed += "given up: " + id + '\n';
+	return wrongly_failed;
 }
 
-void CellWorld::CrashByRuns()
+void CellWorld::CrashWorkersByRuns()
 {
 	std::vector<std::string> crashing;
 	std::vector<std::string> back;
@@ -101,66 +101,66 @@
 		for (const auto &[run, work] : worker.running)
 			if (work.crashes_at >= 0 && this->now >= work.crashes_at && (crashing.empty() || crashing.back() != id))
 				crashing.push_back(id);
-		if (worker.crashed && this->now == worker.back_at)
+		if (worker.crashed && this->now == worker.next_incarnation_at)
 			back.push_back(id);
 	}
 	for (const std::string &id : crashing)
 	{
 		const Millis back_ms =
-			this->back_after_ms > 0 ? this->back_after_ms : cWorldStepMs * (50 + static_cast<Millis>(this->random.Below(300)));
+			this->back_after_ms > 0 ? this->back_after_ms : cSimulationStepMs * (50 + static_cast<Millis>(this->random.Below(300)));
 		this->Crash(this->workers.at(id), true, back_ms);
 		this->workers.at(id).keeps_id = this->crashed_keep_ids;
 	}
 	for (const std::string &id : back)
 	{
-		WorldWorker &old = this->workers.at(id);
+		SimulatedWorker &old = this->workers.at(id);
 		if (old.keeps_id)
 		{
-			this->StartAgain(old);
+			this->StartNextIncarnation(old);
 			continue;
 		}
 		const std::string next = "w" + std::to_string(this->next_worker++);
-		WorldWorker life(next, old.capacity, old.slow);
-		life.rack = old.rack;
-		this->workers.emplace(next, std::move(life));
+		SimulatedWorker replacement(next, old.capacity, old.clock_slow_per_mille);
+		replacement.rack = old.rack;
+		this->workers.emplace(next, std::move(replacement));
 	}
 }
 
-std::optional<OrderAnswer> CellWorld::AnswerOfGone(const WorldWorker &inWorker) const
+std::optional<OrderAnswer> CellWorld::AnswerOfEndedProcess(const SimulatedWorker &inWorker) const
 {
 	OrderAnswer answer;
-	const bool is_next = inWorker.back_at >= 0 && this->now >= inWorker.back_at;
-	if (is_next || (inWorker.reused_at >= 0 && this->now >= inWorker.reused_at))
+	const bool is_next = inWorker.next_incarnation_at >= 0 && this->now >= inWorker.next_incarnation_at;
+	if (is_next || (inWorker.address_reused_at >= 0 && this->now >= inWorker.address_reused_at))
 		answer.result = EOrderResult::OtherLife;
-	else if (inWorker.closes || !inWorker.crashed)
+	else if (inWorker.closes_connections || !inWorker.crashed)
 		answer = OrderAnswer{EOrderResult::NotSent, -1, {}, {}, false, true};
 	else
 		return std::nullopt;
 	return answer;
 }
 
-void CellWorld::EndLife(WorldWorker &ioWorker)
+void CellWorld::EndIncarnation(SimulatedWorker &ioWorker)
 {
 	ioWorker.crashed = true;
 	ioWorker.running.clear();
-	if (this->trouble.reused)
-		ioWorker.reused_at = this->now + cReuseMs;
-	if (this->trouble.returns > 0 && this->life_random.Chance(this->trouble.returns))
+	if (this->faults.address_reuse)
+		ioWorker.address_reused_at = this->now + cAddressReuseMs;
+	if (this->faults.return_same_id > 0 && this->restart_random.Chance(this->faults.return_same_id))
 	{
-		this->Restart(ioWorker, true, this->UntilBack());
-		// It leaves by plan: its entry goes with it
+		this->Restart(ioWorker, true, this->DrawRestartDelay());
+		// A worker that leaves by plan removes its entry
 		ioWorker.listed_until = -1;
 		return;
 	}
 	const std::string next = "w" + std::to_string(this->next_worker++);
-	this->workers.emplace(next, WorldWorker(next, {cWorldCpuMilli, 32768, 0}, ioWorker.slow));
+	this->workers.emplace(next, SimulatedWorker(next, {cWorkerCpuMilli, 32768, 0}, ioWorker.clock_slow_per_mille));
 }
 
-void CellWorld::Pass(WorldWorker &ioWorker)
+void CellWorld::AdvanceWorker(SimulatedWorker &ioWorker)
 {
 	if (ioWorker.crashed)
 		return;
-	const bool lapsed = ioWorker.Clock(this->now) > ioWorker.until;
+	const bool lapsed = ioWorker.Clock(this->now) > ioWorker.lease_until;
 	std::vector<std::pair<RunId, ERunEnd>> over;
 	for (const auto &[id, work] : ioWorker.running)
 	{
@@ -172,23 +172,23 @@
 			over.emplace_back(id, work.fails ? ERunEnd::Failed : ERunEnd::Done);
 	}
 	for (const auto &[id, end] : over)
-		this->End(ioWorker, id, end);
+		this->EndRun(ioWorker, id, end);
 	if (lapsed)
-		ioWorker.void_below = ioWorker.next_number;
+		ioWorker.expired_below = ioWorker.next_sequence;
 }
 
-void CellWorld::End(WorldWorker &ioWorker, const RunId &inRun, ERunEnd inEnd)
+void CellWorld::EndRun(SimulatedWorker &ioWorker, const RunId &inRun, ERunEnd inEnd)
 {
 	ioWorker.running.erase(inRun);
 	if (inEnd == ERunEnd::Done)
 		this->done_ever.insert(inRun.task);
-	this->ended_at[{ioWorker.Life(), ioWorker.next_number}] = this->now;
-	ioWorker.ended.push_back({ioWorker.next_number++, inRun.task, inRun.run, inEnd, ""});
-	uint32 &highest = ioWorker.highest_over[inRun.task];
+	this->ended_at[{ioWorker.IncarnationName(), ioWorker.next_sequence}] = this->now;
+	ioWorker.ended.push_back({ioWorker.next_sequence++, inRun.task, inRun.run, inEnd, ""});
+	uint32 &highest = ioWorker.highest_ended_run[inRun.task];
 	highest = std::max(highest, inRun.run);
 }
 
-OrderAnswer CellWorld::CarryOut(WorldWorker &ioWorker, const Order &inOrder)
+OrderAnswer CellWorld::Execute(SimulatedWorker &ioWorker, const Order &inOrder)
 {
 	OrderAnswer answer;
 	answer.clock_ms = ioWorker.Clock(this->now);
@@ -199,63 +199,63 @@
 	}
 	ioWorker.token = inOrder.token;
 	if (inOrder.until_ms >= 0)
-		ioWorker.until = std::max(ioWorker.until, std::min(inOrder.until_ms, answer.clock_ms + cMostLeaseMs));
+		ioWorker.lease_until = std::max(ioWorker.lease_until, std::min(inOrder.until_ms, answer.clock_ms + cMaxLeaseMs));
 	const RunId id{inOrder.task, inOrder.run};
 	answer.result = EOrderResult::Done;
 	switch (inOrder.kind)
 	{
-	case EOrder::Start: return this->CarryOutStart(ioWorker, inOrder);
+	case EOrder::Start: return this->ExecuteStart(ioWorker, inOrder);
 	case EOrder::Stop:
 	{
-		uint32 &highest = ioWorker.highest_over[inOrder.task];
+		uint32 &highest = ioWorker.highest_ended_run[inOrder.task];
 		highest = std::max(highest, inOrder.run);
 		auto running = ioWorker.running.find(id);
-		Millis takes = this->stop_takes;
-		if (this->Hits(this->trouble.slow_stop))
+		Millis takes = this->stop_duration_ms;
+		if (this->DrawFault(this->faults.slow_stop))
 			takes = 400 + static_cast<Millis>(this->random.Below(500));
 		if (running != ioWorker.running.end() && takes > 0 && running->second.stops_at < 0)
 			running->second.stops_at = this->now + takes;
 		else if (running != ioWorker.running.end() && running->second.stops_at < 0)
-			this->End(ioWorker, id, ERunEnd::Stopped);
+			this->EndRun(ioWorker, id, ERunEnd::Stopped);
 		break;
 	}
-	case EOrder::Hold: return this->Look(ioWorker, inOrder);
+	case EOrder::Hold: return this->Poll(ioWorker, inOrder);
 	case EOrder::Pace: break;
 	}
 	return answer;
 }
 
-void CellWorld::Note(const WorldWorker &inWorker, const EndedRow &inRow)
+void CellWorld::RecordEnd(const SimulatedWorker &inWorker, const EndedRow &inRow)
 {
 	if (inRow.end == ERunEnd::Failed)
-		++this->failures_noted[inRow.task];
+		++this->failures_recorded[inRow.task];
 	if (inRow.end != ERunEnd::Done)
 		return;
-	this->done_noted.insert(inRow.task);
-	// It binds from the end on, also where the note comes later
+	this->done_recorded.insert(inRow.task);
+	// The end binds from the time of the end, even if it is recorded later
 	const StepSpec &step = this->specs.at(inRow.task.job).steps[inRow.task.step];
-	if (!step.may_copy && this->last_start[inRow.task] > this->ended_at[{inWorker.Life(), inRow.number}])
-		this->Break("started after an end done, noted later: " + TaskText(inRow.task) + " on " + inWorker.id +
-					this->last_start_meant[inRow.task]);
+	if (!step.may_copy && this->last_start[inRow.task] > this->ended_at[{inWorker.IncarnationName(), inRow.number}])
+		this->AddViolation("started after an end done, noted later: " + TaskText(inRow.task) + " on " + inWorker.id +
+						   this->last_start_misdelivery[inRow.task]);
 }
 
-std::string CellWorld::StoryOf(const ListedEnd &inEnd) const
+std::string CellWorld::DescribeListedEnd(const ListedEnd &inEnd) const
 {
-	auto ended = this->owners_ended.find(inEnd.owner);
+	auto ended = this->owner_exits.find(inEnd.owner);
 	return "listed at " + std::to_string(inEnd.at) + ", " +
 		   (inEnd.read_at < 0 ? "never read" : "read at " + std::to_string(inEnd.read_at)) + ", its owner " +
-		   (ended == this->owners_ended.end() ? "is at work" : ended->second);
+		   (ended == this->owner_exits.end() ? "is at work" : ended->second);
 }
 
-bool CellWorld::IsNoted(const ListedEnd &inEnd) const
+bool CellWorld::CountsAsRecorded(const ListedEnd &inEnd) const
 {
-	auto ended = this->owners_ended.find(inEnd.owner);
-	const bool killed = ended != this->owners_ended.end() && ended->second.starts_with(cKilled);
-	const bool excused = this->unread_excused && killed && inEnd.read_at < 0;
-	return !excused && this->now > inEnd.at + cListedMs;
+	auto ended = this->owner_exits.find(inEnd.owner);
+	const bool killed = ended != this->owner_exits.end() && ended->second.starts_with(cOwnerKilled);
+	const bool excused = this->unread_end_excused && killed && inEnd.read_at < 0;
+	return !excused && this->now > inEnd.at + cRecordAfterListedMs;
 }
 
-void CellWorld::NoteRead(const Parcel &inAnswer)
+void CellWorld::MarkRead(const PendingMessage &inAnswer)
 {
 	for (const EndedRow &row : inAnswer.answer.ended)
 	{
@@ -265,15 +265,15 @@
 	}
 }
 
-OrderAnswer CellWorld::Look(WorldWorker &ioWorker, const Order &inOrder)
+OrderAnswer CellWorld::Poll(SimulatedWorker &ioWorker, const Order &inOrder)
 {
 	OrderAnswer answer;
 	answer.clock_ms = ioWorker.Clock(this->now);
-	answer.born_ms = ioWorker.born;
+	answer.born_ms = ioWorker.started_at;
 	answer.result = EOrderResult::Done;
 	for (const EndedRow &row : ioWorker.ended)
-		if (row.number >= ioWorker.void_below && row.number <= inOrder.last_seen)
-			this->Note(ioWorker, row);
+		if (row.number >= ioWorker.expired_below && row.number <= inOrder.last_seen)
+			this->RecordEnd(ioWorker, row);
 	std::erase_if(ioWorker.ended, [&](const EndedRow &inRow) { return inRow.number <= inOrder.last_seen; });
 	for (const auto &[run, work] : ioWorker.running)
 	{
@@ -282,50 +282,50 @@
 		answer.running.push_back({run.task, run.run, "", percent, 0});
 	}
 	answer.ended = ioWorker.ended;
-	answer.partial = this->trouble.ends_page > 0 && answer.ended.size() >= this->trouble.ends_page;
+	answer.partial = this->faults.poll_page_size > 0 && answer.ended.size() >= this->faults.poll_page_size;
 	if (answer.partial)
-		answer.ended.resize(this->trouble.ends_page);
+		answer.ended.resize(this->faults.poll_page_size);
 	for (const EndedRow &row : answer.ended)
-		if (this->trouble.listing_counts && row.end == ERunEnd::Done && row.number >= ioWorker.void_below)
+		if (this->faults.listed_end_counts && row.end == ERunEnd::Done && row.number >= ioWorker.expired_below)
 			this->listed_done.emplace(row.task, ListedEnd{this->now, EpochOf(inOrder.token), -1});
 	return answer;
 }
 
-Millis CellWorld::UntilBack()
+Millis CellWorld::DrawRestartDelay()
 {
-	const uint64 most = this->life_random.Chance(50) ? cSoonBackMs : cLateBackMs;
-	return cWorldStepMs * static_cast<Millis>(2 + this->life_random.Below(most / cWorldStepMs));
+	const uint64 most = this->restart_random.Chance(50) ? cShortRestartDelayMs : cLongRestartDelayMs;
+	return cSimulationStepMs * static_cast<Millis>(2 + this->restart_random.Below(most / cSimulationStepMs));
 }
 
-void CellWorld::AnswerWaiting(WorldWorker &ioWorker)
+void CellWorld::AnswerWaitingPolls(SimulatedWorker &ioWorker)
 {
 	for (size_t i = 0; i < this->waiting.size();)
 	{
-		const WaitingLook &waiting_look = this->waiting[i];
-		const bool here = waiting_look.look.order.worker == ioWorker.id;
-		const auto is_news = [&waiting_look](const EndedRow &inRow) { return inRow.number > waiting_look.look.order.last_seen; };
-		const bool news = std::any_of(ioWorker.ended.begin(), ioWorker.ended.end(), is_news);
-		const bool lost = ioWorker.crashed || ioWorker.Life() != waiting_look.life;
-		if (!here || (!lost && !news && this->now < waiting_look.until))
+		const WaitingPoll &waiting_poll = this->waiting[i];
+		const bool here = waiting_poll.poll.order.worker == ioWorker.id;
+		const auto is_new_end = [&waiting_poll](const EndedRow &inRow) { return inRow.number > waiting_poll.poll.order.last_seen; };
+		const bool has_new_end = std::any_of(ioWorker.ended.begin(), ioWorker.ended.end(), is_new_end);
+		const bool lost = ioWorker.crashed || ioWorker.IncarnationName() != waiting_poll.incarnation;
+		if (!here || (!lost && !has_new_end && this->now < waiting_poll.until))
 		{
 			++i;
 			continue;
 		}
-		Parcel back = waiting_look.look;
-		back.is_answer = true;
-		back.at = this->now + 1 + static_cast<Millis>(this->life_random.Below(15));
+		PendingMessage reply = waiting_poll.poll;
+		reply.is_answer = true;
+		reply.at = this->now + 1 + static_cast<Millis>(this->restart_random.Below(15));
 		if (lost)
-			back.answer = OrderAnswer{EOrderResult::Unknown, -1, {}, {}, false, true};
+			reply.answer = OrderAnswer{EOrderResult::Unknown, -1, {}, {}, false, true};
 		else
-			back.answer = this->Look(ioWorker, back.order);
-		// A dark host says nothing, also of what waited there
-		if (!lost || ioWorker.closes || !ioWorker.crashed)
-			this->parcels.push_back(std::move(back));
+			reply.answer = this->Poll(ioWorker, reply.order);
+		// An unresponsive host does not answer waiting polls either
+		if (!lost || ioWorker.closes_connections || !ioWorker.crashed)
+			this->messages.push_back(std::move(reply));
 		this->waiting.erase(this->waiting.begin() + static_cast<std::ptrdiff_t>(i));
 	}
 }
 
-OrderAnswer CellWorld::CarryOutStart(WorldWorker &ioWorker, const Order &inOrder)
+OrderAnswer CellWorld::ExecuteStart(SimulatedWorker &ioWorker, const Order &inOrder)
 {
 	OrderAnswer answer;
 	answer.clock_ms = ioWorker.Clock(this->now);
@@ -333,8 +333,8 @@
 	const RunId id{inOrder.task, inOrder.run};
 	if (ioWorker.running.contains(id))
 		return answer;
-	auto over = ioWorker.highest_over.find(inOrder.task);
-	if (over != ioWorker.highest_over.end() && inOrder.run <= over->second)
+	auto over = ioWorker.highest_ended_run.find(inOrder.task);
+	if (over != ioWorker.highest_ended_run.end() && inOrder.run <= over->second)
 	{
 		answer.result = EOrderResult::StaleRun;
 		return answer;
@@ -348,97 +348,98 @@
 	++this->starts;
 	this->starts_after_cancel += this->canceled.contains(inOrder.task.job) ? 1 : 0;
 	this->last_start[inOrder.task] = this->now;
-	this->last_start_meant[inOrder.task] = this->MeantFor(ioWorker);
+	this->last_start_misdelivery[inOrder.task] = this->DescribeMisdelivery(ioWorker);
 	const StepSpec &step = this->specs.at(inOrder.task.job).steps[inOrder.task.step];
-	WorldWorker::Work work;
-	work.room = step.need;
+	SimulatedWorker::Work work;
+	work.reserved = step.need;
 	work.began_at = this->now;
-	work.meant_for = this->MeantFor(ioWorker);
+	work.misdelivery = this->DescribeMisdelivery(ioWorker);
 	const Millis takes = this->run_ms.contains(inOrder.task.job)
 							 ? this->run_ms.at(inOrder.task.job)
 							 : (200 + static_cast<Millis>(this->random.Below(2000))) * ioWorker.slow_factor;
 	work.ends_at = step.lasting ? -1 : this->now + takes;
-	work.fails = this->random.Chance(this->trouble.failing);
+	work.fails = this->random.Chance(this->faults.failed_run);
 	auto crashes = this->crash_after_ms.find(inOrder.task.job);
 	work.crashes_at = crashes == this->crash_after_ms.end() ? -1 : this->now + crashes->second;
 	ioWorker.running.emplace(id, work);
 	return answer;
 }
 
-void CellWorld::CheckCanceled(WorldWorker &ioWorker)
+void CellWorld::CheckCanceled(SimulatedWorker &ioWorker)
 {
-	// An owner that stands still tells nobody, and one that has never seen a worker's entry does not know its address
-	const bool has_address = !this->needs_address || ioWorker.shown_to == this->epoch;
-	if (this->cell == nullptr || this->Stands() || this->now < ioWorker.cut_until || !has_address)
+	// A paused owner sends nothing, and one that has never seen a worker's entry does not know its address
+	const bool has_address = !this->needs_address || ioWorker.listed_to_epoch == this->epoch;
+	if (this->cell == nullptr || this->IsOwnerPaused() || this->now < ioWorker.unreachable_until || !has_address)
 		ioWorker.contact_since = std::max(ioWorker.contact_since, this->now);
-	const Millis stop = std::max(this->slow_stops ? cSlowStopMs : cStopMs, this->stop_takes);
+	const Millis stop = std::max(this->slow_stops ? cSlowStopMs : cStopMs, this->stop_duration_ms);
 	for (auto &[id, work] : ioWorker.running)
 	{
 		auto canceled = this->canceled.find(id.task.job);
-		if (canceled == this->canceled.end() || ioWorker.crashed || work.blamed)
+		if (canceled == this->canceled.end() || ioWorker.crashed || work.reported)
 			continue;
-		const Millis due = std::max({canceled->second + cCancelMs, work.began_at + cContactMs, ioWorker.contact_since + cContactMs});
+		const Millis due =
+			std::max({canceled->second + cCancelDeadlineMs, work.began_at + cContactMs, ioWorker.contact_since + cContactMs});
 		if (this->now <= due + stop + cStopSlackMs)
 			continue;
-		work.blamed = true;
-		this->Break("runs on after its job's cancel at " + std::to_string(canceled->second) + ": " + TaskText(id.task) + " run " +
-					std::to_string(id.run) + " on " + ioWorker.id + ", begun at " + std::to_string(work.began_at));
+		work.reported = true;
+		this->AddViolation("runs on after its job's cancel at " + std::to_string(canceled->second) + ": " + TaskText(id.task) + " run " +
+						   std::to_string(id.run) + " on " + ioWorker.id + ", begun at " + std::to_string(work.began_at));
 	}
 }
 
-std::string CellWorld::MeantFor(const WorldWorker &inWorker) const
+std::string CellWorld::DescribeMisdelivery(const SimulatedWorker &inWorker) const
 {
-	if (this->meant_for == inWorker.Life())
+	if (this->addressed_to == inWorker.IncarnationName())
 		return "";
-	return " (meant for " + this->meant_for + ", carried out by " + inWorker.Life() + ')';
+	return " (meant for " + this->addressed_to + ", carried out by " + inWorker.IncarnationName() + ')';
 }
 
-void CellWorld::CheckStart(const WorldWorker &inWorker, const Order &inOrder)
+void CellWorld::CheckStart(const SimulatedWorker &inWorker, const Order &inOrder)
 {
 	const std::string what =
-		TaskText(inOrder.task) + " run " + std::to_string(inOrder.run) + " on " + inWorker.id + this->MeantFor(inWorker);
+		TaskText(inOrder.task) + " run " + std::to_string(inOrder.run) + " on " + inWorker.id + this->DescribeMisdelivery(inWorker);
 	const JobSpec &spec = this->specs.at(inOrder.task.job);
 	const StepSpec &step = spec.steps[inOrder.task.step];
-	// Room
+	// Capacity
 	Resources used = step.need;
 	uint32 beside = 1;
-	std::string strays;
+	std::string stray_runs;
 	for (const auto &[id, work] : inWorker.running)
 	{
-		strays += work.meant_for;
-		used.Add(work.room);
+		stray_runs += work.misdelivery;
+		used.Add(work.reserved);
 		beside += id.task.job == inOrder.task.job && id.task.step == inOrder.task.step ? 1 : 0;
 	}
 	auto closed = this->evacuated.find(inWorker.availability_zone);
-	if (closed != this->evacuated.end() && this->now > closed->second + cEvacuateMs)
-		this->Break("in a zone that was evacuated at " + std::to_string(closed->second) + ": " + what);
-	if (!used.FitsInto(inWorker.BindingRoom(this->now)))
-		this->Break("no room for " + what + strays);
+	if (closed != this->evacuated.end() && this->now > closed->second + cEvacuationDeadlineMs)
+		this->AddViolation("in a zone that was evacuated at " + std::to_string(closed->second) + ": " + what);
+	if (!used.FitsInto(inWorker.BindingCapacity(this->now)))
+		this->AddViolation("no room for " + what + stray_runs);
 	if (step.max_per_worker > 0 && beside > step.max_per_worker)
-		this->Break("too many beside each other: " + what);
+		this->AddViolation("too many beside each other: " + what);
 	// One run at a time
 	for (const auto &[id, worker] : this->workers)
 		for (const auto &[run, work] : worker.running)
 			if (run.task == inOrder.task && !worker.crashed && !step.may_copy)
-				this->Break("two runs at once: " + what + work.meant_for);
-	if (this->done_noted.contains(inOrder.task))
-		this->Break("start after done: " + what);
+				this->AddViolation("two runs at once: " + what + work.misdelivery);
+	if (this->done_recorded.contains(inOrder.task))
+		this->AddViolation("start after done: " + what);
 	auto listed = this->listed_done.find(inOrder.task);
-	if (!step.may_copy && listed != this->listed_done.end() && this->IsNoted(listed->second))
-		this->Break("start after an end done was listed: " + what + " (" + this->StoryOf(listed->second) + ")");
-	if (!step.lasting && this->failures_noted[inOrder.task] >= spec.max_attempts)
-		this->Break("attempts used up: " + what);
-	// It binds owners in touch: neither they nor the store were disturbed for `cContactMs` (the users' rule)
+	if (!step.may_copy && listed != this->listed_done.end() && this->CountsAsRecorded(listed->second))
+		this->AddViolation("start after an end done was listed: " + what + " (" + this->DescribeListedEnd(listed->second) + ")");
+	if (!step.lasting && this->failures_recorded[inOrder.task] >= spec.max_attempts)
+		this->AddViolation("attempts used up: " + what);
+	// Binds owners in contact: neither they nor the store were disturbed for `cContactMs`
 	const bool in_touch = this->now - this->disturbed_at >= cContactMs;
-	if (in_touch && this->CrashesUnder(inOrder.task) >= cCrashesBorne && ++this->starts_after_three[inOrder.task] >= cStartsTooMany)
-		this->Break("crashes its workers, and started again: " + what);
-	// Steps in order
+	if (in_touch && this->CrashesCausedBy(inOrder.task) >= cCrashLimit && ++this->starts_over_limit[inOrder.task] >= cFirstForbiddenStart)
+		this->AddViolation("crashes its workers, and started again: " + what);
+	// Order of the steps
 	for (uint32 before : step.after)
 		for (uint32 index = 0; index < spec.steps[before].count; ++index)
 			if (!this->done_ever.contains(TaskId{inOrder.task.job, inOrder.task.round, before, index}))
-				this->Break("step out of order: " + what);
+				this->AddViolation("step out of order: " + what);
 	if (inOrder.payload != spec.payload)
-		this->Break("another payload: " + what);
+		this->AddViolation("another payload: " + what);
 }
 
 } // namespace Loomreach::Jobs
