--- a/UnitTests/CellTroubleTests.cpp
+++ b/UnitTests/CellPropertyTests.cpp
@@ -1,4 +1,4 @@
-// Properties of a cell under drawn troubles, and the seeds that failed once.
+// Properties of a cell under random faults, and seeds that failed before.
 
 #include <Loomreach/Loomreach.h>
 
@@ -13,7 +13,7 @@
 namespace
 {
 
-/// A day of trouble, then calm: what was broken, and what did not end.
+/// Runs a mixed workload under random faults, then without faults. Returns violations and unfinished jobs.
 std::string RunRandomFaults(uint64 inSeed)
 {
 	Random random(inSeed);
@@ -39,7 +39,7 @@
 	RC_ASSERT(RunFaultMix(seed, &AllFaults) == "");
 }
 
-/// Seeds that failed when entries lapsed, appends took a second or owners stood still beyond their lease.
+/// Seeds that failed with lapsed entries, slow appends or owner pauses beyond the lease.
 static const std::vector<uint64> cFailedSeeds{300411, 31, 51, 65, 32, 344, 400, 200497};
 
 TEST(Cell, SeedsOfPlannedTrouble)
@@ -54,8 +54,8 @@
 		EXPECT_EQ(RunFaultMix(seed, &PlannedFaultsWithSlowAppends), "") << seed;
 }
 
-/// In seeds 2 and 92 an owner stood still beyond its lease, and with it went ends of tasks that workers had listed to it and that no log
-/// held; the workers left meanwhile. See CellSeedTests for the evidence.
+/// In seeds 2 and 92 an owner was paused beyond its lease, and with it were lost run ends that workers had listed to it and no log held;
+/// the workers left in the meantime. See CellSeedTests.
 TEST(Cell, SeedsOfPlannedTroubleWithLongStandstills)
 {
 	for (uint64 seed : cFailedSeeds)
@@ -64,7 +64,7 @@
 		EXPECT_EQ(RunFaultMix(seed, &PlannedFaultsWithLongPauses), "") << seed;
 }
 
-/// All of it, with appends that hold few jobs each.
+/// All faults, with appends that hold few jobs each.
 static Trouble SmallAppends(Random &ioRandom)
 {
 	Trouble faults = AllFaults(ioRandom);
@@ -84,10 +84,10 @@
 	RC_ASSERT(RunRandomFaults(seed) == "");
 }
 
-/// Seeds that failed once, each with its cause.
+/// Seeds that failed before, each with its cause.
 TEST(Cell, SeedsThatFailedOnce)
 {
-	// The world itself lost an answer when a cut began under way
+	// The simulation lost an answer in flight when its worker became unreachable
 	EXPECT_EQ(RunRandomFaults(645828339), "");
 }
 
--- a/UnitTests/CellSeedTests.cpp
+++ b/UnitTests/CellSeedTests.cpp
@@ -1,15 +1,12 @@
-// Hundreds of seeds of each planned trouble. An end that a worker has listed is never lost, however the owner goes: its task would be done
-// once more, and so would what it does outside.
+// Guards against the loss of a run end that a worker has listed, with hundreds of seeds per fault mix: its task would run again, and so
+// would its external effects.
 //
-// The story. A worker that leaves by plan lists the end of a task in its last answer. Its owner stands still beyond its lease before it
-// reads the answer, or before the append with the end is through; or it hands the cell over by plan and waits no longer for its append. The
-// next owner finds the run in the log without an end, and at the worker's address nobody; once the lease is over it starts the task anew.
-// The one process that knew of the end was alive all the time, and threw it away with the seat. It shows in what the world says of each
-// such start: "listed at 17000, never read, its owner stood still beyond its lease at 22970", "listed at 12280, read at 12290, its owner
-// handed over unsettled at 13940". Of 600 seeds each, 11 broke with long standstills, 2 with slow appends, 20 with both. Since former
-// owners hand in such ends (EndsHandIn), none does.
+// How an end gets lost: a worker that leaves by plan lists it in its last answer. The owner is paused beyond its lease before it reads the
+// answer or before the append with the end completes, or it hands the cell over without waiting for its append. The next owner finds the
+// run in the log without an end and nobody at the worker's address, and restarts the task once the lease is over. Of 600 seeds each, 11
+// failed with long pauses, 2 with slow appends and 20 with both. Former owners therefore submit such ends to the inbox (EndsHandIn).
 //
-// LOOM_SEEDS="first count" in the environment plays other seeds.
+// LOOM_SEEDS="first count" in the environment runs other seeds.
 
 #include <Loomreach/Loomreach.h>
 
@@ -23,7 +20,7 @@
 namespace
 {
 
-/// Every seed that broke a rule or left a job open, with what was seen.
+/// Runs the seeds of a fault mix. Returns those that failed, with violations and unfinished jobs.
 std::string FailingSeeds(Trouble (*inKind)(Random &))
 {
 	const SeedRange range = SeedsToRun();
@@ -52,30 +49,29 @@
 
 TEST(CellSeeds, PlannedTroubleWithTakeOvers) { EXPECT_EQ(FailingSeeds(&PlannedFaultsWithTakeovers), ""); }
 
-/// An owner that is killed takes with it the ends that it read and its log did not hold yet.
+/// A killed owner loses ends that it has read and that its log does not hold yet.
 TEST(CellSeeds, PlannedTroubleWithKills) { EXPECT_EQ(FailingSeeds(&PlannedFaultsWithOwnerKills), ""); }
 
-/// The same where an append is under way for a second.
+/// The same while an append takes 1 s.
 TEST(CellSeeds, PlannedTroubleWithKillsAndSlowAppends) { EXPECT_EQ(FailingSeeds(&PlannedFaultsWithOwnerKillsAndSlowAppends), ""); }
 
-/// The next owner asks at the address of a worker that has left, and another life answers. It took that for the end of all that had run
-/// there and started it anew at once, while its predecessor, which had read the ends, still stood still: "listed at 15550, read at 15560,
-/// its owner stands still, and another took over at 18000", started again at 19720. Five seeds of 600 broke (92 97 218 366 517). Now what
-/// such a worker ran waits for the lease as it does where nobody answers.
+/// The next owner polls at the address of a worker that has left, and another incarnation answers. An owner that takes this for the end of
+/// the worker's runs restarts their tasks while the paused predecessor, which has read the ends, has not submitted them yet (5 of 600
+/// seeds: 92, 97, 218, 366, 517). Such runs wait for the lease, as they do where nobody answers.
 TEST(CellSeeds, PlannedTroubleWithReusedAddresses) { EXPECT_EQ(FailingSeeds(&PlannedFaultsWithAddressReuse), ""); }
 
 TEST(CellSeeds, EveryTrouble) { EXPECT_EQ(FailingSeeds(&AllFaults), ""); }
 
-/// What a worker's former life had listed, was told or was let forget counts for its next life.
+/// Ends, starts or acknowledgements of a worker's previous incarnation count for the next one.
 TEST(CellSeeds, RestartsUnderOneId) { EXPECT_EQ(FailingSeeds(&RestartsUnderOneId), ""); }
 
-/// The same, and an order for the former life is carried out by the next one.
+/// The same, and the next incarnation executes an order for the previous one.
 TEST(CellSeeds, RestartsWithLateOrders) { EXPECT_EQ(FailingSeeds(&RestartsWithLateOrders), ""); }
 
 /// The same across owners.
 TEST(CellSeeds, RestartsWithOtherOwners) { EXPECT_EQ(FailingSeeds(&RestartsWithOwnerChanges), ""); }
 
-/// A worker that left by plan comes back, and a former owner alone knows what had ended there.
+/// A worker that left by plan returns, and only a former owner knows which of its runs had ended.
 TEST(CellSeeds, PlannedReturnsUnderOneId) { EXPECT_EQ(FailingSeeds(&PlannedFaultsWithReturningWorkers), ""); }
 
 TEST(CellSeeds, EveryTroubleWithRestarts) { EXPECT_EQ(FailingSeeds(&AllFaultsWithRestarts), ""); }
