--- a/UnitTests/CellCrashTests.cpp
+++ b/UnitTests/CellCrashTests.cpp
@@ -1,14 +1,14 @@
-// A task may crash each worker that starts it. On the users' day several such tasks were in one pool; each crashed its worker 10 ms after
-// its start, with everything else that ran there, and was planned anew as soon as its end was known. Nothing counted: the run's end was the
-// worker's, not the task's, and 36 runs of one task took 36 workers down. The owner of the cell was the same all the time:
+// Guards against a task that crashes every worker it starts on and is restarted without limit. Several such tasks in one pool crashed their
+// workers 10 ms after each start, with all other runs there, and were planned again as soon as the run end was known. The end counted as
+// the worker's, not the task's, and under a single owner 36 runs of one task crashed 36 workers:
 //
 //     event=worker_gone worker=i-c3fd67e506 why="its address is another life's" runs=16 listed=1 ... epoch=1
 //     event=run_ended ... task=adbf65102e3f5680.0.0.0 run=5 worker=i-c3fd67e506 end=lapsed state=confirmed after_ms=3272
 //         why="its address is another life's" ... epoch=1
 //     event=runs_planned request=adbf65102e3f5680 round=0 step=0 runs=0.6@i-37df8e8343 ... epoch=1
 //
-// The other 15 runs on that worker had begun 276 ms to 1.5 s before. A task that was only there, or whose worker was lost with its rack,
-// must not be given up: its job could have been done.
+// The other 15 runs on that worker had begun 276 ms to 1.5 s before. A task that only ran beside the cause, or whose worker was lost with
+// its rack, must not be failed: its job could have been completed.
 
 #include <Loomreach/Loomreach.h>
 
@@ -50,7 +50,7 @@
 
 TEST(CellCrash, GivesItUpAlsoWhereWorkersComeBackAfterTheirLeases)
 {
-	// The end is then concluded from the lease, and no other life has answered
+	// The end is then concluded from the lease, since no other incarnation has answered
 	for (uint64 seed = 1; seed <= 20; ++seed)
 	{
 		Random random(seed);
@@ -67,7 +67,8 @@
 	}
 }
 
-/// A look that was answered at once, just before a trial's start, put off the next one, and the crash was seen too late to prove anything.
+/// A poll that was answered immediately before a trial run's start delayed the next poll, and the crash was seen too late to prove
+/// anything.
 TEST(CellCrash, SeesACrashOnTrialAtOnce)
 {
 	for (uint64 seed = 1; seed <= 200; ++seed)
@@ -83,7 +84,7 @@
 	}
 }
 
-/// A pool was sized by the room that its tasks ask for, and two hosts were left for sixty tasks that waited to be tried one by one.
+/// A pool sized by requested resources alone was left with two hosts for sixty tasks that waited for their trial runs.
 TEST(CellCrash, TasksThatWaitForATrialCountForTheSizeOfTheirPool)
 {
 	CellWorld simulation(1, Trouble{}, 2);
@@ -169,7 +170,7 @@
 
 TEST(CellCrash, GivesUpNoTaskThatWasThereWhenARackWasLost)
 {
-	// Racks go one after another, dark or with connections closed, some while tasks start anew
+	// Racks are lost one after another, unresponsive or with connections closed, some while tasks restart
 	for (uint64 seed = 1; seed <= 30; ++seed)
 	{
 		Random random(seed);
@@ -198,7 +199,7 @@
 
 TEST(CellCrash, GivesUpNoTaskWhoseWorkersWereCutOffByResets)
 {
-	// Connections are reset as by a crash, but the worker goes on, and is back after its leases are over: nothing has crashed
+	// Connections are reset as by a crash, but the worker runs on and is reachable again after its leases are over: nothing has crashed
 	for (uint64 seed = 1; seed <= 30; ++seed)
 	{
 		Random random(seed);
@@ -226,8 +227,8 @@
 
 TEST(CellCrash, BlamesNoRunThatASuccessorOnlyFoundInTheLog)
 {
-	// Its lease may have run out before the worker crashed. A job was given up though its second run had ended so (worker i-m2-0 crashed
-	// with no run on it), and chance had crashed the workers of the others:
+	// Its lease may have expired before the worker crashed. A job was failed though its second run had ended like this (worker i-m2-0
+	// crashed with no run on it) and the workers of its other runs had crashed by chance:
 	//     run_ended ... run=2 worker=i-m2-0 end=lapsed state=inherited ... answer_ms_ago=-1 closed_ms_ago=-1
 	//     task_blamed ... run=2 worker=i-m2-0 blamed=1 at_once=0 beside=1 seen_ms=-1 ...
 	CellWorld simulation(1, Trouble{}, 4);
@@ -246,7 +247,7 @@
 		simulation.ReplaceOwner();
 		simulation.Run(1500);
 	}
-	// And once more by chance, under an owner that hears it
+	// One more random crash, which the current owner sees
 	for (auto &[id, worker] : simulation.Workers())
 		if (!worker.crashed && !worker.running.empty())
 			simulation.Crash(worker, true, 500);
@@ -257,7 +258,7 @@
 
 TEST(CellCrash, GivesUpATaskAtWhoseEveryTrialOthersOfTheRackGoAsWell)
 {
-	// A trial tells nothing then; without a bound the task was tried for ever
+	// Such a trial run proves nothing; without a limit the task would be tried forever
 	for (uint64 seed = 1; seed <= 20; ++seed)
 	{
 		CellWorld simulation(seed, Trouble{}, 6);
@@ -288,7 +289,7 @@
 	}
 }
 
-/// Crashes the workers of a job's runs by chance, and how many there were.
+/// Crashes the workers on which a job runs. Returns their number.
 static size_t CrashWorkersOf(CellWorld &ioSimulation, const std::string &inJob)
 {
 	std::vector<std::string> lost;
@@ -303,8 +304,8 @@
 
 TEST(CellCrash, ALastingTaskThatIsAtWorkIsSuspectedNoMore)
 {
-	// Over months the workers of what lasts crash by chance, also right after a start. Counted for ever, these end the job; and a run alone
-	// on its worker for its trial kept all else off it for good
+	// Over months the workers of long-running tasks crash by chance, also right after a start. If all these crashes counted, the job would
+	// be failed; and a run isolated for its trial would keep all others off its worker for good
 	for (uint64 seed = 1; seed <= 10; ++seed)
 	{
 		CellWorld simulation(seed, Trouble{}, 3);
@@ -315,7 +316,7 @@
 		simulation.Run(1000);
 		for (int month = 0; month < 6; ++month)
 		{
-			// Three crashes in a row, not all right after a start, then a long time at work, under another owner as well
+			// Three crashes in a row, not all right after a start, then a long time without crashes, also under another owner
 			for (int i = 0; i < 3; ++i)
 			{
 				ASSERT_EQ(CrashWorkersOf(simulation, "lasting"), 1u) << seed << " " << month << " " << i;
@@ -326,7 +327,7 @@
 			simulation.Run(10000);
 		}
 		EXPECT_EQ(Failures(simulation), "") << seed;
-		// Every worker has room for others beside it
+		// Every worker has capacity for other runs beside it
 		simulation.Submit(MakeJob("wide", 1, 3, 15000, 300));
 		simulation.run_ms["wide"] = 20000;
 		simulation.Run(15000);
@@ -337,23 +338,23 @@
 	}
 }
 
-/// What became of the jobs of a day with many crashers.
+/// Result of a simulation with many crashing tasks.
 struct CrashStatistics
 {
 	size_t healthy = 0;
-	size_t wrongly_failed = 0; ///< Of these.
-	size_t crashers = 0;       ///< Tasks.
-	size_t crashes = 0;        ///< Of workers, by these.
+	size_t wrongly_failed = 0; ///< Of these jobs.
+	size_t crashers = 0;       ///< Tasks that crash their workers.
+	size_t crashes = 0;        ///< Workers that these tasks crashed.
 };
 
-/// Whether workers that crash start again under their ids.
+/// Whether crashed workers start again under their ids.
 enum class EWorkerIds : uint8
 {
 	New,
 	Kept
 };
 
-/// A day of crashers, workers that crash by chance, each `inChance` percent a second, and changes of owner.
+/// Runs crashing tasks beside healthy jobs, with random worker crashes (`inChance` percent a second each) and owner changes.
 static CrashStatistics RunCrashSimulation(uint64 inSeed, uint64 inChance, EWorkerIds inWorkerIds)
 {
 	Random random(inSeed);
@@ -396,7 +397,7 @@
 	return result;
 }
 
-/// Plays days with many seeds: of all sound jobs at most `inGivenUp` are given up, and a crasher's crashes are few.
+/// Runs many seeds: in total at most `inMaxWronglyFailed` healthy jobs fail, and a crashing task crashes at most 3 workers on average.
 static void CheckCrashSimulations(uint64 inSeeds, uint64 inChance, size_t inMaxWronglyFailed, EWorkerIds inWorkerIds = EWorkerIds::New)
 {
 	CrashStatistics all;
@@ -409,7 +410,7 @@
 		all.crashers += result.crashers;
 		all.crashes += result.crashes;
 	}
-	std::cout << "chance " << inChance << "% a second: " << all.wrongly_failed << " of " << all.healthy << " sound jobs given up; "
+	std::cout << "chance " << inChance << "% a second: " << all.wrongly_failed << " of " << all.healthy << " healthy jobs given up; "
 			  << all.crashers << " tasks crashed " << all.crashes << " workers\n";
 	EXPECT_LE(all.wrongly_failed, inMaxWronglyFailed);
 	EXPECT_LE(all.crashes, 3 * all.crashers);
@@ -417,18 +418,18 @@
 
 TEST(CellCrash, TellsCrashersFromWhatRanBesideThem) { CheckCrashSimulations(60, 0, 0); }
 
-/// A crash was hidden by the next life under the same id.
+/// The next incarnation under the same id hid a crash.
 TEST(CellCrash, TellsCrashersWhereWorkersKeepTheirIds) { CheckCrashSimulations(60, 0, 0, EWorkerIds::Kept); }
 
-/// A fifth crash that only the next owner drew from the records gave nothing up, and the task was started a sixth time.
+/// A fifth crash that only the next owner derived from the records did not fail the task, and it was started a sixth time.
 TEST(CellCrash, TellsCrashersWhereWorkersKeepTheirIdsOnHundredsOfDays) { CheckCrashSimulations(600, 0, 0, EWorkerIds::Kept); }
 
 TEST(CellCrash, GivesUpNoSoundJobWhereWorkersThatCrashByChanceKeepTheirIds) { CheckCrashSimulations(60, 6, 0, EWorkerIds::Kept); }
 
-// No job is given up that could have been done: that binds. The users allow a task to be given up once two workers have crashed under it,
-// so such a job breaks none of their rules, but its caller is told a falsehood. LOOM_SEEDS="first count" plays other seeds.
+// No job may be failed that could have been completed. The platform's rules allow a task to be failed once two workers have crashed under
+// it, so that such a failure breaks none of them, but the caller gets a wrong result. LOOM_SEEDS="first count" runs other seeds.
 
-/// A sound task started beside a crasher, and then chance crashed its worker on trial.
+/// A healthy task started beside a crashing one, and then its worker crashed by chance during the trial run.
 TEST(CellCrash, TellsCrashersFromChance) { CheckCrashSimulations(60, 2, 0); }
 
 TEST(CellCrash, TellsCrashersFromChanceOnHundredsOfDays) { CheckCrashSimulations(600, 2, 0); }
@@ -439,7 +440,7 @@
 
 TEST(CellCrash, TellsCrashersFromWhatRanBesideThemWithChanceAndChangesOfOwner)
 {
-	// Many crashers of all kinds, workers that crash by chance, and changes of owner
+	// Many crashing tasks of all kinds, random worker crashes and owner changes
 	const SeedRange range = SeedsToRun(30);
 	for (uint64 seed = range.first; seed < range.first + range.count; ++seed)
 	{
@@ -470,14 +471,15 @@
 	}
 }
 
-/// Every trouble of the network, the workers and the owner, suspended owners among them; beside it crashers, racks that go dark or close,
-/// and room that shrinks. What was broken, and what did not end. Sound jobs that were given up are counted in `outGivenUp`.
+/// All faults of the network, the workers and the owner, among them long pauses, beside crashing tasks, racks that become unresponsive or
+/// close their connections, and shrinking capacity. Returns violations and unfinished jobs; adds up healthy jobs that failed in
+/// `outWronglyFailed`.
 static std::string RunAllFaults(uint64 inSeed, uint64 inFailing, size_t &outWronglyFailed, size_t &outHealthy)
 {
 	Random random(inSeed);
 	Trouble faults = AllFaults(random);
 	faults.capacity_shrink = random.Below(10);
-	// A host whose links lose packets is out of touch, and tasks that fail too often are rightly given up
+	// A host whose links lose packets is out of contact, and tasks that fail too often are rightly failed
 	faults.lost_order = 0;
 	faults.failed_run = std::min(faults.failed_run, inFailing);
 	CellWorld simulation(inSeed, faults, cWorkers);
@@ -509,14 +511,14 @@
 	RC_ASSERT(RunAllFaults(seed, 0, wrongly_failed, healthy) == "");
 }
 
-/// A start got no answer, and its worker fell silent before its host closed any connection: such crashes were not counted.
+/// A start got no answer, and its worker became unresponsive before its host closed any connection: such crashes were not counted.
 TEST(CellCrash, SeedsInWhichWorkersFellSilentFirst)
 {
 	size_t wrongly_failed = 0;
 	size_t healthy = 0;
 	for (uint64 seed : {758, 787})
 		EXPECT_EQ(RunAllFaults(seed, 100, wrongly_failed, healthy), "") << seed;
-	// The worker of a run that was taken over drained when it went
+	// The worker of a run that was taken over was draining when it was lost
 	EXPECT_EQ(RunAllFaults(213711347, 0, wrongly_failed, healthy), "");
 }
 
@@ -526,7 +528,7 @@
 	size_t healthy = 0;
 	for (uint64 seed = 1; seed <= 100; ++seed)
 		EXPECT_EQ(RunAllFaults(seed, 0, wrongly_failed, healthy), "") << seed;
-	std::cout << "under everything: " << wrongly_failed << " of " << healthy << " sound jobs given up\n";
+	std::cout << "under all faults: " << wrongly_failed << " of " << healthy << " healthy jobs given up\n";
 	EXPECT_EQ(wrongly_failed, 0u);
 }
 
--- a/UnitTests/CellEvacuationTests.cpp
+++ b/UnitTests/CellEvacuationTests.cpp
@@ -1,4 +1,4 @@
-// The operator evacuates an availability zone: nothing more may be started there, whoever owns the cell, until it is taken back.
+// The operator evacuates an availability zone: nothing may start there, whoever owns the cell, until the evacuation ends.
 
 #include <Loomreach/Loomreach.h>
 
@@ -25,7 +25,8 @@
 		worker.availability_zone = ZoneOf(number++);
 }
 
-/// Zones are evacuated one after the other, two of them at a time for a while, with owners that are killed, stand still or are replaced.
+/// Evacuates zones one after another, two of them at a time for a while, with owners that are killed, paused or replaced. Returns
+/// violations and unfinished jobs.
 std::string RunEvacuations(uint64 inSeed)
 {
 	Random random(inSeed);
@@ -33,7 +34,7 @@
 	faults.owner_kill = random.Below(15);
 	faults.worker_partition = random.Below(10);
 	faults.lost_answer = random.Below(8);
-	// An owner that keeps its cell through a longer one may have orders on the way for as long
+	// An owner that keeps its cell through a longer pause may have orders in flight for as long
 	faults.long_owner_pause = 0;
 	faults.listed_end_counts = false;
 	CellWorld simulation(inSeed, faults, 6);
@@ -59,14 +60,14 @@
 
 } // namespace
 
-/// A start, a retry or a second run that reaches the zone after the evacuation is in force.
+/// Guards against a start, a retry or a second run that reaches the zone after the evacuation takes effect.
 TEST(CellEvacuation, StartsNothingInAnEvacuatedZone)
 {
 	for (uint64 seed = 1; seed <= cSeeds; ++seed)
 		EXPECT_EQ(RunEvacuations(seed), "") << seed;
 }
 
-/// Work that runs there is stopped, or the zone stays closed after it is taken back.
+/// Guards against stopping the runs in the zone, and against a zone that stays closed after its evacuation.
 TEST(CellEvacuation, LetsRunsEndAndUsesTheZoneAgain)
 {
 	CellWorld simulation(1, Trouble{}, 1);
@@ -86,7 +87,7 @@
 	EXPECT_EQ(simulation.Broken(), "");
 }
 
-/// A record that is read again after a newer one brings back what it said.
+/// Guards against a record that is read again after a newer one and restores the older state.
 TEST(ZoneEvacuations, NeverGoesBackToAnOlderRecord)
 {
 	ZoneEvacuations zones;
@@ -99,7 +100,8 @@
 	EXPECT_EQ(zones.Zones(), std::set<std::string>{"a"});
 }
 
-/// A zone whose record was removed unread stays closed for ever, or one that was evacuated during the reading is opened.
+/// Guards against a zone that stays closed because its record was removed unread, and against opening one that was evacuated during the
+/// reading.
 TEST(ZoneEvacuations, AWholeReadingOpensTheZonesThatItDoesNotName)
 {
 	ZoneEvacuations zones;
