--- a/UnitTests/CellCancelTests.cpp
+++ b/UnitTests/CellCancelTests.cpp
@@ -1,5 +1,5 @@
-// Cancelled jobs whose runs begin late: an order to start that was held up for seconds, its sender perhaps gone for good. Nothing of such a
-// job goes on for longer than a worker in contact takes to stop it (CellWorld::CheckCanceled).
+// Cancelled jobs whose runs begin late: a start order was delayed for seconds, and its sender may have stopped. No run of such a job may go
+// on for longer than a worker in contact needs to stop it (CellWorld::CheckCanceled).
 
 #include <Loomreach/Loomreach.h>
 
@@ -15,10 +15,10 @@
 namespace
 {
 
-/// The tests' runs last so long that only a stop, or the end of their lease, can end them in time.
+/// Runs take so long that only a stop, or the end of their lease, can end them in time.
 constexpr Millis cLongRunMs = 30000;
 
-/// Starts that are held up, and owners that go, by plan or not. Looks and stops arrive.
+/// Delayed starts, and owners that are killed or hand over. Polls and stops arrive.
 Trouble DelayedStarts(Random &ioRandom)
 {
 	Trouble faults;
@@ -31,12 +31,12 @@
 	faults.owner_pause = ioRandom.Below(15);
 	faults.slow_stop = ioRandom.Below(60);
 	faults.entry_lapse = ioRandom.Below(6);
-	// The longest that workers grant lets most of the held-up starts be carried out
+	// With the longest lease that workers accept, most of the delayed starts are executed
 	faults.lease_ms = ioRandom.Chance(50) ? 10000 : 0;
 	return faults;
 }
 
-/// The same with looks and stops that are lost or late too, and workers that are cut off, slow, replaced or emptied.
+/// The same with polls and stops that are lost or late too, and workers that are unreachable, slow, replaced or drained.
 Trouble DelayedOrders(Random &ioRandom)
 {
 	Trouble faults = DelayedStarts(ioRandom);
@@ -54,7 +54,7 @@
 	return faults;
 }
 
-/// Entries that lapse often, and the lease as it is tuned: it ends what a successor can't reach, in time.
+/// Entries that lapse often, with the default lease: it ends in time what a successor cannot reach.
 Trouble LapsingEntries(Random &ioRandom)
 {
 	Trouble faults = DelayedStarts(ioRandom);
@@ -64,14 +64,15 @@
 	return faults;
 }
 
-/// What a day of cancels is like.
+/// Options of a cancel simulation.
 struct CancelOptions
 {
 	bool needs_address = true; ///< See CellWorld.
-	bool long_running = false; ///< The cancelled jobs' tasks last, and their stops are bound by how many others are away, until the cancel.
+	/// The cancelled jobs' tasks are long-running, and until the cancel their stops are limited by how many others are missing.
+	bool long_running = false;
 };
 
-/// Makes the tasks of a job last, each on another worker, with one of them away at most.
+/// Makes the tasks of a job long-running, each on another worker, with at most one of them missing.
 void MakeLongRunning(JobSpec &ioJob)
 {
 	StepSpec &step = ioJob.steps[0];
@@ -81,14 +82,14 @@
 	step.may_miss = 1;
 }
 
-/// What a day of cancels came to.
+/// Result of a cancel simulation.
 struct CancelResult
 {
 	std::string failures;
 	uint64 late_starts = 0; ///< Runs that began after their job's cancel.
 };
 
-/// Jobs that are cancelled at some time within five seconds, beside others that keep the workers' leases up.
+/// Cancels jobs within five seconds of their submission, beside other jobs that keep the workers' leases renewed.
 CancelResult RunCancelSimulation(uint64 inSeed, Trouble (*inKind)(Random &), const CancelOptions &inOptions = {})
 {
 	SetInvariantsAbort(true);
@@ -117,14 +118,14 @@
 				simulation.Cancel(canceled);
 		simulation.Run(100);
 	}
-	// Time for the orders that are still held up
+	// Time for the orders that are still delayed
 	simulation.Run(15000);
 	simulation.ClearFaults();
 	simulation.Run(40000);
 	return {simulation.Broken() + simulation.Open(), simulation.StartsAfterCancel()};
 }
 
-/// One worker and one cell, played by hand.
+/// One worker and one cell, driven step by step.
 class OneWorkerHarness
 {
 public:
@@ -136,7 +137,7 @@
 		this->entry.capacity = {16000, 32768, 0};
 	}
 
-	/// An owner begins, with what the log of its predecessor holds.
+	/// Starts an owner with its predecessor's log.
 	void Begin(uint64 inEpoch)
 	{
 		this->cell = Cell(CellTuning{});
@@ -148,7 +149,7 @@
 	void ListWorker() { this->cell.SetWorkers({this->entry}, this->now); }
 	void Ingest(EInbox inKind, const JobSpec &inSpec) { this->cell.Ingest({inKind, inSpec}, this->next_offset++, this->now, this->now); }
 
-	/// Lets time pass. Orders to start get no answer, others do; a look lists `running`.
+	/// Advances time. Start orders get no answer, others do; a poll lists `running`.
 	void Advance(Millis inMillis)
 	{
 		for (const Millis end = this->now + inMillis; this->now < end;)
@@ -181,10 +182,10 @@
 	uint64 next_offset = 0;
 	bool log_answers = true;
 	bool worker_answers = true;
-	std::vector<KeyedRecord> batch; ///< The append under way.
+	std::vector<KeyedRecord> batch; ///< The append in flight.
 	std::map<std::string, std::string> log;
 	std::vector<Order> sent;
-	std::vector<RunningRow> running; ///< What the worker has.
+	std::vector<RunningRow> running; ///< Runs on the worker.
 
 private:
 	void AnswerOrders()
@@ -193,7 +194,7 @@
 		{
 			this->sent.push_back(order);
 			OrderAnswer answer;
-			// Without an address nothing leaves
+			// Without an address nothing is sent
 			if (order.address.port == 0)
 				answer.result = EOrderResult::NotSent;
 			const bool answers = this->worker_answers && order.kind != EOrder::Start && order.address.port != 0;
@@ -225,15 +226,15 @@
 	RC_ASSERT(RunCancelSimulation(seed, &DelayedOrders).failures == "");
 }
 
-/// Seeds that failed once, each with its cause.
+/// Seeds that failed before, each with its cause.
 TEST(CellCancel, SeedsThatFailedOnce)
 {
-	// The world itself let an owner promise that had just woken without its ownership
+	// The simulation let an owner grant a drain that had just resumed without its ownership
 	EXPECT_EQ(RunCancelSimulation(127060994, &DelayedOrders).failures, "");
-	// Its calm called off a hand-over that had begun, and left an owner that promises nothing
+	// The end of the faults cancelled a handover that had begun, and left an owner that grants no drains
 	EXPECT_EQ(RunCancelSimulation(51208213, &DelayedOrders).failures, "");
-	// A worker's entry had lapsed before its owner changed: the next one has its address from there alone. Until the entry is back, the
-	// worker's lease (here of 10 s) is what ends a run
+	// A worker's entry had lapsed before its owner changed, and the next owner has its address only from there. Until the entry is back,
+	// the worker's lease (10 s here) is what ends a run
 	EXPECT_EQ(RunCancelSimulation(179386204, &DelayedStarts).failures, "");
 }
 
@@ -251,7 +252,7 @@
 
 TEST(CellCancel, SomeRunsBeginAfterTheCancel)
 {
-	// Else the properties above would prove nothing
+	// Otherwise the properties above would prove nothing
 	uint64 late_starts = 0;
 	for (uint64 seed = 1; seed <= 120; ++seed)
 		late_starts += RunCancelSimulation(seed, &DelayedStarts).late_starts;
@@ -267,7 +268,7 @@
 	harness.Advance(200);
 	ASSERT_EQ(harness.Count(EOrder::Start), 1u);
 	harness.Ingest(EInbox::Cancel, MakeJob("a", 1, 1, 1000, 300));
-	// The worker is looked at though nothing else is there, and is told, so that the run never comes
+	// The worker is polled though nothing else runs there, and it gets the stop, so that the run can never begin
 	harness.Advance(1000);
 	EXPECT_EQ(harness.Count(EOrder::Stop), 1u);
 	EXPECT_EQ(harness.cell.Figures().runs, 0u);
@@ -286,7 +287,7 @@
 	harness.Advance(1000);
 	EXPECT_EQ(harness.cell.Query("queue", "a").phase, EJobPhase::Canceled);
 	EXPECT_EQ(harness.cell.Figures().runs, 1u);
-	// The next owner finds it in the log, asks, and stops what has begun meanwhile
+	// The next owner finds the run in the log, polls its worker, and stops what has begun in the meantime
 	harness.Begin(2);
 	EXPECT_EQ(harness.cell.Figures().runs, 1u);
 	harness.ListWorker();
@@ -300,7 +301,7 @@
 
 TEST(CellCancel, ARunIsAskedAfterWhenItsWorkerIsListedAgain)
 {
-	// At the take-over the worker's entry has lapsed, and the log has no word of its address either
+	// At the takeover the worker's entry has lapsed, and the log does not hold its address either
 	OneWorkerHarness harness;
 	harness.Begin(1);
 	harness.ListWorker();
@@ -325,8 +326,8 @@
 
 TEST(CellCancel, ARunIsAskedAfterWhereTheLogSaysThatItsWorkerIs)
 {
-	// At the take-over the worker's entry has lapsed. Failed first (seeds 300411 and 200497 of planned trouble): what it had told the
-	// predecessor was asked for nowhere, and its tasks were started again once their lease was over
+	// At the takeover the worker's entry has lapsed. Without its address from the log, no owner polled for the runs that the predecessor
+	// had dispatched, and their tasks were restarted once the lease was over (seeds 300411 and 200497 of the planned faults)
 	OneWorkerHarness harness;
 	harness.Begin(1);
 	harness.ListWorker();
@@ -345,7 +346,7 @@
 	EXPECT_TRUE(harness.running.empty());
 	harness.Advance(500);
 	EXPECT_EQ(harness.cell.Figures().runs, 0u);
-	// A worker that is gone leaves no place behind
+	// A worker that was removed leaves no address record behind
 	harness.Advance(6000);
 	harness.cell.SetWorkers({}, harness.now);
 	harness.Ingest(EInbox::Submit, MakeJob("b", 1, 1, 1000, 300));
@@ -353,7 +354,7 @@
 	EXPECT_EQ(harness.log["ww0"], "");
 }
 
-TEST(CellCancel, ARunThatIsBeingLoggedIsNotTold)
+TEST(CellCancel, ARunStillBeingLoggedIsNotDispatched)
 {
 	OneWorkerHarness harness;
 	harness.Begin(1);
@@ -374,7 +375,7 @@
 
 TEST(CellCancel, ARunThatNobodyKnowsIsStopped)
 {
-	// No lease was given to this worker by this owner, nor by a predecessor as far as the log tells
+	// This owner has granted the worker no lease, and according to the log no predecessor has
 	OneWorkerHarness harness;
 	harness.running = {{{"a", 0, 0, 0}, 1, "", 0, 0}};
 	harness.Begin(2);
@@ -384,7 +385,7 @@
 	EXPECT_TRUE(harness.running.empty());
 }
 
-/// An owner whose appends pass while its reads do not goes on starting what was cancelled seconds before.
+/// Guards against an owner whose appends succeed while its inbox reads do not, and that starts what was cancelled seconds before.
 TEST(CellCancel, StartsNothingWhileTheInboxCannotBeRead)
 {
 	CellWorld simulation(1, Trouble{}, 4);
--- a/UnitTests/CellLateEndTests.cpp
+++ b/UnitTests/CellLateEndTests.cpp
@@ -1,4 +1,4 @@
-// A good end that comes to be known while another run of its task is on its way into the log.
+// A successful run end becomes known while another run of its task is being written to the log.
 
 #include <Loomreach/Loomreach.h>
 
@@ -12,7 +12,7 @@
 namespace
 {
 
-/// Two workers and one cell, played by hand: every look and order is answered as the test says.
+/// Two workers and one cell, driven step by step: the test determines the answer to every poll and order.
 class LateEndHarness
 {
 public:
@@ -31,7 +31,7 @@
 		this->cell.Ingest({EInbox::Submit, MakeJob("job", 2, 1, 1000, 500)}, 0, this->now, this->now);
 	}
 
-	/// Lets time pass; orders are taken and answered.
+	/// Advances time; orders are taken and answered.
 	void Advance(Millis inMillis)
 	{
 		for (const Millis end = this->now + inMillis; this->now < end;)
@@ -45,7 +45,7 @@
 				this->Append();
 		}
 	}
-	/// The append under way is in the log.
+	/// Completes the append in flight.
 	void Append()
 	{
 		this->writes = false;
@@ -57,12 +57,12 @@
 	Millis now = 1000;
 	bool log_answers = true;
 	bool writes = false;
-	std::string unresponsive;    ///< This worker gives no answers.
-	std::vector<Order> started;  ///< Orders to start, in turn.
-	std::vector<EndedRow> ended; ///< What the worker of the first of them lists as ended.
+	std::string unresponsive;    ///< Worker that does not answer.
+	std::vector<Order> started;  ///< Start orders, oldest first.
+	std::vector<EndedRow> ended; ///< Ends that the worker of the first start order lists.
 
 private:
-	/// What was started there and has not ended.
+	/// Runs that were started on a worker and have not ended.
 	std::vector<RunningRow> RunningOn(const std::string &inWorker) const
 	{
 		std::vector<RunningRow> rows;
@@ -101,10 +101,10 @@
 
 } // namespace
 
-TEST(Cell, TellsNoRunOfATaskWhoseGoodEndIsKnown)
+TEST(Cell, DispatchesNoRunOfATaskKnownToBeDone)
 {
-	// Failed first (kkt-loom-grown, trouble-1, found in the logs): a worker was silent until its lease was over, and listed its good end
-	// while the next run of the task was being written. That run was told all the same, 14 ms after the end had been taken in
+	// A worker was unresponsive until its lease was over, and listed a successful end while the next run of the task was being written.
+	// That run was dispatched all the same, 14 ms after the end had been read
 	LateEndHarness harness;
 	harness.Advance(200);
 	ASSERT_EQ(harness.started.size(), 1u);
