--- a/UnitTests/CellLeaseTests.cpp
+++ b/UnitTests/CellLeaseTests.cpp
@@ -1,10 +1,10 @@
-// A rollout changes the lease that workers' runs are given (setting `worker_lease_ms`). An owner with the new setting takes a cell over
-// from one with the old, while a worker with runs is cut off. It waits for the longest lease that its own setting knows, and starts their
-// tasks anew; where the old one was longer, the worker is still at work on them: two runs of a task at once.
+// Guards against two concurrent runs of a task after a rollout that changes the workers' lease (setting `worker_lease_ms`). An owner with
+// the new setting takes a cell over while a worker with runs is unreachable. If it waits only for the longest lease that its own setting
+// knows, and the previous lease was longer, it restarts tasks that the worker still runs:
 //
 //     at 6180: two runs at once: job.0.0.0 run 2 on w1
 //
-// The log did not say which leases its owners gave, so that nobody could know. Now it holds the longest (WorkerLeases).
+// The log therefore holds the longest lease that was granted (WorkerLeases).
 
 #include <Loomreach/Loomreach.h>
 
@@ -21,7 +21,7 @@
 constexpr Millis cLongLeaseMs = 10000;
 constexpr Millis cShortLeaseMs = 4000;
 
-/// A job that a worker has begun under one lease; then the worker is cut off.
+/// Starts a job under a lease, then makes its worker unreachable.
 void PartitionBusyWorker(CellWorld &ioSimulation, Millis inLeaseMs)
 {
 	ioSimulation.SetLease(inLeaseMs);
@@ -34,7 +34,7 @@
 			worker.unreachable_until = ioSimulation.Now() + 20000;
 }
 
-/// The next owner gives another lease.
+/// The next owner grants another lease.
 std::string RunRollout(Millis inBeforeMs, Millis inAfterMs)
 {
 	CellWorld simulation(1, Trouble{}, 2);
@@ -53,7 +53,7 @@
 {
 	CellWorld simulation(1, Trouble{}, 2);
 	PartitionBusyWorker(simulation, cLongLeaseMs);
-	// One with a short lease takes over, and soon another: what the first one gave still counts
+	// An owner with a short lease takes over, and soon another: the first owner's lease still counts
 	for (int i = 0; i < 3; ++i)
 	{
 		simulation.SetLease(cShortLeaseMs);
--- a/UnitTests/CellPromiseTests.cpp
+++ b/UnitTests/CellPromiseTests.cpp
@@ -1,10 +1,10 @@
-// An owner promises that a worker is empty and stays so for a while; the fleet's owner then takes the worker's host down. The promise is
-// kept in memory alone, and outlives its owner's lease where that is short: a successor that begins before it is over knows nothing of it,
-// and starts work on the worker.
+// Guards against a successor that does not know its predecessor's drain grant. An owner grants that a worker stays empty for a while, and
+// the fleet's owner then removes the worker's host. A grant kept in memory alone may outlive its owner's lease where that is short, and a
+// successor that begins before it ends starts work on the worker:
 //
 //     at 2000: taken down with work on it: w0
 //
-// What ran there is lost and done again, and a lasting task may be away beyond what its step bears.
+// The runs there are lost and repeated, and a long-running task may be missing beyond the limit of its step.
 
 #include <Loomreach/Loomreach.h>
 
@@ -29,7 +29,7 @@
 		worker.drain_requested = true;
 		while (worker.leaves_at < 0)
 			simulation.Run(cSimulationStepMs);
-		// An owner stops acting this much before its lease is over
+		// An owner stops acting this long before its lease is over
 		simulation.Run(cSlackMs);
 		simulation.ReplaceOwner();
 		simulation.Submit(MakeJob("job", 1, 1, 500, 800));
--- a/UnitTests/CellRoomTests.cpp
+++ b/UnitTests/CellRoomTests.cpp
@@ -1,4 +1,4 @@
-// Whether starts keep within what a worker has room for, where its room shrinks or something runs there that no record tells of.
+// Starts must stay within a worker's capacity, also where it shrinks or the worker runs something that no record contains.
 
 #include <Loomreach/Loomreach.h>
 
@@ -18,7 +18,7 @@
 constexpr Millis cStepMs = 10;
 constexpr int64 cCores = 16000;
 
-/// A cell with one worker, which lists what the test says beside what it was told.
+/// A cell with one worker, which lists the dispatched runs and those that the test adds.
 class StrayRunSimulation
 {
 public:
@@ -39,7 +39,7 @@
 		this->cell.Ingest({EInbox::Submit, job}, this->offset++, this->now, cWall + this->now);
 	}
 
-	/// Whether a job's task was told to the worker.
+	/// Whether a job's task was dispatched to the worker.
 	bool HasStarted(const std::string &inId) const
 	{
 		return std::any_of(this->started.begin(), this->started.end(), [&](const RunningRow &inRow) { return inRow.task.job == inId; });
@@ -51,7 +51,7 @@
 		this->cell.SetWorkers({this->entry}, this->now);
 	}
 
-	/// Plans, sends and answers once; appends are through at once unless they are held back.
+	/// Plans, sends and answers once; appends complete immediately unless they are blocked.
 	void Step()
 	{
 		this->cell.Plan(this->now, cWall + this->now);
@@ -69,7 +69,7 @@
 	}
 
 	Cell cell{CellTuning{}};
-	std::vector<RunningRow> stray_runs; ///< Beside what was told: run by the worker, stopped only when the test says so.
+	std::vector<RunningRow> stray_runs; ///< Runs on the worker that were not dispatched; they end only when the test removes them.
 	bool log_blocked = false;
 	Millis now = 1000;
 
@@ -96,7 +96,7 @@
 
 } // namespace
 
-/// With one job at work, a worker lists a run that no record tells of: another job starts there only once that run has gone.
+/// While one job runs, the worker lists a run that no record contains: another job starts only once that run has ended.
 static void StartsOnlyAfter(const RunningRow &inStray, int64 inFirstCpu, int64 inSecondCpu)
 {
 	StrayRunSimulation simulation;
@@ -114,22 +114,22 @@
 	EXPECT_TRUE(simulation.HasStarted("b"));
 }
 
-TEST(CellRoom, WhatIsStoppedKeepsItsRoom)
+TEST(CellRoom, AStoppedRunKeepsItsResourcesUntilItEnds)
 {
-	// A worker may have a run that the records do not, of an owner that was replaced. It was stopped, but its room was given away before it
-	// had ended: run_unknown, then runs_planned on the same worker, with more than fits
+	// A worker may have a run of a replaced owner that the records do not contain. It was stopped, but its resources were given away before
+	// it had ended: run_unknown, then runs_planned on the same worker, beyond its capacity
 	StartsOnlyAfter({{"a", 0, 0, 0}, 9, "", 50, 0}, 5000, 8000);
 }
 
-TEST(CellRoom, NothingStartsBesideWhatNobodyKnows)
+TEST(CellRoom, StartsNothingBesideARunOfUnknownSize)
 {
-	// The same with a run of a job that the log no longer has: how much room it takes is not known
+	// The same with a run of a job that the log no longer holds: the resources that it takes are unknown
 	StartsOnlyAfter({{"forgotten", 0, 0, 0}, 1, "", 50, 0}, 1000, 1000);
 }
 
-TEST(CellRoom, WhatNoLongerFitsIsNotTold)
+TEST(CellRoom, DispatchesNoRunThatNoLongerFits)
 {
-	// The worker's room shrinks while the log is written
+	// The worker's capacity shrinks while the log is being written
 	StrayRunSimulation simulation;
 	simulation.Run(200);
 	simulation.Submit("a", 8000);
@@ -148,7 +148,7 @@
 
 TEST(CellRoom, KeepsWithinRoomThatShrinksAndGrows)
 {
-	// Also over changes of owner: a run in the log takes its room whoever counts
+	// Also over owner changes: a run in the log takes its resources whoever owns the cell
 	SetInvariantsAbort(true);
 	for (uint64 seed = 1; seed <= 60; ++seed)
 	{
@@ -199,7 +199,7 @@
 	simulation.Run(10000);
 	simulation.ClearFaults();
 	simulation.Run(90000);
-	// Only what says that there was no room: the bound of tasks that crash their workers has its own property
+	// Only violations of capacity: the limit on crashing tasks has its own property
 	std::string no_room;
 	for (const std::string &line : simulation.violations)
 		no_room += line.find("no room") == std::string::npos ? "" : line + '\n';
--- a/UnitTests/CellSuspendTests.cpp
+++ b/UnitTests/CellSuspendTests.cpp
@@ -1,5 +1,5 @@
-// An owner whose machine is suspended: by its steady clock no time has passed, by boot time and the time of day seconds have. Its decisions
-// take time from boot time alone, so that it wakes beyond its leases as from a freeze.
+// An owner whose machine is suspended: its steady clock does not advance, while boot time and the time of day advance by seconds. Its
+// decisions use boot time alone, so that it resumes beyond its leases as after a process pause.
 
 #include <Loomreach/Loomreach.h>
 
@@ -11,7 +11,8 @@
 namespace Loomreach::Jobs
 {
 
-/// A day with an owner that is suspended now and then, crashers, lost racks and changes of owner: what was broken, given up or not ended.
+/// Runs an owner that is suspended now and then, with crashing tasks, lost racks and owner changes. Returns violations and jobs that failed
+/// wrongly or have not ended.
 static std::string RunWithSuspensions(uint64 inSeed)
 {
 	constexpr size_t cWorkers = 12;
@@ -49,8 +50,8 @@
 
 TEST(CellSuspend, SeedsThatFailedOnce)
 {
-	// A rack closed its connections right after a trial had begun there; on its other workers was nothing, so nobody asked whether they had
-	// gone too, and a sound job was given up
+	// A rack closed its connections right after a trial run had begun there. Its other workers were idle, so that nobody checked whether
+	// they were lost too, and a healthy job was failed
 	EXPECT_EQ(RunWithSuspensions(186720026), "");
 }
 
