--- a/UnitTests/CellMissesTests.cpp
+++ b/UnitTests/CellMissesTests.cpp
@@ -1,4 +1,4 @@
-// Which tasks that last may miss: cases in which each order's fate is chosen by hand.
+// Limits on how many long-running tasks may be missing: cases in which the test decides the outcome of each order.
 
 #include <Loomreach/Loomreach.h>
 
@@ -15,19 +15,19 @@
 {
 
 constexpr Millis cStepMs = 10;
-constexpr Millis cTimeoutMs = 1000; ///< An order without an answer is given up after this.
+constexpr Millis cTimeoutMs = 1000; ///< An order without an answer times out after this.
 constexpr Millis cListEveryMs = 400;
 constexpr int64 cWallClockOffsetMs = 1'700'000'000'000;
-constexpr Millis cWorkerClockOffsetMs = 5000; ///< Workers' clocks.
+constexpr Millis cWorkerClockOffsetMs = 5000; ///< Offset of the workers' clocks.
 
-/// What becomes of an order.
+/// Outcome of an order.
 enum class EOrderOutcome : uint8
 {
-	Answered, ///< Carried out and answered.
-	Withheld  ///< Not answered; carried out if and when the test says so.
+	Answered, ///< Executed and answered.
+	Withheld  ///< Not answered; executed if and when the test says so.
 };
 
-/// A cell of workers with one job of tasks that last. The test chooses what becomes of each order.
+/// A cell of workers with one job of long-running tasks. The test decides the outcome of each order.
 class ScriptedSimulation
 {
 public:
@@ -65,7 +65,7 @@
 			this->Step();
 	}
 
-	/// Carries out what was kept and is chosen by the test.
+	/// Executes the withheld orders that the test selects.
 	void ExecuteWithheld(const std::function<bool(const Order &)> &inChosen)
 	{
 		for (const Order &order : this->withheld)
@@ -74,7 +74,7 @@
 		std::erase_if(this->withheld, inChosen);
 	}
 
-	/// The worker on which a task is at work; empty: none.
+	/// The worker on which a task runs; empty: none.
 	std::string WorkerOf(uint32 inTask) const
 	{
 		for (const auto &[worker, runs] : this->running)
@@ -84,7 +84,7 @@
 		return "";
 	}
 
-	/// How many tasks are at work.
+	/// Number of tasks that run.
 	uint32 RunningTasks() const
 	{
 		uint32 at_work = 0;
@@ -94,13 +94,13 @@
 	}
 
 	std::function<EOrderOutcome(const Order &)> decide_outcome = [](const Order &) { return EOrderOutcome::Answered; };
-	std::set<std::string> unresponsive; ///< Workers that get nothing; what runs there is not at work.
+	std::set<std::string> unresponsive; ///< Workers that get no orders; a task there does not count as running.
 	std::string violations;             ///< Stops that the limit forbade.
 	Cell cell{CellTuning{}};
 	Millis now = 1000;
 
 private:
-	/// An order under way.
+	/// An order in flight.
 	struct PendingMessage
 	{
 		Millis at = 0;
@@ -206,7 +206,7 @@
 		const uint32 others = this->count - this->RunningTasks();
 		if (others >= this->may_miss)
 			this->violations += "at " + std::to_string(this->now) + ": " + TaskText(inOrder.task) + " is stopped while " +
-								std::to_string(others) + " others are away\n";
+								std::to_string(others) + " others are missing\n";
 	}
 
 	std::map<std::string, std::set<RunId>> running;
@@ -222,8 +222,8 @@
 
 TEST(CellMisses, AStartThatCameLateIsNotStoppedWhileOthersAreAway)
 {
-	// Failed first (kkt-loom-grown, avail-1 seed 1 and avail-3 seed 1, AVAIL): starts without an answer were stopped lest they come yet.
-	// The stops got no answer either, the starts came, and the stops' repeats ended tasks at work while others of their step were away
+	// Starts without an answer were stopped in case they arrived later. The stops got no answer either, the starts arrived, and the
+	// repeated stops ended running tasks while others of their step were missing
 	ScriptedSimulation simulation(6);
 	const Millis stops_lost_until = simulation.now + 2300;
 	simulation.decide_outcome = [&simulation, stops_lost_until](const Order &inOrder)
@@ -244,9 +244,9 @@
 	EXPECT_EQ(simulation.RunningTasks(), 3u);
 }
 
-TEST(CellMisses, AStartThatNeverCameIsMadeUpFor)
+TEST(CellMisses, RestartsATaskWhoseStartNeverArrived)
 {
-	// Once its lease is over it can come no more: the task is started anew within a second
+	// Once its lease is over the start can no longer take effect: the task is restarted within a second
 	ScriptedSimulation simulation(6);
 	simulation.decide_outcome = [](const Order &inOrder)
 	{
@@ -261,12 +261,12 @@
 
 TEST(CellMisses, AStopIsDecidedAnewEachTimeItIsSent)
 {
-	// Failed first: a stop of a task on an emptied worker got no answer, and was repeated though another had gone away meanwhile
+	// The stop of a task on a drained worker got no answer, and was repeated though another task had become missing in the meantime
 	ScriptedSimulation simulation(8);
 	simulation.Submit(3, 1);
 	simulation.Run(3000);
 	ASSERT_EQ(simulation.RunningTasks(), 3u);
-	const std::string drained_workers = simulation.WorkerOf(0);
+	const std::string drained_worker = simulation.WorkerOf(0);
 	bool stop_seen = false;
 	simulation.decide_outcome = [&stop_seen](const Order &inOrder)
 	{
@@ -276,32 +276,32 @@
 	};
 	for (int i = 0; i < 30 && !stop_seen; ++i)
 	{
-		simulation.cell.Vacate(drained_workers, 1500, simulation.now);
+		simulation.cell.Vacate(drained_worker, 1500, simulation.now);
 		simulation.Run(100);
 	}
 	ASSERT_TRUE(stop_seen);
 	simulation.unresponsive.insert(simulation.WorkerOf(1));
 	for (int i = 0; i < 30; ++i)
 	{
-		simulation.cell.Vacate(drained_workers, 1500, simulation.now);
+		simulation.cell.Vacate(drained_worker, 1500, simulation.now);
 		simulation.Run(100);
 	}
 	EXPECT_EQ(simulation.violations, "");
-	EXPECT_EQ(simulation.WorkerOf(0), drained_workers);
-	// The other is started elsewhere once its lease is over; then this one may go
+	EXPECT_EQ(simulation.WorkerOf(0), drained_worker);
+	// The other task is restarted elsewhere once its lease is over; then this one may be stopped
 	for (int i = 0; i < 60; ++i)
 	{
-		simulation.cell.Vacate(drained_workers, 1500, simulation.now);
+		simulation.cell.Vacate(drained_worker, 1500, simulation.now);
 		simulation.Run(100);
 	}
 	EXPECT_EQ(simulation.violations, "");
-	EXPECT_NE(simulation.WorkerOf(0), drained_workers);
+	EXPECT_NE(simulation.WorkerOf(0), drained_worker);
 	EXPECT_EQ(simulation.RunningTasks(), 3u);
 }
 
 TEST(CellMisses, HeldBackStopsDoNotHoldEachOtherBack)
 {
-	// Failed first: two stops got no answer, a third task went away for good; each of the two waits for the other for ever
+	// Two stops got no answer and a third task was lost for good: each of the two stops waited forever for the other
 	ScriptedSimulation simulation(4);
 	simulation.Submit(4, 2);
 	simulation.Run(3000);
@@ -329,7 +329,7 @@
 	simulation.unresponsive.insert(simulation.WorkerOf(2));
 	empty(300);
 	EXPECT_EQ(simulation.violations, "");
-	// One of them may go while the third is away
+	// One of them may be stopped while the third is missing
 	EXPECT_EQ(simulation.RunningTasks(), 2u);
 }
 
--- a/UnitTests/CellOldNewsTests.cpp
+++ b/UnitTests/CellOldNewsTests.cpp
@@ -1,4 +1,4 @@
-// Cases in which a cell knows more by the time it carries out what it decided, or hands over what it knew.
+// Guards against acting on stale information: a cell learns more between a decision and its execution, or before a handover.
 
 #include <Loomreach/Loomreach.h>
 
@@ -14,9 +14,9 @@
 
 constexpr int64 cWall = 1'700'000'000'000;
 constexpr Millis cStepMs = 10;
-constexpr Millis cAnswerMs = 5; ///< An order is answered after this.
+constexpr Millis cAnswerMs = 5; ///< Delay of an answer.
 
-/// A cell of workers that carry out all orders; the test does the appends.
+/// A cell of workers that execute all orders; the test completes the appends.
 class ManualAppendSimulation
 {
 public:
@@ -44,7 +44,7 @@
 
 	void Plan() { this->cell.Plan(this->now, cWall + this->now); }
 
-	/// Sends and answers what is due. Starts are counted.
+	/// Sends the due orders and answers them. Counts starts.
 	void Send()
 	{
 		for (const Order &order : this->cell.TakeOrders(this->now))
@@ -69,10 +69,10 @@
 		this->Send();
 	}
 
-	/// What is new, as an append that is under way.
+	/// Takes unwritten records as an append in flight.
 	bool TakeBatch() { return this->cell.HasNews() && !this->cell.TakeBatch(cWall + this->now).empty(); }
 
-	/// Also with appends that are through at once.
+	/// Advances time; appends complete immediately.
 	void Run(Millis inMillis)
 	{
 		for (const Millis end = this->now + inMillis; this->now < end;)
@@ -86,7 +86,7 @@
 	Cell cell{CellTuning{}};
 	std::vector<WorkerEntry> entries;
 	std::map<std::string, std::vector<RunId>> running;
-	std::set<std::string> finished; ///< Workers whose runs have ended well.
+	std::set<std::string> finished; ///< Workers whose runs have ended successfully.
 	uint32 starts = 0;
 	Millis now = 1000;
 
@@ -108,8 +108,8 @@
 
 TEST(CellOldNews, StartsAllMembersOfAGangOrNone)
 {
-	// Failed first: while the log was written, the worker of one member was chosen to be spared; that member was dropped, the others were
-	// started and waited for it in vain
+	// While the log was being written, the worker of one member was chosen for release. That member was dropped; the others were started
+	// and waited for it in vain
 	ManualAppendSimulation simulation(4);
 	simulation.Run(500);
 	JobSpec gang = MakeJob("gang", 1, 2, 1000, 300);
@@ -122,15 +122,15 @@
 	simulation.cell.OnAppended(simulation.now);
 	simulation.Send();
 	EXPECT_NE(simulation.starts, 1u);
-	// And it is not given up
+	// The gang is started later
 	simulation.Run(3000);
 	EXPECT_GE(simulation.starts, 2u);
 }
 
 TEST(CellOldNews, HandsOverTheEndsOfAWorkerThatHasLeft)
 {
-	// Failed first: a worker told of its run's good end and left the list; it was forgotten, and the owner handed over before the end was
-	// in the log
+	// A worker listed its run's successful end and left the worker list. It was forgotten, and the owner handed over before the end was in
+	// the log
 	ManualAppendSimulation simulation(1);
 	simulation.Run(500);
 	simulation.Submit(MakeJob("a", 1, 1, 1000, 300));
