--- a/UnitTests/CellRestartTests.cpp
+++ b/UnitTests/CellRestartTests.cpp
@@ -1,4 +1,4 @@
-// Workers that start again under their ids: nothing that is known of one life holds for the next.
+// Workers that start again under their ids: nothing that is known of one incarnation holds for the next.
 
 #include <Loomreach/Loomreach.h>
 
@@ -14,10 +14,10 @@
 namespace
 {
 
-/// Time between the end of a life and the next one.
+/// Time between the end of an incarnation and the start of the next one.
 constexpr Millis cBackMs = 30;
 
-/// One worker that has run some tasks, and a world without trouble.
+/// One worker that has run some tasks, in a simulation without faults.
 class RestartedWorker
 {
 public:
@@ -28,7 +28,7 @@
 		this->simulation.Run(3000);
 	}
 
-	/// Hands in jobs of one task each.
+	/// Submits jobs of one task each.
 	void Submit(int inJobs)
 	{
 		for (int i = 0; i < inJobs; ++i)
@@ -48,7 +48,8 @@
 
 } // namespace
 
-/// The next life was told to forget ends that nobody had read, by the count of the former one, and their tasks were started again.
+/// Ends that nobody had read were acknowledged to the next incarnation by the previous one's sequence numbers, and their tasks were
+/// restarted.
 TEST(CellRestart, StartsNoTaskAgainThatEndedInTheNextLife)
 {
 	for (uint64 seed = 1; seed <= 20; ++seed)
@@ -62,7 +63,7 @@
 	}
 }
 
-/// The same where tasks are on their way to the worker while it starts again.
+/// The same with starts in flight to the worker while it restarts.
 TEST(CellRestart, StartsNoTaskAgainThatWasOnItsWayMeanwhile)
 {
 	for (uint64 seed = 1; seed <= 20; ++seed)
@@ -77,13 +78,13 @@
 	}
 }
 
-/// The same in series: a life may be over before it was seen.
+/// The same with several restarts: an incarnation may end before any poll has reached it.
 TEST(CellRestart, StartsNoTaskAgainOverSeveralLives)
 {
 	for (uint64 seed = 1; seed <= 20; ++seed)
 	{
 		RestartedWorker restarted(seed);
-		for (int life = 0; life < 5; ++life)
+		for (int incarnation = 0; incarnation < 5; ++incarnation)
 		{
 			restarted.Submit(2);
 			restarted.simulation.Run(static_cast<Millis>(20 * seed));
@@ -95,7 +96,7 @@
 	}
 }
 
-/// A task that crashes its worker was started without end, since the next life under the same id hid the crash.
+/// A task that crashes its worker was restarted without limit, since the next incarnation under the same id hid the crash.
 TEST(CellRestart, GivesUpATaskThatCrashesWorkersThatKeepTheirIds)
 {
 	for (uint64 seed = 1; seed <= 20; ++seed)
@@ -113,7 +114,7 @@
 	}
 }
 
-/// Orders for a former life, carried out late, were obeyed by the next one.
+/// Late orders for a previous incarnation were executed by the next one.
 TEST(WorkerToken, RisesWithEachLifeAndStaysBelowTheNextOwners)
 {
 	for (const uint64 epoch : {uint64(0), uint64(1), uint64(57), cTokensAnEpoch, 3 * cTokensAnEpoch + 1})
@@ -130,7 +131,7 @@
 namespace
 {
 
-/// A cell with one worker, played by hand.
+/// A cell with one worker, driven step by step.
 class IncarnationHarness
 {
 public:
@@ -140,7 +141,7 @@
 		this->ListWorker(1000);
 	}
 
-	/// The list shows the worker's life that began then.
+	/// Lists the worker with an incarnation that started then.
 	void ListWorker(int64 inStartedMs, bool inDrains = false)
 	{
 		WorkerEntry entry;
@@ -152,7 +153,7 @@
 		entry.draining = inDrains;
 		this->cell.SetWorkers({entry}, this->now);
 	}
-	/// The orders that are due, after some time.
+	/// Advances time by 500 ms and returns the due orders.
 	std::vector<Order> TakeDueOrders()
 	{
 		this->now += 500;
@@ -168,7 +169,7 @@
 		return answer;
 	}
 
-	/// What is planned is written and told to the worker; how many starts that were.
+	/// Writes what is planned and dispatches it. Returns the number of starts.
 	size_t WriteAndDispatch()
 	{
 		this->now += 500;
@@ -185,14 +186,14 @@
 
 	Cell cell{CellTuning{}};
 	Millis now = 1000;
-	std::vector<Order> started; ///< Orders to start, in turn,
-	std::vector<Order> polls;   ///< and looks that left with them.
+	std::vector<Order> started; ///< Start orders, oldest first.
+	std::vector<Order> polls;   ///< Polls that were sent with them.
 	std::vector<KeyedRecord> written;
 };
 
 } // namespace
 
-/// A former life's entry, written late, had the worker asked for a life that is over.
+/// A late entry of a previous incarnation made the cell ask its worker for an incarnation that had ended.
 TEST(CellRestart, TakesNoNewsFromAFormerLifesEntry)
 {
 	IncarnationHarness harness;
@@ -204,7 +205,7 @@
 	EXPECT_GT(orders[0].token, cTokensAnEpoch);
 	harness.cell.OnAnswer(orders[0], harness.PollAnswer(2000, 1000), harness.now, harness.now);
 	harness.ListWorker(2000);
-	// Its life has not said that it leaves
+	// The current incarnation has not said that it leaves
 	harness.ListWorker(1000, true);
 	EXPECT_TRUE(harness.TakeDueOrders().empty());
 	harness.cell.Ingest({EInbox::Submit, MakeJob("job", 1, 1, 1000, 500)}, 0, harness.now, harness.now);
@@ -216,7 +217,7 @@
 	EXPECT_EQ(orders[0].kind, EOrder::Start);
 }
 
-/// A worker that the list showed as started again was given more to do before anything was known of its life.
+/// A worker that the list showed as restarted got more runs before anything was known of its incarnation.
 TEST(CellRestart, AsksAWorkerAtOnceThatTheListShowsInAnotherLife)
 {
 	IncarnationHarness harness;
@@ -231,7 +232,7 @@
 	EXPECT_EQ(orders[0].last_seen, 0u);
 }
 
-/// A worker was given what its former life had room for.
+/// A worker got runs by its previous incarnation's capacity.
 TEST(CellRestart, StartsNothingByTheFormerLifesRoom)
 {
 	IncarnationHarness harness;
@@ -247,7 +248,7 @@
 	EXPECT_EQ(harness.WriteAndDispatch(), 1u);
 }
 
-/// An older look's answer that came after a newer one's gave up what had started in between.
+/// The answer to an older poll, read after a newer one's, dropped runs that had started in between.
 TEST(CellRestart, TakesOnlyEndsFromAnOlderLook)
 {
 	IncarnationHarness harness;
@@ -258,7 +259,7 @@
 	const Order start = harness.started.back();
 	harness.cell.OnAnswer(start, harness.PollAnswer(cBirthUnknown, 1000), harness.now, harness.now);
 	ASSERT_EQ(harness.polls.size(), 1u);
-	// The list shows a later life that the worker does not confirm
+	// The list shows a later incarnation that the worker does not confirm
 	harness.ListWorker(2000);
 	std::vector<Order> again = harness.TakeDueOrders();
 	ASSERT_EQ(again.size(), 1u);
@@ -269,7 +270,7 @@
 	EXPECT_EQ(harness.cell.Figures().runs, 1u);
 }
 
-/// Ends that a former owner was told of by the former life, handed in after the next one has begun, count once and for their tasks alone.
+/// Ends of the previous incarnation that a former owner submits after the next one has begun count once, and for their tasks alone.
 TEST(CellRestart, CountsAFormerLifesEndsThatAreHandedInLate)
 {
 	IncarnationHarness harness;
@@ -296,12 +297,12 @@
 		harness.cell.OnAnswer(poll, harness.PollAnswer(2000, 500), harness.now, harness.now);
 	EXPECT_EQ(harness.WriteAndDispatch(), 1u);
 	EXPECT_EQ(harness.started.back().task, second.task);
-	// Its numbers are not the present life's
+	// Their sequence numbers do not apply to the current incarnation
 	for (const Order &poll : harness.TakeDueOrders())
 		EXPECT_EQ(poll.last_seen, 0u);
 }
 
-/// A worker's ticket for a policy's queue was its former life's, and each start was turned away.
+/// A worker's ticket for a policy's queue was its previous incarnation's, and each start was refused.
 TEST(CellRestart, AsksForATicketOfTheNextLife)
 {
 	IncarnationHarness harness;
@@ -313,7 +314,7 @@
 	harness.TakeDueOrders();
 	std::vector<AdviceQuestion> questions = harness.cell.TakeAdvice();
 	ASSERT_EQ(questions.size(), 1u);
-	// The worker starts again before the answer is used
+	// The worker restarts before the answer is used
 	harness.ListWorker(2000);
 	orders = harness.TakeDueOrders();
 	ASSERT_EQ(orders.size(), 1u);
@@ -325,7 +326,7 @@
 	EXPECT_EQ(questions[0].workers, std::vector<std::string>{"w"});
 }
 
-/// A ticket that was asked for in the former life came in the next one: it was turned away with each new start until it ran out.
+/// A ticket requested for the previous incarnation arrived during the next one: each new start was refused until the ticket expired.
 TEST(CellRestart, UsesNoTicketAgainThatWasTurnedAway)
 {
 	IncarnationHarness harness;
@@ -346,7 +347,7 @@
 	EXPECT_EQ(harness.cell.TakeAdvice().size(), 1u);
 }
 
-/// A run that a successor found in the log and still waits for was counted as there at each further crash of its worker.
+/// A run that a successor found in the log and still waits for was counted again at each further crash of its worker.
 TEST(CellRestart, CountsOneCrashForARunThatWasOnOneLife)
 {
 	IncarnationHarness before;
@@ -366,7 +367,7 @@
 		ASSERT_EQ(orders.size(), 1u) << started_ms;
 		after.cell.OnAnswer(orders[0], after.PollAnswer(started_ms, 10), after.now, after.now);
 	}
-	// Until nobody can hand its end in any more
+	// Until nobody can submit its end any more
 	for (Millis clock = 510; after.cell.Figures().runs > 0 && clock < 20000; clock += 500)
 		for (const Order &order : after.TakeDueOrders())
 			after.cell.OnAnswer(order, after.PollAnswer(4000, clock), after.now, after.now);
