--- a/UnitTests/CellTests.cpp
+++ b/UnitTests/CellTests.cpp
@@ -1,4 +1,4 @@
-// Cases of a cell: what must hold whatever the network, the workers and the owner do.
+// Rules of a cell that hold whatever the network, the workers and the owner do.
 
 #include <Loomreach/Loomreach.h>
 
@@ -11,8 +11,8 @@
 
 TEST(Cell, AnAppendIsNeverLargerThanTheStoreTakes)
 {
-	// Failed first (msafiri-loom-large, trouble-2 with seed 792307213622): after all hosts had lost power an owner took in what had waited
-	// and wrote it in one append of 2.4 MB; the store takes 2, refused it for good, and the cell's jobs stood still to the end of the day
+	// After all hosts had lost power, an owner read the waiting inbox and wrote it in one append of 2.4 MB. The store accepts 2 MB and
+	// refused it for good, and the cell's jobs made no more progress
 	static constexpr int64 cWall = 1'700'000'000'000;
 	static constexpr size_t cStoreTakes = 2'000'000;
 	Cell cell(CellTuning{});
@@ -38,7 +38,7 @@
 		if (bytes == 0)
 			break;
 		++appends;
-		// The place in the inbox comes with the last of them alone: a successor that has only some reads on from the beginning
+		// Only the last append contains the inbox position: a successor that has some of them reads from the beginning
 		EXPECT_EQ(successor.InboxNext(), successor.Figures().jobs < 1000 ? 0u : 1000u);
 		cell.OnAppended(1000);
 	}
@@ -61,7 +61,7 @@
 
 TEST(Cell, RunsSurviveAChangeOfOwner)
 {
-	// A kill every second: work still goes on, and nothing is run twice
+	// Owners are killed about every second: work still goes on, and nothing runs twice
 	Trouble faults;
 	faults.owner_kill = 60;
 	Random random(7);
@@ -81,7 +81,7 @@
 	faults.slow_append = 100;
 	CellWorld simulation(3, faults, 2);
 	simulation.Submit(MakeJob("a", 1, 1, 1000, 300));
-	// Taken in, but its first record is still on the way
+	// Read from the inbox, but its first record is still being written
 	simulation.Run(500);
 	EXPECT_EQ(simulation.Shown("a").phase, EJobPhase::Queued);
 	EXPECT_EQ(simulation.Starts(), 0u);
@@ -103,7 +103,7 @@
 
 TEST(Cell, AStragglerIsStartedElsewhere)
 {
-	// One worker works twenty times as long; its runs are taken over by others
+	// One worker takes twenty times as long; others take over its runs
 	CellWorld simulation(11, Trouble{}, 3);
 	simulation.Run(200);
 	simulation.Workers().begin()->second.slow_factor = 20;
@@ -117,7 +117,7 @@
 	EXPECT_EQ(simulation.Open(), "");
 }
 
-/// Where the other workers were full, a straggler's second run was placed on the slow one again.
+/// Where the other workers were full, a straggler's second run was placed on the slow worker again.
 TEST(Cell, AStragglerIsNotStartedOnItsSlowWorkerAgain)
 {
 	size_t open = 0;
@@ -140,8 +140,7 @@
 
 TEST(Cell, ATaskThatIsLongByItselfEnds)
 {
-	// Failed first (Scripts/test_jobs.sh beside load): ten times as long as its queue's others, a task was stopped as a straggler and
-	// started anew 34 times in 34 seconds
+	// A task ten times as long as others of its queue was stopped as a straggler and restarted 34 times in 34 seconds
 	CellWorld simulation(5, Trouble{}, 4);
 	for (int i = 0; i < 12; ++i)
 	{
@@ -158,7 +157,7 @@
 
 TEST(Cell, AListThatMayBeCutProvesNoEnd)
 {
-	// Failed first: with the log slow, more ends waited than a look lists; the runs of the others were taken for stopped, and started again
+	// With a slow log, more ends waited than a poll lists; the other runs were taken for stopped and their tasks restarted
 	Trouble faults;
 	faults.slow_append = 100;
 	faults.poll_page_size = 2;
@@ -173,8 +172,8 @@
 
 TEST(Cell, ARunRefusedAsOldIsAskedAfter)
 {
-	// Failed first: "old" is said of a run that was there and has ended; it was taken for a run that never was, and started anew before
-	// the worker had listed its end. An order that its sender repeats meets it
+	// "old" is the answer for a run that was there and has ended, as a repeated order may get it. It was taken for a run that never began,
+	// and the task was restarted before the worker had listed the end
 	static constexpr int64 cWall = 1'700'000'000'000;
 	Cell cell(CellTuning{});
 	cell.Begin(1, 1000);
@@ -199,7 +198,7 @@
 			OrderAnswer answer = well;
 			if (order.kind == EOrder::Start)
 				answer.result = ++started == 1 ? EOrderResult::StaleRun : EOrderResult::Done;
-			// The run's end, until it is taken note of
+			// The run's end, until it is acknowledged
 			if (order.kind == EOrder::Hold && started > 0 && order.last_seen == 0)
 				answer.ended.push_back({1, {"a", 0, 0, 0}, 1, ERunEnd::Done, ""});
 			cell.OnAnswer(order, answer, now, now + 5);
@@ -213,8 +212,7 @@
 
 TEST(Cell, HandsOverEveryEndThatAWorkerToldOf)
 {
-	// Failed first: an end was known, but not in the append under way, when the owner handed over; its worker left before it was asked
-	// again
+	// An end was known, but not in the append in flight, when the owner handed over; its worker left before it was polled again
 	Trouble faults;
 	faults.slow_append = 100;
 	faults.listed_end_counts = true;
@@ -244,7 +242,7 @@
 	EXPECT_EQ(simulation.Broken(), "");
 }
 
-/// Asks for a promise that a worker is empty: the log must hold it before it is given.
+/// Asks for a drain grant: the log must hold it before it is given.
 static bool GrantsDrainOnceLogged(CellWorld &ioSimulation, const std::string &inWorker)
 {
 	EXPECT_FALSE(ioSimulation.Core().Vacate(inWorker, 1500, ioSimulation.Now()));
@@ -252,7 +250,7 @@
 	return ioSimulation.Core().Vacate(inWorker, 1500, ioSimulation.Now());
 }
 
-/// The same for workers that a pool can spare.
+/// The same for workers that a pool can release.
 static PoolDemand ReleasesOnceLogged(CellWorld &ioSimulation, uint32 inSpare)
 {
 	EXPECT_TRUE(ioSimulation.Core().Demand("pool", inSpare, 1500, ioSimulation.Now(), 0).spared.empty());
@@ -260,9 +258,9 @@
 	return ioSimulation.Core().Demand("pool", inSpare, 1500, ioSimulation.Now(), 0);
 }
 
-TEST(Cell, HandsOverNoPromise)
+TEST(Cell, KeepsADrainGrantOverAHandover)
 {
-	// Failed first: a worker was promised empty, its owner handed over, and the next one started something there before its host went down
+	// A drain was granted, its owner handed over, and the next one started something on the worker before its host was removed
 	CellWorld simulation(3, Trouble{}, 1);
 	simulation.Run(1000);
 	const std::string id = simulation.Workers().begin()->first;
@@ -276,10 +274,10 @@
 	EXPECT_EQ(simulation.Open(), "");
 }
 
-TEST(Cell, RemembersWhatItPromisedOfAWorkerWhoseEntryLapsed)
+TEST(Cell, KeepsADrainGrantWhenTheWorkersEntryLapses)
 {
-	// Failed first (seed 27 of every trouble): a worker was promised empty, its entry lapsed and came back within the promise; found anew,
-	// it got work, and its host went down with it
+	// A drain was granted, and the worker's entry lapsed and came back within the grant. Treated as a new worker it got runs, which were
+	// lost with its host (seed 27 of all faults)
 	CellWorld simulation(3, Trouble{}, 1);
 	simulation.Run(1000);
 	SimulatedWorker &worker = simulation.Workers().begin()->second;
@@ -317,8 +315,8 @@
 
 TEST(Cell, LetsNoWorkerGoBeforeItsEndsAreInTheLog)
 {
-	// Failed first (kkt-loom-grown, trouble-3, TWICE): a good end was known but not yet logged when its worker was promised empty and its
-	// host moved. The owner lost its lease; the next one found the run in the log, its worker gone, and started the task again.
+	// A successful end was known but not logged when the drain of its worker was granted and the host moved. The owner lost its lease; the
+	// next one found the run in the log and its worker lost, and restarted the task
 	Trouble faults;
 	faults.slow_append = 100;
 	CellWorld simulation(3, faults, 1);
@@ -338,10 +336,10 @@
 	EXPECT_TRUE(granted);
 }
 
-TEST(Cell, LetsNoWorkerGoBeforeItHeardThatItsEndsAreTakenNoteOf)
+TEST(Cell, GrantsNoDrainBeforeTheWorkersEndsAreAcknowledged)
 {
-	// Failed first (test_jobs.sh beside a hunt): a worker's last ends were in the log, but with nothing left on it no look told it so; it
-	// was promised empty 4 ms after the append, and its host moved with 100 ends that count as never taken note of
+	// A worker's last ends were in the log, but with no runs left on it no poll acknowledged them. Its drain was granted 4 ms after the
+	// append, and its host moved with 100 ends that count as never recorded
 	CellWorld simulation(3, Trouble{}, 1);
 	simulation.Submit(MakeJob("a", 1, 4, 1000, 300));
 	const std::string id = simulation.Workers().begin()->first;
@@ -361,8 +359,8 @@
 
 TEST(Cell, SparesNoWorkerThatHasLeft)
 {
-	// Failed first (kkt-loom-grown, quiet-1): the worker list shows a worker 4.5 s after its host has moved, and those that had gone took
-	// the places of those that could go
+	// The worker list shows a worker for 4.5 s after its host has moved, and workers that had left were counted in place of those that
+	// could be released
 	CellWorld simulation(5, Trouble{}, 4);
 	simulation.Run(3000);
 	const PoolDemand first = ReleasesOnceLogged(simulation, 2);
@@ -372,7 +370,7 @@
 	ASSERT_EQ(second.spared.size(), 2u);
 	for (const std::string &id : second.spared)
 		EXPECT_EQ(std::count(first.spared.begin(), first.spared.end(), id), 0) << id;
-	// Nor is anything started there, also when it is no longer being emptied
+	// Nor is anything started there, even when it is no longer being drained
 	simulation.Submit(MakeJob("job", 1, 4, 1000, 3000));
 	simulation.Run(2500);
 	for (const std::string &id : first.spared)
@@ -381,7 +379,7 @@
 
 TEST(Cell, WorkersWhoseEntriesLapsedGoOnWorking)
 {
-	// The store was away longer than three heartbeats of the workers: all entries went, and come back within two seconds
+	// The store was unavailable for longer than three heartbeats of the workers: all entries lapse, and come back within two seconds
 	CellWorld simulation(5, Trouble{}, 3);
 	simulation.Run(1000);
 	simulation.OnStoreRecovered(2000);
@@ -391,7 +389,7 @@
 	simulation.Submit(MakeJob("job", 1, 4, 1000, 500));
 	simulation.Run(400);
 	EXPECT_EQ(simulation.Starts(), 4u);
-	// One that is still missing then is gone
+	// A worker that is still missing then is lost
 	simulation.Run(1500);
 	simulation.Submit(MakeJob("late", 1, 4, 1000, 500));
 	simulation.Run(3000);
@@ -401,7 +399,7 @@
 
 TEST(Cell, AWorkerThatLeftTheListGetsNothingNew)
 {
-	// Without an outage an entry that goes means that its worker leaves, also when it never said so
+	// Without an outage, a missing entry means that its worker leaves, even if it never said so
 	CellWorld simulation(5, Trouble{}, 2);
 	simulation.Run(1000);
 	SimulatedWorker &leaving = simulation.Workers().begin()->second;
@@ -415,7 +413,7 @@
 
 TEST(Cell, MovesLastingTasksOffAWorkerThatLeftTheList)
 {
-	// Failed first: such tasks stayed until the worker ended, and were away until its lease was over
+	// Such tasks stayed until the worker ended, and were missing until its lease was over
 	CellWorld simulation(5, Trouble{}, 4);
 	simulation.Submit(MakeLongRunningJob(2));
 	simulation.Run(3000);
@@ -436,8 +434,7 @@
 
 TEST(Cell, StopsNothingThatLastsWhileAnotherIsOnASilentWorker)
 {
-	// Failed first (kkt-loom hunt, scale-1 seed 404415668067, AVAIL): a task on a worker that had gone dark counted as at work, as it last
-	// said
+	// A task on an unresponsive worker counted as running, as it was last listed
 	CellWorld simulation(5, Trouble{}, 5);
 	simulation.Submit(MakeLongRunningJob(3));
 	simulation.Run(3000);
@@ -448,7 +445,7 @@
 	ASSERT_EQ(busy.size(), 3u);
 	simulation.Workers().at(busy[0]).unreachable_until = 100000;
 	simulation.Run(1500);
-	// 3.0 s on: the silent worker's lease is not over, its task is away
+	// 3.0 s later: the unresponsive worker's lease is not over, its task is missing
 	for (int i = 0; i < 15; ++i)
 	{
 		simulation.Core().Vacate(busy[1], 1500, 5500 + i * 100);
@@ -459,8 +456,8 @@
 
 TEST(Cell, StopsNothingThatLastsWhileAPredecessorsStopMayBeUnderWay)
 {
-	// Failed first (kkt-loom-grown, trouble-2, AVAIL): the owner of a cell stopped and handed over 0.4 s after it had ordered two tasks to
-	// stop. The next one saw them listed at work, as they are until they have stopped, and stopped another
+	// The owner of a cell handed over 0.4 s after it had ordered two tasks to stop. The next one saw them listed as running, as they are
+	// until they have stopped, and stopped another
 	CellWorld simulation(5, Trouble{}, 5);
 	simulation.stop_duration_ms = 900;
 	simulation.Submit(MakeLongRunningJob(3));
@@ -487,7 +484,7 @@
 		simulation.Core().Vacate(busy[1], 1500, 4100 + (i + 1) * 100);
 		EXPECT_FALSE(is_stopping(busy[1])) << i;
 	}
-	// Later it is emptied all the same
+	// Later it is drained all the same
 	simulation.Run(4000);
 	for (int i = 0; i < 20; ++i)
 	{
