--- a/UnitTests/CellCrashTests.cpp
+++ b/UnitTests/CellCrashTests.cpp
@@ -227,8 +227,8 @@
 
 TEST(CellCrash, BlamesNoRunThatASuccessorOnlyFoundInTheLog)
 {
-	// Its lease may have expired before the worker crashed. A job was failed though its second run had ended like this (worker i-m2-0
-	// crashed with no run on it) and the workers of its other runs had crashed by chance:
+	// The lease of such a run may have expired before its worker crashed. A job was failed though its second run had ended like this
+	// (worker i-m2-0 crashed with no run on it) and the workers of its other runs had crashed by chance:
 	//     run_ended ... run=2 worker=i-m2-0 end=lapsed state=inherited ... answer_ms_ago=-1 closed_ms_ago=-1
 	//     task_blamed ... run=2 worker=i-m2-0 blamed=1 at_once=0 beside=1 seen_ms=-1 ...
 	CellWorld simulation(1, Trouble{}, 4);
@@ -258,7 +258,7 @@
 
 TEST(CellCrash, GivesUpATaskAtWhoseEveryTrialOthersOfTheRackGoAsWell)
 {
-	// Such a trial run proves nothing; without a limit the task would be tried forever
+	// A trial run proves nothing if another worker of the rack is lost during it; without a limit the task would be tried forever
 	for (uint64 seed = 1; seed <= 20; ++seed)
 	{
 		CellWorld simulation(seed, Trouble{}, 6);
@@ -342,7 +342,7 @@
 struct CrashStatistics
 {
 	size_t healthy = 0;
-	size_t wrongly_failed = 0; ///< Of these jobs.
+	size_t wrongly_failed = 0; ///< Of the healthy jobs.
 	size_t crashers = 0;       ///< Tasks that crash their workers.
 	size_t crashes = 0;        ///< Workers that these tasks crashed.
 };
