--- a/UnitTests/CellEvacuationTests.cpp
+++ b/UnitTests/CellEvacuationTests.cpp
@@ -1,4 +1,4 @@
-// The operator evacuates an availability zone: nothing more may be started there, whoever owns the cell, until it is taken back.
+// The operator evacuates an availability zone: nothing may start there, whoever owns the cell, until the evacuation ends.
 
 #include <Loomreach/Loomreach.h>
 
@@ -18,75 +18,76 @@
 
 std::string ZoneOf(size_t inNumber) { return "z" + std::to_string(inNumber % cZones); }
 
-void PutInZones(CellWorld &ioWorld)
+void AssignZones(CellWorld &ioSimulation)
 {
 	size_t number = 0;
-	for (auto &[id, worker] : ioWorld.Workers())
+	for (auto &[id, worker] : ioSimulation.Workers())
 		worker.availability_zone = ZoneOf(number++);
 }
 
-/// Zones are evacuated one after the other, two of them at a time for a while, with owners that are killed, stand still or are replaced.
-std::string PlayEvacuations(uint64 inSeed)
+/// Evacuates zones one after another, two of them at a time for a while, with owners that are killed, paused or replaced. Returns
+/// violations and unfinished jobs.
+std::string RunEvacuations(uint64 inSeed)
 {
 	Random random(inSeed);
-	Trouble trouble = PlannedTroubleWithTakeOvers(random);
-	trouble.kill = random.Below(15);
-	trouble.cut = random.Below(10);
-	trouble.lost_answer = random.Below(8);
-	// An owner that keeps its cell through a longer one may have orders on the way for as long
-	trouble.long_stall = 0;
-	trouble.listing_counts = false;
-	CellWorld world(inSeed, trouble, 6);
-	PutInZones(world);
+	Trouble faults = PlannedFaultsWithTakeovers(random);
+	faults.owner_kill = random.Below(15);
+	faults.worker_partition = random.Below(10);
+	faults.lost_answer = random.Below(8);
+	// An owner that keeps its cell through a longer pause may have orders in flight for as long
+	faults.long_owner_pause = 0;
+	faults.listed_end_counts = false;
+	CellWorld simulation(inSeed, faults, 6);
+	AssignZones(simulation);
 	int next = 0;
-	world.Submit(LastingJob(2));
+	simulation.Submit(MakeLongRunningJob(2));
 	for (size_t turn = 0; turn < 6; ++turn)
 	{
-		SubmitSound(world, random, 6, next);
-		world.Evacuate(ZoneOf(turn));
-		SubmitSound(world, random, 6, next);
+		SubmitHealthyJobs(simulation, random, 6, next);
+		simulation.Evacuate(ZoneOf(turn));
+		SubmitHealthyJobs(simulation, random, 6, next);
 		if (random.Chance(50))
-			world.ReplaceOwner();
-		world.TakeBack(ZoneOf(turn + cZones - 1));
+			simulation.ReplaceOwner();
+		simulation.EndEvacuation(ZoneOf(turn + cZones - 1));
 	}
 	for (size_t zone = 0; zone < cZones; ++zone)
-		world.TakeBack(ZoneOf(zone));
-	world.Cancel("lasting");
-	world.Calm();
-	world.Run(60000);
-	return world.Broken() + world.Open();
+		simulation.EndEvacuation(ZoneOf(zone));
+	simulation.Cancel("lasting");
+	simulation.ClearFaults();
+	simulation.Run(60000);
+	return simulation.Broken() + simulation.Open();
 }
 
 } // namespace
 
-/// A start, a retry or a second run that reaches the zone after the evacuation is in force.
+/// Guards against a start, a retry or a second run that reaches the zone after the evacuation takes effect.
 TEST(CellEvacuation, StartsNothingInAnEvacuatedZone)
 {
 	for (uint64 seed = 1; seed <= cSeeds; ++seed)
-		EXPECT_EQ(PlayEvacuations(seed), "") << seed;
+		EXPECT_EQ(RunEvacuations(seed), "") << seed;
 }
 
-/// Work that runs there is stopped, or the zone stays closed after it is taken back.
+/// Guards against stopping the runs in the zone, and against a zone that stays closed after its evacuation.
 TEST(CellEvacuation, LetsRunsEndAndUsesTheZoneAgain)
 {
-	CellWorld world(1, Trouble{}, 1);
-	PutInZones(world);
-	world.run_ms["first"] = 3000;
-	world.Run(500);
-	world.Submit(MakeJob("first", 1, 1, 500, 3000));
-	world.Run(1000);
-	world.Evacuate(ZoneOf(0));
-	world.Submit(MakeJob("second", 1, 1, 500, 800));
-	world.Run(6000);
-	EXPECT_EQ(world.Shown("first").phase, EJobPhase::Completed);
-	EXPECT_EQ(world.Shown("second").phase, EJobPhase::Queued);
-	world.TakeBack(ZoneOf(0));
-	world.Run(6000);
-	EXPECT_EQ(world.Shown("second").phase, EJobPhase::Completed);
-	EXPECT_EQ(world.Broken(), "");
+	CellWorld simulation(1, Trouble{}, 1);
+	AssignZones(simulation);
+	simulation.run_ms["first"] = 3000;
+	simulation.Run(500);
+	simulation.Submit(MakeJob("first", 1, 1, 500, 3000));
+	simulation.Run(1000);
+	simulation.Evacuate(ZoneOf(0));
+	simulation.Submit(MakeJob("second", 1, 1, 500, 800));
+	simulation.Run(6000);
+	EXPECT_EQ(simulation.Shown("first").phase, EJobPhase::Completed);
+	EXPECT_EQ(simulation.Shown("second").phase, EJobPhase::Queued);
+	simulation.EndEvacuation(ZoneOf(0));
+	simulation.Run(6000);
+	EXPECT_EQ(simulation.Shown("second").phase, EJobPhase::Completed);
+	EXPECT_EQ(simulation.Broken(), "");
 }
 
-/// A record that is read again after a newer one brings back what it said.
+/// Guards against a record that is read again after a newer one and restores the older state.
 TEST(ZoneEvacuations, NeverGoesBackToAnOlderRecord)
 {
 	ZoneEvacuations zones;
@@ -99,7 +100,8 @@
 	EXPECT_EQ(zones.Zones(), std::set<std::string>{"a"});
 }
 
-/// A zone whose record was removed unread stays closed for ever, or one that was evacuated during the reading is opened.
+/// Guards against a zone that stays closed because its record was removed unread, and against opening one that was evacuated during the
+/// reading.
 TEST(ZoneEvacuations, AWholeReadingOpensTheZonesThatItDoesNotName)
 {
 	ZoneEvacuations zones;
--- a/UnitTests/CellLateEndTests.cpp
+++ b/UnitTests/CellLateEndTests.cpp
@@ -1,4 +1,4 @@
-// A good end that comes to be known while another run of its task is on its way into the log.
+// A successful run end becomes known while another run of its task is being written to the log.
 
 #include <Loomreach/Loomreach.h>
 
@@ -12,11 +12,11 @@
 namespace
 {
 
-/// Two workers and one cell, played by hand: every look and order is answered as the test says.
-class LateEndScene
+/// Two workers and one cell, driven step by step: the test determines the answer to every poll and order.
+class LateEndHarness
 {
 public:
-	LateEndScene() : cell(CellTuning{})
+	LateEndHarness() : cell(CellTuning{})
 	{
 		this->cell.Begin(1, this->now);
 		std::vector<WorkerEntry> entries(2);
@@ -31,8 +31,8 @@
 		this->cell.Ingest({EInbox::Submit, MakeJob("job", 2, 1, 1000, 500)}, 0, this->now, this->now);
 	}
 
-	/// Lets time pass; orders are taken and answered.
-	void Pass(Millis inMillis)
+	/// Advances time; orders are taken and answered.
+	void Advance(Millis inMillis)
 	{
 		for (const Millis end = this->now + inMillis; this->now < end;)
 		{
@@ -45,7 +45,7 @@
 				this->Append();
 		}
 	}
-	/// The append under way is in the log.
+	/// Completes the append in flight.
 	void Append()
 	{
 		this->writes = false;
@@ -57,12 +57,12 @@
 	Millis now = 1000;
 	bool log_answers = true;
 	bool writes = false;
-	std::string silent;          ///< This worker gives no answers.
-	std::vector<Order> started;  ///< Orders to start, in turn.
-	std::vector<EndedRow> ended; ///< What the worker of the first of them lists as ended.
+	std::string unresponsive;    ///< Worker that does not answer.
+	std::vector<Order> started;  ///< Start orders, oldest first.
+	std::vector<EndedRow> ended; ///< Ends that the worker of the first start order lists.
 
 private:
-	/// What was started there and has not ended.
+	/// Runs that were started on a worker and have not ended.
 	std::vector<RunningRow> RunningOn(const std::string &inWorker) const
 	{
 		std::vector<RunningRow> rows;
@@ -84,7 +84,7 @@
 			OrderAnswer answer;
 			if (order.kind == EOrder::Start)
 				this->started.push_back(order);
-			if (order.worker != this->silent)
+			if (order.worker != this->unresponsive)
 			{
 				answer.result = EOrderResult::Done;
 				answer.clock_ms = this->now;
@@ -101,27 +101,27 @@
 
 } // namespace
 
-TEST(Cell, TellsNoRunOfATaskWhoseGoodEndIsKnown)
+TEST(Cell, DispatchesNoRunOfATaskKnownToBeDone)
 {
-	// Failed first (kkt-loom-grown, trouble-1, found in the logs): a worker was silent until its lease was over, and listed its good end
-	// while the next run of the task was being written. That run was told all the same, 14 ms after the end had been taken in
-	LateEndScene scene;
-	scene.Pass(200);
-	ASSERT_EQ(scene.started.size(), 1u);
-	scene.silent = scene.started.front().worker;
-	scene.Pass(4000);
-	scene.log_answers = false;
-	scene.Pass(1000);
-	ASSERT_TRUE(scene.writes);
-	scene.ended = {{1, {"job", 0, 0, 0}, 1, ERunEnd::Done, ""}};
-	scene.silent.clear();
-	scene.Pass(500);
-	scene.Append();
-	scene.log_answers = true;
-	scene.Pass(200);
+	// A worker was unresponsive until its lease was over, and listed a successful end while the next run of the task was being written.
+	// That run was dispatched all the same, 14 ms after the end had been read
+	LateEndHarness harness;
+	harness.Advance(200);
+	ASSERT_EQ(harness.started.size(), 1u);
+	harness.unresponsive = harness.started.front().worker;
+	harness.Advance(4000);
+	harness.log_answers = false;
+	harness.Advance(1000);
+	ASSERT_TRUE(harness.writes);
+	harness.ended = {{1, {"job", 0, 0, 0}, 1, ERunEnd::Done, ""}};
+	harness.unresponsive.clear();
+	harness.Advance(500);
+	harness.Append();
+	harness.log_answers = true;
+	harness.Advance(200);
 	// Only the next step begins
-	ASSERT_EQ(scene.started.size(), 2u);
-	EXPECT_EQ(scene.started[1].task.step, 1u);
+	ASSERT_EQ(harness.started.size(), 2u);
+	EXPECT_EQ(harness.started[1].task.step, 1u);
 }
 
 } // namespace Loomreach::Jobs
--- a/UnitTests/CellLeaseTests.cpp
+++ b/UnitTests/CellLeaseTests.cpp
@@ -1,10 +1,10 @@
-// A rollout changes the lease that workers' runs are given (setting `worker_lease_ms`). An owner with the new setting takes a cell over
-// from one with the old, while a worker with runs is cut off. It waits for the longest lease that its own setting knows, and starts their
-// tasks anew; where the old one was longer, the worker is still at work on them: two runs of a task at once.
+// Guards against two concurrent runs of a task after a rollout that changes the workers' lease (setting `worker_lease_ms`). An owner with
+// the new setting takes a cell over while a worker with runs is unreachable. If it waits only for the longest lease that its own setting
+// knows, and the previous lease was longer, it restarts tasks that the worker still runs:
 //
 //     at 6180: two runs at once: job.0.0.0 run 2 on w1
 //
-// The log did not say which leases its owners gave, so that nobody could know. Now it holds the longest (WorkerLeases).
+// The log therefore holds the longest lease that was granted (WorkerLeases).
 
 #include <Loomreach/Loomreach.h>
 
@@ -21,48 +21,48 @@
 constexpr Millis cLongLeaseMs = 10000;
 constexpr Millis cShortLeaseMs = 4000;
 
-/// A job that a worker has begun under one lease; then the worker is cut off.
-void CutOffAtWork(CellWorld &ioWorld, Millis inLeaseMs)
+/// Starts a job under a lease, then makes its worker unreachable.
+void PartitionBusyWorker(CellWorld &ioSimulation, Millis inLeaseMs)
 {
-	ioWorld.SetLease(inLeaseMs);
-	ioWorld.ReplaceOwner();
-	ioWorld.run_ms["job"] = 9000;
-	ioWorld.Submit(MakeJob("job", 1, 1, 500, 800));
-	ioWorld.Run(800);
-	for (auto &[id, worker] : ioWorld.Workers())
+	ioSimulation.SetLease(inLeaseMs);
+	ioSimulation.ReplaceOwner();
+	ioSimulation.run_ms["job"] = 9000;
+	ioSimulation.Submit(MakeJob("job", 1, 1, 500, 800));
+	ioSimulation.Run(800);
+	for (auto &[id, worker] : ioSimulation.Workers())
 		if (!worker.running.empty())
-			worker.cut_until = ioWorld.Now() + 20000;
+			worker.unreachable_until = ioSimulation.Now() + 20000;
 }
 
-/// The next owner gives another lease.
-std::string PlayRollout(Millis inBeforeMs, Millis inAfterMs)
+/// The next owner grants another lease.
+std::string RunRollout(Millis inBeforeMs, Millis inAfterMs)
 {
-	CellWorld world(1, Trouble{}, 2);
-	CutOffAtWork(world, inBeforeMs);
-	world.SetLease(inAfterMs);
-	world.ReplaceOwner();
-	world.Run(40000);
-	return world.Broken() + world.Open();
+	CellWorld simulation(1, Trouble{}, 2);
+	PartitionBusyWorker(simulation, inBeforeMs);
+	simulation.SetLease(inAfterMs);
+	simulation.ReplaceOwner();
+	simulation.Run(40000);
+	return simulation.Broken() + simulation.Open();
 }
 
 } // namespace
 
-TEST(CellLease, ARolloutThatLengthensItStartsNothingTwice) { EXPECT_EQ(PlayRollout(cShortLeaseMs, cLongLeaseMs), ""); }
+TEST(CellLease, ARolloutThatLengthensItStartsNothingTwice) { EXPECT_EQ(RunRollout(cShortLeaseMs, cLongLeaseMs), ""); }
 
 TEST(CellLease, ARolloutAndBackStartsNothingTwice)
 {
-	CellWorld world(1, Trouble{}, 2);
-	CutOffAtWork(world, cLongLeaseMs);
-	// One with a short lease takes over, and soon another: what the first one gave still counts
+	CellWorld simulation(1, Trouble{}, 2);
+	PartitionBusyWorker(simulation, cLongLeaseMs);
+	// An owner with a short lease takes over, and soon another: the first owner's lease still counts
 	for (int i = 0; i < 3; ++i)
 	{
-		world.SetLease(cShortLeaseMs);
-		world.ReplaceOwner();
-		world.Submit(MakeJob("other" + std::to_string(i), 1, 1, 500, 800));
-		world.Run(1500);
+		simulation.SetLease(cShortLeaseMs);
+		simulation.ReplaceOwner();
+		simulation.Submit(MakeJob("other" + std::to_string(i), 1, 1, 500, 800));
+		simulation.Run(1500);
 	}
-	world.Run(40000);
-	EXPECT_EQ(world.Broken() + world.Open(), "");
+	simulation.Run(40000);
+	EXPECT_EQ(simulation.Broken() + simulation.Open(), "");
 }
 
 TEST(CellLease, ALongerLeaseIsGivenOnlyOnceTheLogHoldsIt)
@@ -92,6 +92,6 @@
 	EXPECT_EQ(leases.Longest(over), cShortLeaseMs);
 }
 
-TEST(CellLease, ARolloutThatShortensItStartsNothingTwice) { EXPECT_EQ(PlayRollout(cLongLeaseMs, cShortLeaseMs), ""); }
+TEST(CellLease, ARolloutThatShortensItStartsNothingTwice) { EXPECT_EQ(RunRollout(cLongLeaseMs, cShortLeaseMs), ""); }
 
 } // namespace Loomreach::Jobs
--- a/UnitTests/CellPromiseTests.cpp
+++ b/UnitTests/CellPromiseTests.cpp
@@ -1,10 +1,10 @@
-// An owner promises that a worker is empty and stays so for a while; the fleet's owner then takes the worker's host down. The promise is
-// kept in memory alone, and outlives its owner's lease where that is short: a successor that begins before it is over knows nothing of it,
-// and starts work on the worker.
+// Guards against a successor that does not know its predecessor's drain grant. An owner grants that a worker stays empty for a while, and
+// the fleet's owner then removes the worker's host. A grant kept in memory alone may outlive its owner's lease where that is short, and a
+// successor that begins before it ends starts work on the worker:
 //
 //     at 2000: taken down with work on it: w0
 //
-// What ran there is lost and done again, and a lasting task may be away beyond what its step bears.
+// The runs there are lost and repeated, and a long-running task may be missing beyond the limit of its step.
 
 #include <Loomreach/Loomreach.h>
 
@@ -19,24 +19,24 @@
 
 TEST(CellPromise, IsKeptByASuccessorThatBeginsBeforeItIsOver)
 {
-	std::string broken;
+	std::string violations;
 	for (uint64 seed = 1; seed <= 20; ++seed)
 	{
-		CellWorld world(seed, Trouble{}, 1);
-		world.run_ms["job"] = 5000;
-		world.Run(500);
-		WorldWorker &worker = world.Workers().at("w0");
-		worker.emptied = true;
+		CellWorld simulation(seed, Trouble{}, 1);
+		simulation.run_ms["job"] = 5000;
+		simulation.Run(500);
+		SimulatedWorker &worker = simulation.Workers().at("w0");
+		worker.drain_requested = true;
 		while (worker.leaves_at < 0)
-			world.Run(cWorldStepMs);
-		// An owner stops acting this much before its lease is over
-		world.Run(cSlackMs);
-		world.ReplaceOwner();
-		world.Submit(MakeJob("job", 1, 1, 500, 800));
-		world.Run(3000);
-		broken += world.Broken();
+			simulation.Run(cSimulationStepMs);
+		// An owner stops acting this long before its lease is over
+		simulation.Run(cSlackMs);
+		simulation.ReplaceOwner();
+		simulation.Submit(MakeJob("job", 1, 1, 500, 800));
+		simulation.Run(3000);
+		violations += simulation.Broken();
 	}
-	EXPECT_EQ(broken, "");
+	EXPECT_EQ(violations, "");
 }
 
 } // namespace Loomreach::Jobs
