--- a/Loomreach/State/AppendQueue.cpp
+++ b/Loomreach/State/AppendQueue.cpp
@@ -1,4 +1,4 @@
-// Batching, budget and back-off of appends.
+// Batching, rate limit and back-off of appends.
 
 #include <Loomreach/Loomreach.h>
 
@@ -8,15 +8,15 @@
 namespace Loomreach
 {
 
-static constexpr size_t cMaxWaiting = 4096;
+static constexpr size_t cMaxQueuedProposals = 4096;
 static constexpr size_t cBatchProposals = 512;
 static constexpr Millis cStaleAfterMs = 5000;
 static constexpr Millis cFirstBackoffMs = 50;
 static constexpr Millis cMaxBackoffMs = 2000;
-static constexpr double cBurst = 3.0;
+static constexpr double cMaxBurstAppends = 3.0;
 
-/// Lower goes first: membership, then operators' wishes, then hosts, then placements.
-static constexpr std::array<uint8, static_cast<size_t>(EProposal::Count)> cRanks = {{
+/// Lower ranks go first: membership, then operators' changes, then host steps, then placements.
+static constexpr std::array<uint8, static_cast<size_t>(EProposal::Count)> cRanksByKind = {{
 	1, // ApplySettings
 	3, // AddHost
 	2, // StepHost
@@ -32,19 +32,19 @@
 
 std::optional<Ticket> AppendQueue::Add(ProposalBody inBody, Millis inNow)
 {
-	if (this->waiting.size() >= cMaxWaiting)
-		return Fail(EError::NotAccepted, "the queue towards the log is full");
+	if (this->waiting.size() >= cMaxQueuedProposals)
+		return Fail(EError::NotAccepted, "the append queue is full");
 	const Ticket ticket = ++this->last_ticket;
-	const uint8 rank = cRanks[inBody.index()];
+	const uint8 rank = cRanksByKind[inBody.index()];
 	this->waiting.emplace(std::pair(rank, ticket), Entry{ticket, std::move(inBody), inNow});
 	return ticket;
 }
 
 void AppendQueue::Refill(Millis inNow)
 {
-	const double earned = static_cast<double>(inNow - this->refilled) * this->rate / 1000.0;
-	this->tokens = std::min(cBurst, this->tokens + earned);
-	this->refilled = inNow;
+	const double refill = static_cast<double>(inNow - this->last_refill) * this->rate / 1000.0;
+	this->tokens = std::min(cMaxBurstAppends, this->tokens + refill);
+	this->last_refill = inNow;
 }
 
 void AppendQueue::FormBatch()
@@ -54,7 +54,7 @@
 	while (!this->waiting.empty() && batch.size() < cBatchProposals)
 	{
 		auto first = this->waiting.begin();
-		// A whole settings tree travels alone, so that a batch stays under its size limit
+		// A settings tree gets a batch of its own, so that no batch exceeds its size limit
 		const bool is_large = std::holds_alternative<ApplySettings>(first->second.body);
 		if (is_large && !batch.empty())
 			break;
@@ -66,14 +66,14 @@
 			break;
 	}
 	this->in_flight = EncodeBatch(batch);
-	this->in_flight_last = this->last_sequence;
-	this->was_out = false;
+	this->in_flight_last_sequence = this->last_sequence;
+	this->was_issued = false;
 }
 
 std::optional<std::string> AppendQueue::Take(Millis inNow)
 {
 	this->Refill(inNow);
-	if (this->is_out || inNow < this->not_before || this->tokens < 1.0)
+	if (this->awaits_answer || inNow < this->next_attempt_at || this->tokens < 1.0)
 		return std::nullopt;
 	if (!this->in_flight.has_value())
 	{
@@ -82,10 +82,10 @@
 		this->FormBatch();
 	}
 	this->tokens -= 1.0;
-	this->is_out = true;
-	if (this->was_out)
+	this->awaits_answer = true;
+	if (this->was_issued)
 		++this->repeats;
-	this->was_out = true;
+	this->was_issued = true;
 	++this->appends_by_kind[static_cast<size_t>(this->in_flight_kind)];
 	return this->in_flight;
 }
@@ -93,24 +93,24 @@
 void AppendQueue::OnAppended()
 {
 	this->in_flight.reset();
-	this->is_out = false;
+	this->awaits_answer = false;
 	this->failures = 0;
-	this->not_before = 0;
+	this->next_attempt_at = 0;
 }
 
 void AppendQueue::OnFailed(Millis inNow)
 {
-	this->is_out = false;
+	this->awaits_answer = false;
 	const Millis ceiling = std::min(cMaxBackoffMs, cFirstBackoffMs << std::min<uint32>(this->failures, 10));
 	++this->failures;
-	// Full jitter, so that entry hosts do not come back together after an outage
-	this->not_before = inNow + static_cast<Millis>(this->random.Below(static_cast<uint64>(ceiling) + 1));
+	// Full jitter, so that the entry hosts do not all retry at the same time after an outage
+	this->next_attempt_at = inNow + static_cast<Millis>(this->random.Below(static_cast<uint64>(ceiling) + 1));
 }
 
 std::optional<Ticket> AppendQueue::OnSeen(uint64 inSequence)
 {
-	// Its last proposal read back proves that the batch stands in the log, whatever became of the answer
-	if (this->in_flight.has_value() && !this->is_out && inSequence == this->in_flight_last)
+	// Reading the last proposal of the batch from the log proves the append, even if its answer was lost
+	if (this->in_flight.has_value() && !this->awaits_answer && inSequence == this->in_flight_last_sequence)
 		this->OnAppended();
 	auto found = this->sent.find(inSequence);
 	if (found == this->sent.end())
@@ -122,15 +122,15 @@
 
 std::vector<DroppedTicket> AppendQueue::OnAdopted(uint64 inLastSequence)
 {
-	std::vector<DroppedTicket> unread;
+	std::vector<DroppedTicket> lost;
 	while (!this->sent.empty() && this->sent.begin()->first <= inLastSequence)
 	{
-		unread.push_back(this->sent.begin()->second);
+		lost.push_back(this->sent.begin()->second);
 		this->sent.erase(this->sent.begin());
 	}
-	if (this->in_flight.has_value() && !this->is_out && this->in_flight_last <= inLastSequence)
+	if (this->in_flight.has_value() && !this->awaits_answer && this->in_flight_last_sequence <= inLastSequence)
 		this->OnAppended();
-	return unread;
+	return lost;
 }
 
 std::vector<DroppedTicket> AppendQueue::DropStale(Millis inNow)
@@ -138,7 +138,7 @@
 	std::vector<DroppedTicket> dropped;
 	for (auto entry = this->waiting.begin(); entry != this->waiting.end();)
 	{
-		if (inNow - entry->second.since < cStaleAfterMs)
+		if (inNow - entry->second.queued_at < cStaleAfterMs)
 		{
 			++entry;
 			continue;
--- a/Loomreach/State/AppendQueue.h
+++ b/Loomreach/State/AppendQueue.h
@@ -1,5 +1,6 @@
-// The queue of proposals towards the log: batches, an append budget, priority among kinds,
-// repeats of appends whose answer was lost, and back-off while the platform is down. Pure: time comes in.
+// Queue of proposals that wait to be appended to the replicated log. It forms batches by priority of the proposal's kind, keeps to
+// a rate of appends, repeats an append whose answer was lost, and backs off while the platform is down. Does no I/O; the caller
+// passes the time in.
 
 #pragma once
 
@@ -10,58 +11,59 @@
 namespace Loomreach
 {
 
-/// Names one waiting proposal within its process.
+/// Identifies a queued proposal within its process.
 using Ticket = uint64;
 
-/// A proposal by its ticket and kind.
+/// Ticket and kind of a proposal that the queue no longer tracks.
 struct DroppedTicket
 {
 	Ticket ticket = 0;
 	EProposal kind = EProposal::Count;
 };
 
-/// The queue. Invariant: at most one batch is on its way, and it is repeated, unchanged, until it is known to stand in the log;
-/// so proposals of one process enter the log in the order of their sequence numbers, and the fold tells repeats by them.
+/// Invariant: at most one batch is in flight, and it is appended again, unchanged, until it is known to be in the log. Proposals of one
+/// process therefore enter the log in the order of their sequence numbers, by which duplicates are recognized when the log is applied.
 class AppendQueue
 {
 public:
 	AppendQueue(uint64 inIncarnation, uint64 inSeed) : incarnation(inIncarnation), random(inSeed) {}
 
-	/// Appends a second that this process may make: its share of the whole budget.
+	/// Sets the rate of appends allowed to this process: its share of the total budget.
 	void SetRate(double inAppendsPerSecond) { this->rate = inAppendsPerSecond; }
-	/// Takes a proposal. Nothing, with not-accepted, when the queue is full.
+	/// Queues a proposal. Fails with not-accepted when the queue is full.
 	std::optional<Ticket> Add(ProposalBody inBody, Millis inNow);
-	/// The encoded batch to append now, or nothing: none waits, one is on its way, or budget and back-off say wait.
+	/// Returns the encoded batch to append now; nothing while no proposal waits, an append is in flight, or the rate or the back-off
+	/// forbids one.
 	std::optional<std::string> Take(Millis inNow);
-	/// The platform has answered: the batch stands in the log.
+	/// The platform has confirmed that the batch in flight is in the log.
 	void OnAppended();
-	/// The append failed or its answer was lost; the same batch is taken again after a back-off.
+	/// The append failed or its answer was lost; `Take` returns the same batch again after a back-off.
 	void OnFailed(Millis inNow);
-	/// A proposal of this process was read from the log. Returns its ticket, or nothing for one that was already seen.
+	/// A proposal of this process was read from the log. Returns its ticket, or nothing if it was read before.
 	std::optional<Ticket> OnSeen(uint64 inSequence);
-	/// A state was adopted that holds this process's proposals up to a sequence, without reading the records themselves.
-	/// Returns the tickets whose verdicts will never be read.
+	/// A snapshot or a peer's state was loaded that includes this process's proposals up to a sequence number, without their records being
+	/// read. Returns the tickets whose outcomes can no longer be known.
 	std::vector<DroppedTicket> OnAdopted(uint64 inLastSequence);
-	/// Drops what has waited too long without being sent.
+	/// Removes and returns the proposals that have waited too long without being sent.
 	std::vector<DroppedTicket> DropStale(Millis inNow);
-	/// Proposals that have not been sent.
+	/// Number of proposals not yet sent.
 	size_t Waiting() const { return this->waiting.size(); }
-	/// Tickets on their way and not yet seen in the log.
+	/// Number of proposals sent and not yet read back from the log.
 	size_t Unseen() const { return this->sent.size(); }
-	/// Whether a batch is on its way.
+	/// Whether a batch is in flight.
 	bool IsBusy() const { return this->in_flight.has_value(); }
-	/// Appends made, by kind of their first proposal, repeats included.
+	/// Number of appends, including repeats, by the kind of their first proposal.
 	const std::array<uint64, static_cast<size_t>(EProposal::Count)> &AppendsByKind() const { return this->appends_by_kind; }
-	/// Batches taken again because an answer was lost or an append failed.
+	/// Number of appends repeated after a failure or a lost answer.
 	uint64 Repeats() const { return this->repeats; }
 
 private:
-	/// A proposal that has not been sent.
+	/// A proposal not yet sent.
 	struct Entry
 	{
 		Ticket ticket = 0;
 		ProposalBody body;
-		Millis since = 0;
+		Millis queued_at = 0;
 	};
 
 	void Refill(Millis inNow);
@@ -71,18 +73,18 @@
 	Random random;
 	double rate = 1.0;
 	double tokens = 1.0;
-	Millis refilled = 0;
+	Millis last_refill = 0;
 	Ticket last_ticket = 0;
 	uint64 last_sequence = 0;
-	std::map<std::pair<uint8, Ticket>, Entry> waiting; ///< By rank of the kind, then age.
+	std::map<std::pair<uint8, Ticket>, Entry> waiting; ///< Ordered by the rank of the kind, then by age.
 	std::optional<std::string> in_flight;
 	EProposal in_flight_kind = EProposal::Count;
-	uint64 in_flight_last = 0; ///< Last sequence of the batch on its way.
-	bool is_out = false;       ///< The batch was handed out and not yet answered.
-	bool was_out = false;      ///< The batch was handed out at least once.
-	Millis not_before = 0;
+	uint64 in_flight_last_sequence = 0; ///< Last sequence number in the batch in flight.
+	bool awaits_answer = false;         ///< An append of the batch has been issued and not answered.
+	bool was_issued = false;            ///< The batch has been issued at least once.
+	Millis next_attempt_at = 0;
 	uint32 failures = 0;
-	std::map<uint64, DroppedTicket> sent; ///< Sequence to ticket and kind, until seen in the log.
+	std::map<uint64, DroppedTicket> sent; ///< By sequence number, until read back from the log.
 	std::array<uint64, static_cast<size_t>(EProposal::Count)> appends_by_kind{};
 	uint64 repeats = 0;
 };
--- a/Loomreach/State/ClaimGroups.cpp
+++ b/Loomreach/State/ClaimGroups.cpp
@@ -1,4 +1,4 @@
-// Rendezvous over a view's members for each claim range.
+// Rendezvous hashing of claim ranges over the members of a view.
 
 #include <Loomreach/Loomreach.h>
 
@@ -24,7 +24,7 @@
 			  { return inA.first != inB.first ? inA.first > inB.first : inA.second->name < inB.second->name; });
 	std::vector<std::string> group;
 	std::set<std::string> zones;
-	// First pass: one member a zone; second pass: fill up from zones already used
+	// First pass: one member per zone; second pass: fill up from zones already used
 	for (const bool new_zones_only : {true, false})
 	{
 		for (const auto &[weight, member] : order)
--- a/Loomreach/State/Codec.h
+++ b/Loomreach/State/Codec.h
@@ -1,4 +1,4 @@
-// cereal's portable binary form of one value, to and from a string. Included only by the .cpp files that encode.
+// Encodes a value to a string in cereal's portable binary format and decodes it. Included only by .cpp files that encode or decode.
 
 #pragma once
 
@@ -19,7 +19,6 @@
 namespace Loomreach
 {
 
-/// Encodes a value.
 template <class T>
 std::string EncodeValue(const T &inValue)
 {
@@ -29,7 +28,8 @@
 	return std::move(stream).str();
 }
 
-/// Decodes a value that fills the bytes exactly. cereal throws on damage; this is the only place that catches it.
+/// Decodes a value; fails with corrupt unless it takes up exactly all bytes. cereal throws on malformed input, and only this function
+/// catches its exceptions.
 template <class T>
 std::optional<T> DecodeValue(std::string_view inBytes)
 {
@@ -40,7 +40,7 @@
 		T value;
 		archive(value);
 		if (stream.peek() != std::istringstream::traits_type::eof())
-			return Fail(EError::Corrupt, "bytes left over");
+			return Fail(EError::Corrupt, "unread bytes after the value");
 		return value;
 	}
 	catch (const std::exception &error)
--- a/Loomreach/State/Envelope.h
+++ b/Loomreach/State/Envelope.h
@@ -1,5 +1,5 @@
-// The envelope of every encoded thing of the system: kind, version, length and hash before the cereal bytes,
-// so that what is cut short, damaged, too long or of an unknown version is refused before any of it is used.
+// Envelope around every encoded record, snapshot and message: kind, version, length and hash precede the cereal bytes, so that input that
+// is truncated, damaged, too long or of an unknown version is rejected before any of it is decoded.
 
 #pragma once
 
@@ -8,7 +8,7 @@
 namespace Loomreach
 {
 
-/// What an envelope holds.
+/// Kind of an envelope's content.
 enum class EEnvelope : uint8
 {
 	Batch = 1,
@@ -18,10 +18,11 @@
 	Frame = 5
 };
 
-/// Wraps encoded bytes.
+/// Wraps encoded bytes in an envelope.
 std::string SealEnvelope(EEnvelope inKind, uint8 inVersion, std::string_view inBytes);
 
-/// The bytes in an envelope of the kind and version expected; nothing, with the reason, otherwise.
+/// Returns the content of an envelope. Fails with corrupt, unknown-version or too-large if it is not intact or not of the expected kind,
+/// version and size.
 std::optional<std::string_view> OpenEnvelope(EEnvelope inKind, uint8 inVersion, size_t inMaxBytes, std::string_view inSealed);
 
 } // namespace Loomreach
--- a/Loomreach/State/FleetState.cpp
+++ b/Loomreach/State/FleetState.cpp
@@ -1,4 +1,4 @@
-// Derived figures, encoding and invariants of the accepted state.
+// Derived members, encoding and invariants of the replicated state.
 
 #include <Loomreach/Loomreach.h>
 
@@ -96,7 +96,7 @@
 		if (node.kind != ENodeKind::Job)
 			continue;
 		JobSpec job = JobSpecOf(this->settings, node);
-		// A team's quota is the greatest that is in force at one of its jobs
+		// A team's quota is the greatest that applies to any of its jobs
 		const int64 quota = this->settings.Number(node.path, ESetting::QuotaCpuMilli);
 		if (quota > 0)
 		{
@@ -185,12 +185,12 @@
 	LOOM_INVARIANT(rebuilt.team_used_cpu == this->team_used_cpu, "team usage follows from the placements");
 	for (const auto &[name, host] : this->hosts)
 	{
-		const Host &again = rebuilt.hosts.find(name)->second;
-		LOOM_INVARIANT(again.replicas == host.replicas && again.used == host.used, "a host's replicas follow from the placements");
-		LOOM_INVARIANT(host.used.FitIn(host.spec.capacity), "a host holds no more than it has");
+		const Host &expected = rebuilt.hosts.find(name)->second;
+		LOOM_INVARIANT(expected.replicas == host.replicas && expected.used == host.used, "a host's replicas follow from the placements");
+		LOOM_INVARIANT(host.used.FitIn(host.spec.capacity), "a host's replicas take no more than its capacity");
 		LOOM_INVARIANT(host.phase == EHostPhase::Active || host.phase == EHostPhase::Draining || host.replicas.empty(),
-					   "a host that is drained or out holds no replica");
-		LOOM_INVARIANT(this->pools.count(host.pool) == 1, "each host belongs to one declared pool");
+					   "a host that is drained or out of service has no replica");
+		LOOM_INVARIANT(this->pools.count(host.pool) == 1, "each host belongs to one configured pool");
 	}
 	for (const auto &[team, quota] : this->team_quota_cpu)
 		LOOM_INVARIANT(quota > 0, "a quota in force is positive");
@@ -199,8 +199,8 @@
 namespace
 {
 
-/// The accepted part of the state in the order in which it is encoded.
-struct StateImage
+/// The replicated members of the state in the order of their encoding.
+struct EncodedState
 {
 	LogOffset next_offset = 0;
 	LogPosition settings_version = 0;
@@ -227,7 +227,7 @@
 
 std::string EncodeState(const FleetState &inState)
 {
-	const StateImage image{
+	const EncodedState encoded{
 		inState.next_offset,
 		inState.settings_version,
 		inState.settings.Nodes(),
@@ -241,7 +241,7 @@
 		inState.zones_alive,
 		inState.proposers,
 	};
-	return SealEnvelope(EEnvelope::Snapshot, cStateVersion, EncodeValue(image));
+	return SealEnvelope(EEnvelope::Snapshot, cStateVersion, EncodeValue(encoded));
 }
 
 std::optional<FleetState> DecodeState(std::string_view inBytes)
@@ -249,28 +249,28 @@
 	const std::optional<std::string_view> bytes = OpenEnvelope(EEnvelope::Snapshot, cStateVersion, cMaxStateBytes, inBytes);
 	if (!bytes.has_value())
 		return std::nullopt;
-	std::optional<StateImage> image = DecodeValue<StateImage>(*bytes);
-	if (!image.has_value())
+	std::optional<EncodedState> encoded = DecodeValue<EncodedState>(*bytes);
+	if (!encoded.has_value())
 		return std::nullopt;
-	std::optional<SettingsTree> tree = SettingsTree::FromNodes(std::move(image->nodes));
-	if (!tree.has_value() || image->claim_holders.size() != cClaimRanges)
-		return Fail(EError::Corrupt, "the snapshot's settings or claim ranges are not well formed");
+	std::optional<SettingsTree> tree = SettingsTree::FromNodes(std::move(encoded->nodes));
+	if (!tree.has_value() || encoded->claim_holders.size() != cClaimRanges)
+		return Fail(EError::Corrupt, "the settings or claim ranges of the snapshot are malformed");
 	FleetState state;
-	state.next_offset = image->next_offset;
-	state.settings_version = image->settings_version;
+	state.next_offset = encoded->next_offset;
+	state.settings_version = encoded->settings_version;
 	state.settings = std::move(*tree);
-	state.hosts = std::move(image->hosts);
-	state.placements = std::move(image->placements);
-	state.history = std::move(image->history);
-	state.waves = std::move(image->waves);
-	state.rolling_started = std::move(image->rolling_started);
-	state.view = std::move(image->view);
-	std::move(image->claim_holders.begin(), image->claim_holders.end(), state.claim_holders.begin());
-	state.zones_alive = std::move(image->zones_alive);
-	state.proposers = std::move(image->proposers);
+	state.hosts = std::move(encoded->hosts);
+	state.placements = std::move(encoded->placements);
+	state.history = std::move(encoded->history);
+	state.waves = std::move(encoded->waves);
+	state.rolling_started = std::move(encoded->rolling_started);
+	state.view = std::move(encoded->view);
+	std::move(encoded->claim_holders.begin(), encoded->claim_holders.end(), state.claim_holders.begin());
+	state.zones_alive = std::move(encoded->zones_alive);
+	state.proposers = std::move(encoded->proposers);
 	for (const auto &[replica, placement] : state.placements)
 		if (state.hosts.count(placement.host) == 0)
-			return Fail(EError::Corrupt, "a placement is on a host that the snapshot does not hold");
+			return Fail(EError::Corrupt, "a placement is on a host that is not in the snapshot");
 	state.RebuildDerived();
 	return state;
 }
--- a/Loomreach/State/FleetState.h
+++ b/Loomreach/State/FleetState.h
@@ -1,5 +1,5 @@
-// The accepted state: what every entry host that has read as far in the log agrees on.
-// Plain data with the derived figures beside it; only the fold changes it.
+// The replicated state: identical on all entry hosts that have applied the log up to the same offset. Plain data, together with
+// values derived from it. It changes only when a proposal from the log is applied.
 
 #pragma once
 
@@ -8,37 +8,37 @@
 namespace Loomreach
 {
 
-/// Where a host stands between work and maintenance.
+/// Phase of a host between service and maintenance.
 enum class EHostPhase : uint8
 {
-	Active,   ///< Takes work.
-	Draining, ///< Takes no new work; what is in flight ends.
-	Drained,  ///< Nothing in flight; may go out, move to another pool, or be taken back.
-	Out       ///< Handed over for its reboot.
+	Active,   ///< Accepts work.
+	Draining, ///< Accepts no new work; work in flight may finish.
+	Drained,  ///< Nothing in flight; may be rebooted, moved to another pool, or returned to service.
+	Out       ///< Out of service for its reboot.
 };
 
-/// What has been recorded of a host's health.
+/// Recorded health of a host.
 enum class EHostHealth : uint8
 {
-	Unknown, ///< New, or back from maintenance and not yet seen healthy.
+	Unknown, ///< New, or back from maintenance and not yet checked.
 	Healthy,
 	Failed
 };
 
-/// State of a wave.
+/// State of a maintenance wave.
 enum class EWaveState : uint8
 {
 	Running,
 	Paused,
-	Cancelled, ///< No new drains; hosts already out still come back.
+	Cancelled, ///< Starts no more drains; hosts already out of service still return.
 	Done
 };
 
-/// Where a host stands within a wave.
+/// Progress of a host within a wave.
 enum class EWaveHost : uint8
 {
 	Pending,
-	Leaving, ///< Drained, out or coming back.
+	Leaving, ///< Draining, drained, out of service or returning.
 	Done
 };
 
@@ -46,28 +46,28 @@
 std::string_view NameOfHealth(EHostHealth inHealth);
 std::string_view NameOfWaveState(EWaveState inState);
 
-/// A host as accepted.
+/// A host of the fleet.
 struct Host
 {
 	HostSpec spec;
-	std::string pool; ///< The one pool that it belongs to.
+	std::string pool; ///< Path of its pool; a host belongs to exactly one.
 	EHostPhase phase = EHostPhase::Active;
 	EHostHealth health = EHostHealth::Unknown;
 	bool quarantined = false;
-	LogPosition generation = 0; ///< Position of its last accepted step; the precondition of the next one.
-	std::string wave;           ///< Wave of the drain under way.
-	uint64 out_boot = 0;        ///< Boot that it showed when it was handed over for its reboot.
-	std::string maintained_in;  ///< Last wave that it came back from.
+	LogPosition generation = 0; ///< Log position of its last accepted step; precondition of the next one.
+	std::string wave;           ///< Wave that the present drain belongs to.
+	uint64 out_boot = 0;        ///< Boot id when it was taken out of service; another one shows that it has rebooted.
+	std::string maintained_in;  ///< Last wave that it has completed.
 	LogPosition maintained_at = 0;
-	std::set<std::string> failed_jobs; ///< Different jobs that failed on it since it was last trusted; at most cMaxBlame.
+	std::set<std::string> failed_jobs; ///< Distinct jobs that failed on it since its last release from quarantine; bounded.
 
-	// Derived, rebuilt after decoding
-	std::set<ReplicaKey> replicas; ///< Invariant: exactly the placements whose host this is.
-	Resources used;                ///< Invariant: sum of what these replicas need, as placed.
+	// Derived; rebuilt after decoding
+	std::set<ReplicaKey> replicas; ///< Invariant: exactly the replicas placed on this host.
+	Resources used;                ///< Invariant: sum of the resources requested by these replicas when they were placed.
 
-	/// Counts towards the pool's availability budget.
+	/// Whether the host counts as available in its pool's availability budget.
 	bool IsAvailable() const { return this->phase == EHostPhase::Active && this->health == EHostHealth::Healthy && !this->quarantined; }
-	/// Capacity not taken by replicas.
+	/// Capacity not used by replicas.
 	Resources Free() const;
 	template <class Archive>
 	void serialize(Archive &ioArchive)
@@ -77,12 +77,12 @@
 	}
 };
 
-/// A replica on a host.
+/// Assignment of a replica to a host.
 struct Placement
 {
 	std::string host;
-	LogPosition generation = 0; ///< Fencing generation: the position of the accepted proposal.
-	Resources need;             ///< As declared when it was placed.
+	LogPosition generation = 0; ///< Fencing generation: log position of the proposal that placed it.
+	Resources need;             ///< Requested resources, as configured when it was placed.
 	std::string team;
 	int64 priority = 0;
 
@@ -93,11 +93,11 @@
 	}
 };
 
-/// What is remembered of a job between its placements.
+/// History of a job across its placements.
 struct JobHistory
 {
-	std::set<uint32> finished;          ///< Batch replicas that ran to their end.
-	std::set<std::string> failed_hosts; ///< Different hosts that it failed on; at most cMaxBlame.
+	std::set<uint32> finished;          ///< Batch replicas that ran to completion.
+	std::set<std::string> failed_hosts; ///< Distinct hosts that it failed on; bounded.
 	LogPosition last_failure = 0;
 
 	template <class Archive>
@@ -122,7 +122,7 @@
 	}
 };
 
-/// The last proposal of a process that has been folded.
+/// Last applied proposal of a process.
 struct ProposerMark
 {
 	LogPosition position = 0;
@@ -135,11 +135,11 @@
 	}
 };
 
-/// The membership view: the entry hosts that count.
+/// Membership view: the entry hosts that take part in the cluster.
 struct View
 {
 	uint64 number = 0;
-	uint64 resets = 0; ///< How often every holder of some claim range was lost.
+	uint64 resets = 0; ///< Number of times that all holders of some claim range were lost.
 	std::map<std::string, Member> members;
 
 	template <class Archive>
@@ -149,7 +149,7 @@
 	}
 };
 
-/// What the settings in force say of a job.
+/// Effective settings of a job.
 struct JobSpec
 {
 	std::string path;
@@ -168,7 +168,7 @@
 	uint32 retry_budget_percent = 0;
 };
 
-/// What the settings in force say of a pool.
+/// Effective settings of a pool.
 struct PoolSpec
 {
 	std::string path;
@@ -181,7 +181,7 @@
 	int64 weight_buffer = 0;
 };
 
-/// Hosts of a pool, counted.
+/// Number of hosts of a pool.
 struct PoolCounts
 {
 	uint32 hosts = 0;
@@ -190,61 +190,61 @@
 	bool operator==(const PoolCounts &) const = default;
 };
 
-constexpr size_t cMaxBlame = 16;
+constexpr size_t cMaxFailureEntries = 16; ///< Bound of `Host::failed_jobs` and `JobHistory::failed_hosts`.
 constexpr size_t cMaxWaves = 32;
 constexpr size_t cMaxProposers = 4096;
 constexpr uint32 cClaimRanges = 64;
 
-/// The accepted state.
+/// The replicated state.
 class FleetState
 {
 public:
-	// Accepted, in the snapshot
-	LogOffset next_offset = 0;        ///< First offset not yet folded.
-	LogPosition settings_version = 0; ///< Position of the settings in force. Never goes back.
+	// Replicated; part of the snapshot
+	LogOffset next_offset = 0;        ///< First offset not yet applied.
+	LogPosition settings_version = 0; ///< Log position of the settings in force. Never decreases.
 	SettingsTree settings;
 	std::map<std::string, Host> hosts;
 	std::map<ReplicaKey, Placement> placements;
 	std::map<std::string, JobHistory> history;
 	std::map<std::string, Wave> waves;
-	std::map<std::string, int64> rolling_started; ///< Pool to the date of its last turn in the rolling plan, s.
+	std::map<std::string, int64> rolling_started; ///< Date of each pool's last turn in the rolling maintenance plan, seconds since 1970.
 	View view;
-	std::array<std::set<std::string>, cClaimRanges> claim_holders; ///< Members that hold all claims of a range.
-	std::map<std::string, LogPosition> zones_alive;                ///< Last time that a zone of the view said by the log that it lives.
-	std::map<uint64, ProposerMark> proposers;                      ///< Incarnation of a proposing process to its last proposal.
+	std::array<std::set<std::string>, cClaimRanges> claim_holders; ///< Members that have all claims of a range.
+	std::map<std::string, LogPosition> zones_alive;                ///< Position of each zone's last log heartbeat.
+	std::map<uint64, ProposerMark> proposers;                      ///< By incarnation of the proposing process.
 
-	// Derived, rebuilt after decoding and after new settings
+	// Derived; rebuilt after decoding and after a change of settings
 	std::map<std::string, JobSpec> jobs;
 	std::map<std::string, PoolSpec> pools;
-	std::map<std::string, std::string, std::less<>> services; ///< Service name to job path.
-	std::map<std::string, int64> team_quota_cpu;              ///< Teams with a quota.
+	std::map<std::string, std::string, std::less<>> services; ///< Job path by service name.
+	std::map<std::string, int64> team_quota_cpu;              ///< Only teams that have a quota.
 	std::map<std::string, int64> team_used_cpu;
 	std::map<std::string, PoolCounts> pool_counts;
 
 	/// Recomputes jobs, pools, services and quotas from the settings.
 	void RebuildSettings();
-	/// Recomputes everything that is derived.
+	/// Recomputes all derived members.
 	void RebuildDerived();
-	/// Hosts that must stay available in a pool: its budget.
+	/// Number of hosts that must stay available in a pool: its availability budget.
 	uint32 RequiredAvailable(const std::string &inPool) const;
-	/// Whether one more available host of the pool may become unavailable by the system's own act.
+	/// Whether the system may make one more available host of the pool unavailable (voluntary disruption).
 	bool HasRoomInBudget(const std::string &inPool) const;
-	/// Adds or takes a host's share of its pool's counts; called before and after a change to the host.
+	/// Adds (`inSign` 1) or removes (-1) a host in its pool's counts. A change to a host is made between a removal and an addition.
 	void CountHost(const Host &inHost, int inSign);
-	/// Attaches a placement to its host and team.
+	/// Adds a placement to the derived members of its host and team.
 	void Attach(const ReplicaKey &inReplica, const Placement &inPlacement);
-	/// Detaches a placement from its host and team.
+	/// Removes a placement from the derived members of its host and team.
 	void Detach(const ReplicaKey &inReplica, const Placement &inPlacement);
-	/// Hash of the accepted state: equal on all that have read as far.
+	/// Hash of the replicated state: equal on all entry hosts that have applied the log up to the same offset.
 	uint64 Hash() const;
-	/// Checks every invariant that ties derived figures to accepted ones. Slow; for tests, soak and after decoding.
+	/// Checks that the derived members agree with the replicated ones. Slow; for tests, soak runs and after decoding.
 	void CheckInvariants() const;
 };
 
-/// Encodes the accepted state.
+/// Encodes the replicated state.
 std::string EncodeState(const FleetState &inState);
 
-/// Decodes a state and rebuilds what is derived.
+/// Decodes a state and rebuilds its derived members. Fails with corrupt if the content is inconsistent.
 std::optional<FleetState> DecodeState(std::string_view inBytes);
 
 } // namespace Loomreach
--- a/Loomreach/State/Fold.cpp
+++ b/Loomreach/State/Fold.cpp
@@ -12,11 +12,12 @@
 namespace
 {
 
-/// Applies one proposal to the state. Each overload returns false, with the last reason, before it has changed anything.
-class ProposalFolder
+/// Applies one proposal to the state. An overload that rejects its proposal sets the last reason and returns false without having changed
+/// anything.
+class ProposalApplier
 {
 public:
-	ProposalFolder(FleetState &ioState, LogPosition inPosition) : state(ioState), position(inPosition) {}
+	ProposalApplier(FleetState &ioState, LogPosition inPosition) : state(ioState), position(inPosition) {}
 
 	bool operator()(const ApplySettings &inProposal);
 	bool operator()(const AddHost &inProposal);
@@ -33,22 +34,22 @@
 private:
 	bool CheckStep(const Host &inHost, const StepHost &inProposal) const;
 	bool CheckDrain(const Host &inHost, const std::string &inWave) const;
-	void TakeStep(Host &ioHost, const StepHost &inProposal);
+	void ApplyStep(Host &ioHost, const StepHost &inProposal);
 	void RemoveHost(const std::string &inName);
-	void MarkWave(const std::string &inWave, const std::string &inHost, EWaveHost inState);
-	void LeaveWaves(const std::string &inHost);
-	bool CheckRoom(const PlaceReplica &inProposal, const JobSpec &inJob, const Placement *inOld, const Host &inHost) const;
-	void ForgetOldWaves();
+	void SetWaveProgress(const std::string &inWave, const std::string &inHost, EWaveHost inState);
+	void CompleteInWaves(const std::string &inHost);
+	bool CheckCapacity(const PlaceReplica &inProposal, const JobSpec &inJob, const Placement *inOld, const Host &inHost) const;
+	void RemoveOldWaves();
 
 	FleetState &state;
 	LogPosition position;
 };
 
-bool ProposalFolder::operator()(const ApplySettings &inProposal)
+bool ProposalApplier::operator()(const ApplySettings &inProposal)
 {
 	if (inProposal.base_version != this->state.settings_version)
-		return FailFalse(EError::Conflict, "written against version " + std::to_string(inProposal.base_version) + ", in force is " +
-											   std::to_string(this->state.settings_version));
+		return FailFalse(EError::Conflict, "written for settings version " + std::to_string(inProposal.base_version) +
+											   "; the version in force is " + std::to_string(this->state.settings_version));
 	std::optional<SettingsTree> tree = SettingsTree::FromNodes(inProposal.nodes);
 	if (!tree.has_value())
 		return false;
@@ -59,18 +60,18 @@
 			return FailFalse(EError::BadSettings,
 							 pool + " still holds " + std::to_string(counts.hosts) + " hosts; move or remove them first");
 	}
-	LOOM_INVARIANT(this->position > this->state.settings_version, "the settings version never goes back");
+	LOOM_INVARIANT(this->position > this->state.settings_version, "the settings version never decreases");
 	this->state.settings = std::move(*tree);
 	this->state.settings_version = this->position;
 	this->state.RebuildSettings();
-	// What jobs did under other settings is no evidence against them now
+	// Failures under the previous settings say nothing about jobs under the new ones
 	std::erase_if(this->state.history, [this](const auto &inEntry) { return this->state.jobs.count(inEntry.first) == 0; });
 	for (auto &[path, history] : this->state.history)
 		history.failed_hosts.clear();
 	return true;
 }
 
-bool ProposalFolder::operator()(const AddHost &inProposal)
+bool ProposalApplier::operator()(const AddHost &inProposal)
 {
 	const HostSpec &spec = inProposal.spec;
 	auto known = this->state.hosts.find(spec.name);
@@ -79,7 +80,7 @@
 	if (this->state.pools.count(inProposal.pool) == 0)
 		return FailFalse(EError::NotFound, "no pool " + inProposal.pool);
 	if (spec.name.empty() || spec.capacity.cpu_milli <= 0 || spec.capacity.memory_mb <= 0 || spec.capacity.accelerators < 0)
-		return FailFalse(EError::BadRequest, "a host needs a name, processors and memory");
+		return FailFalse(EError::BadRequest, "a host needs a name, cpu_milli and memory_mb above 0, and no negative accelerators");
 	Host host;
 	host.spec = spec;
 	host.pool = inProposal.pool;
@@ -89,7 +90,7 @@
 	return true;
 }
 
-bool ProposalFolder::CheckDrain(const Host &inHost, const std::string &inWave) const
+bool ProposalApplier::CheckDrain(const Host &inHost, const std::string &inWave) const
 {
 	if (inHost.phase != EHostPhase::Active)
 		return FailFalse(EError::WrongPhase, inHost.spec.name + " is " + std::string(NameOfPhase(inHost.phase)));
@@ -101,15 +102,15 @@
 		auto entry = wave->second.hosts.find(inHost.spec.name);
 		const bool pending = entry != wave->second.hosts.end() && entry->second == EWaveHost::Pending;
 		if (wave->second.state != EWaveState::Running || !pending)
-			return FailFalse(EError::WrongPhase, "the wave is not waiting for this host");
+			return FailFalse(EError::WrongPhase, "the wave is not running or not waiting for this host");
 	}
 	if (inHost.IsAvailable() && !this->state.HasRoomInBudget(inHost.pool))
 		return FailFalse(EError::BudgetExceeded,
-						 inHost.pool + " needs " + std::to_string(this->state.RequiredAvailable(inHost.pool)) + " hosts available");
+						 inHost.pool + " must keep " + std::to_string(this->state.RequiredAvailable(inHost.pool)) + " hosts available");
 	return true;
 }
 
-bool ProposalFolder::CheckStep(const Host &inHost, const StepHost &inProposal) const
+bool ProposalApplier::CheckStep(const Host &inHost, const StepHost &inProposal) const
 {
 	const auto require = [&inHost](bool inHolds)
 	{
@@ -127,7 +128,7 @@
 	case EHostStep::Failed: return require(inHost.phase != EHostPhase::Out && inHost.health != EHostHealth::Failed);
 	case EHostStep::Quarantine:
 		if (inHost.IsAvailable() && !this->state.HasRoomInBudget(inHost.pool))
-			return FailFalse(EError::BudgetExceeded, inHost.pool + " has no room in its budget for a quarantine");
+			return FailFalse(EError::BudgetExceeded, inHost.pool + " has no room in its availability budget for a quarantine");
 		return require(!inHost.quarantined);
 	case EHostStep::Unquarantine: return require(inHost.quarantined);
 	case EHostStep::Remove: return require(inHost.replicas.empty() && !inHost.IsAvailable());
@@ -135,7 +136,7 @@
 	return FailFalse(EError::BadRequest, "unknown step");
 }
 
-void ProposalFolder::MarkWave(const std::string &inWave, const std::string &inHost, EWaveHost inState)
+void ProposalApplier::SetWaveProgress(const std::string &inWave, const std::string &inHost, EWaveHost inState)
 {
 	auto wave = this->state.waves.find(inWave);
 	if (wave == this->state.waves.end())
@@ -150,28 +151,28 @@
 		wave->second.state = EWaveState::Done;
 }
 
-void ProposalFolder::LeaveWaves(const std::string &inHost)
+void ProposalApplier::CompleteInWaves(const std::string &inHost)
 {
 	std::vector<std::string> names;
 	for (const auto &[name, wave] : this->state.waves)
 		if (wave.hosts.count(inHost) != 0)
 			names.push_back(name);
 	for (const std::string &name : names)
-		this->MarkWave(name, inHost, EWaveHost::Done);
+		this->SetWaveProgress(name, inHost, EWaveHost::Done);
 }
 
-void ProposalFolder::TakeStep(Host &ioHost, const StepHost &inProposal)
+void ProposalApplier::ApplyStep(Host &ioHost, const StepHost &inProposal)
 {
 	switch (inProposal.step)
 	{
 	case EHostStep::Drain:
 		ioHost.phase = EHostPhase::Draining;
 		ioHost.wave = inProposal.wave;
-		this->MarkWave(ioHost.wave, ioHost.spec.name, EWaveHost::Leaving);
+		this->SetWaveProgress(ioHost.wave, ioHost.spec.name, EWaveHost::Leaving);
 		break;
 	case EHostStep::Undrain:
 		ioHost.phase = EHostPhase::Active;
-		this->MarkWave(ioHost.wave, ioHost.spec.name, EWaveHost::Pending);
+		this->SetWaveProgress(ioHost.wave, ioHost.spec.name, EWaveHost::Pending);
 		ioHost.wave.clear();
 		break;
 	case EHostStep::Drained: ioHost.phase = EHostPhase::Drained; break;
@@ -180,7 +181,7 @@
 		ioHost.out_boot = inProposal.boot;
 		break;
 	case EHostStep::Returned:
-		// Counted as unavailable until it has been seen healthy
+		// Stays unavailable until it is reported healthy
 		ioHost.phase = EHostPhase::Active;
 		ioHost.health = EHostHealth::Unknown;
 		break;
@@ -191,7 +192,7 @@
 			ioHost.maintained_in = ioHost.wave;
 			ioHost.maintained_at = this->position;
 			ioHost.wave.clear();
-			this->MarkWave(ioHost.maintained_in, ioHost.spec.name, EWaveHost::Done);
+			this->SetWaveProgress(ioHost.maintained_in, ioHost.spec.name, EWaveHost::Done);
 		}
 		break;
 	case EHostStep::Failed: ioHost.health = EHostHealth::Failed; break;
@@ -204,15 +205,15 @@
 	}
 }
 
-void ProposalFolder::RemoveHost(const std::string &inName)
+void ProposalApplier::RemoveHost(const std::string &inName)
 {
 	auto host = this->state.hosts.find(inName);
 	this->state.CountHost(host->second, -1);
 	this->state.hosts.erase(host);
-	this->LeaveWaves(inName);
+	this->CompleteInWaves(inName);
 }
 
-bool ProposalFolder::operator()(const StepHost &inProposal)
+bool ProposalApplier::operator()(const StepHost &inProposal)
 {
 	auto found = this->state.hosts.find(inProposal.host);
 	if (found == this->state.hosts.end())
@@ -228,18 +229,18 @@
 		return true;
 	}
 	const bool was_available = host.IsAvailable();
-	const bool own_act = inProposal.step == EHostStep::Drain || inProposal.step == EHostStep::Quarantine;
+	const bool is_voluntary = inProposal.step == EHostStep::Drain || inProposal.step == EHostStep::Quarantine;
 	this->state.CountHost(host, -1);
-	this->TakeStep(host, inProposal);
+	this->ApplyStep(host, inProposal);
 	host.generation = this->position;
 	this->state.CountHost(host, 1);
-	if (own_act && was_available)
+	if (is_voluntary && was_available)
 		LOOM_INVARIANT(this->state.pool_counts[host.pool].available >= this->state.RequiredAvailable(host.pool),
-					   "no pool drops below its budget by the system's own act");
+					   "no pool falls below its availability budget by a voluntary disruption");
 	return true;
 }
 
-bool ProposalFolder::operator()(const MoveHost &inProposal)
+bool ProposalApplier::operator()(const MoveHost &inProposal)
 {
 	auto found = this->state.hosts.find(inProposal.host);
 	if (found == this->state.hosts.end())
@@ -251,41 +252,41 @@
 		return FailFalse(EError::StaleGeneration, host.spec.name + " is at " + std::to_string(host.generation));
 	if (host.phase != EHostPhase::Drained)
 		return FailFalse(EError::WrongPhase,
-						 host.spec.name + " is " + std::string(NameOfPhase(host.phase)) + "; only a drained host moves");
+						 host.spec.name + " is " + std::string(NameOfPhase(host.phase)) + "; only a drained host can change its pool");
 	if (this->state.pools.count(inProposal.to_pool) == 0)
 		return FailFalse(EError::NotFound, "no pool " + inProposal.to_pool);
-	LOOM_INVARIANT(host.replicas.empty(), "a host that moves carries no replica of its old pool");
+	LOOM_INVARIANT(host.replicas.empty(), "a host that changes its pool has no replica of the old one");
 	this->state.CountHost(host, -1);
 	host.pool = inProposal.to_pool;
 	host.phase = EHostPhase::Active;
 	host.generation = this->position;
 	host.wave.clear();
 	this->state.CountHost(host, 1);
-	this->LeaveWaves(inProposal.host);
+	this->CompleteInWaves(inProposal.host);
 	return true;
 }
 
-bool ProposalFolder::CheckRoom(const PlaceReplica &inProposal, const JobSpec &inJob, const Placement *inOld, const Host &inHost) const
+bool ProposalApplier::CheckCapacity(const PlaceReplica &inProposal, const JobSpec &inJob, const Placement *inOld, const Host &inHost) const
 {
-	Resources room = inHost.Free();
+	Resources free = inHost.Free();
 	int64 team_used = 0;
 	if (auto used = this->state.team_used_cpu.find(inJob.team); used != this->state.team_used_cpu.end())
 		team_used = used->second;
-	// The placement that this one replaces gives back what it holds
+	// The placement being replaced releases its resources
 	if (inOld != nullptr && inOld->host == inProposal.host)
-		room += inOld->need;
+		free += inOld->need;
 	if (inOld != nullptr && inOld->team == inJob.team)
 		team_used -= inOld->need.cpu_milli;
-	if (!inJob.need.FitIn(room))
+	if (!inJob.need.FitIn(free))
 		return FailFalse(EError::CapacityExceeded, inProposal.host + " has no room for " + inProposal.replica.Text());
 	auto quota = this->state.team_quota_cpu.find(inJob.team);
 	if (quota != this->state.team_quota_cpu.end() && team_used + inJob.need.cpu_milli > quota->second)
 		return FailFalse(EError::QuotaExceeded,
-						 "team " + inJob.team + " holds " + std::to_string(team_used) + " of " + std::to_string(quota->second));
+						 "team " + inJob.team + " uses " + std::to_string(team_used) + " of its quota of " + std::to_string(quota->second));
 	return true;
 }
 
-bool ProposalFolder::operator()(const PlaceReplica &inProposal)
+bool ProposalApplier::operator()(const PlaceReplica &inProposal)
 {
 	auto job = this->state.jobs.find(inProposal.replica.job);
 	if (job == this->state.jobs.end() || inProposal.replica.index >= job->second.replicas)
@@ -305,18 +306,18 @@
 	if (present != inProposal.base_generation)
 		return FailFalse(EError::StaleGeneration, inProposal.replica.Text() + " is at " + std::to_string(present));
 	const Placement *old_placement = old == this->state.placements.end() ? nullptr : &old->second;
-	if (!this->CheckRoom(inProposal, job->second, old_placement, host->second))
+	if (!this->CheckCapacity(inProposal, job->second, old_placement, host->second))
 		return false;
 	if (old_placement != nullptr)
 		this->state.Detach(inProposal.replica, *old_placement);
 	const Placement placement{inProposal.host, this->position, job->second.need, job->second.team, job->second.priority};
 	this->state.Attach(inProposal.replica, placement);
 	this->state.placements[inProposal.replica] = placement;
-	LOOM_INVARIANT(host->second.used.FitIn(host->second.spec.capacity), "a host holds no more than it has");
+	LOOM_INVARIANT(host->second.used.FitIn(host->second.spec.capacity), "a host's replicas take no more than its capacity");
 	return true;
 }
 
-bool ProposalFolder::operator()(const StopReplica &inProposal)
+bool ProposalApplier::operator()(const StopReplica &inProposal)
 {
 	auto placement = this->state.placements.find(inProposal.replica);
 	if (placement == this->state.placements.end())
@@ -328,11 +329,11 @@
 	if (inProposal.reason == EStopReason::JobFailed)
 	{
 		JobHistory &history = this->state.history[inProposal.replica.job];
-		// Blame is two-way: the host remembers the job, the job remembers the host
+		// Recorded on both sides, since either the host or the job may be at fault
 		Host &host = this->state.hosts.find(placement->second.host)->second;
-		if (host.failed_jobs.size() < cMaxBlame)
+		if (host.failed_jobs.size() < cMaxFailureEntries)
 			host.failed_jobs.insert(inProposal.replica.job);
-		if (history.failed_hosts.size() < cMaxBlame)
+		if (history.failed_hosts.size() < cMaxFailureEntries)
 			history.failed_hosts.insert(placement->second.host);
 		history.last_failure = this->position;
 	}
@@ -341,7 +342,7 @@
 	return true;
 }
 
-void ProposalFolder::ForgetOldWaves()
+void ProposalApplier::RemoveOldWaves()
 {
 	while (this->state.waves.size() > cMaxWaves)
 	{
@@ -358,7 +359,7 @@
 	}
 }
 
-bool ProposalFolder::operator()(const StartWave &inProposal)
+bool ProposalApplier::operator()(const StartWave &inProposal)
 {
 	if (inProposal.name.empty())
 		return FailFalse(EError::BadRequest, "a wave needs a name");
@@ -366,7 +367,7 @@
 		return FailFalse(EError::Conflict, "a wave of that name exists");
 	auto last_turn = this->state.rolling_started.find(inProposal.pool);
 	if (inProposal.rolling_date_s != 0 && last_turn != this->state.rolling_started.end() && last_turn->second >= inProposal.rolling_date_s)
-		return FailFalse(EError::Conflict, inProposal.pool + " has had a later turn");
+		return FailFalse(EError::Conflict, inProposal.pool + " already had this or a later turn in the rolling plan");
 	Wave wave{inProposal.name, EWaveState::Running, this->position, {}};
 	const auto matches = [](const std::string &inWanted, const std::string &inValue) { return inWanted.empty() || inWanted == inValue; };
 	for (const auto &[name, host] : this->state.hosts)
@@ -391,11 +392,11 @@
 	this->state.waves.emplace(inProposal.name, std::move(wave));
 	if (inProposal.rolling_date_s != 0)
 		this->state.rolling_started[inProposal.pool] = inProposal.rolling_date_s;
-	this->ForgetOldWaves();
+	this->RemoveOldWaves();
 	return true;
 }
 
-bool ProposalFolder::operator()(const ChangeWave &inProposal)
+bool ProposalApplier::operator()(const ChangeWave &inProposal)
 {
 	auto found = this->state.waves.find(inProposal.name);
 	if (found == this->state.waves.end())
@@ -424,17 +425,17 @@
 	return FailFalse(EError::BadRequest, "unknown action");
 }
 
-bool ProposalFolder::operator()(const ChangeView &inProposal)
+bool ProposalApplier::operator()(const ChangeView &inProposal)
 {
 	if (inProposal.base_view != this->state.view.number)
 		return FailFalse(EError::ViewRejected, "the present view is " + std::to_string(this->state.view.number));
 	View next{this->state.view.number + 1, this->state.view.resets, {}};
 	for (const Member &member : inProposal.members)
 		if (member.name.empty() || !next.members.emplace(member.name, member).second)
-			return FailFalse(EError::ViewRejected, "a member has no name or stands twice");
+			return FailFalse(EError::ViewRejected, "a member has no name or is listed twice");
 	if (next.members.empty())
-		return FailFalse(EError::ViewRejected, "a view needs a member");
-	// A member survives only with its incarnation: a restarted process has forgotten the claims that it held
+		return FailFalse(EError::ViewRejected, "a view needs at least one member");
+	// Only a member with the same incarnation stays a holder: a restarted process has lost its claims
 	std::array<std::set<std::string>, cClaimRanges> holders;
 	bool lost = false;
 	for (uint32 range = 0; range < cClaimRanges; ++range)
@@ -449,11 +450,11 @@
 		lost = lost || holders[range].empty();
 	}
 	if (lost != inProposal.reset)
-		return FailFalse(EError::ViewRejected,
-						 lost ? "some claim range would lose its last holder" : "no claim range is lost; a reset is not called for");
+		return FailFalse(EError::ViewRejected, lost ? "some claim range would lose its last holder; the change needs a reset"
+													: "no claim range is lost; a reset is not allowed");
 	if (lost)
 	{
-		// Every claim is forgotten: all groups start empty, and claims stay refused for the stated time
+		// All claims are lost: every group starts empty, and entry hosts refuse claims for claim_lease_ms + claim_quiet_ms
 		++next.resets;
 		for (uint32 range = 0; range < cClaimRanges; ++range)
 		{
@@ -472,7 +473,7 @@
 	return true;
 }
 
-bool ProposalFolder::operator()(const TakeOver &inProposal)
+bool ProposalApplier::operator()(const TakeOver &inProposal)
 {
 	if (inProposal.view != this->state.view.number || this->state.view.members.count(inProposal.member) == 0)
 		return FailFalse(EError::ViewRejected, "the present view is " + std::to_string(this->state.view.number));
@@ -486,7 +487,7 @@
 			continue;
 		std::set<std::string> &holders = this->state.claim_holders[range];
 		holders.insert(inProposal.member);
-		// Once the whole group holds the range, claims go on without the others, which are complete no longer
+		// Once the whole group holds the range, other holders are dropped: new claims no longer reach them, so theirs become incomplete
 		const std::set<std::string> complete(group.begin(), group.end());
 		if (std::includes(holders.begin(), holders.end(), complete.begin(), complete.end()))
 			holders = complete;
@@ -494,7 +495,7 @@
 	return true;
 }
 
-bool ProposalFolder::operator()(const ZoneAlive &inProposal)
+bool ProposalApplier::operator()(const ZoneAlive &inProposal)
 {
 	const bool known = std::any_of(this->state.view.members.begin(), this->state.view.members.end(),
 								   [&](const auto &inEntry) { return inEntry.second.availability_zone == inProposal.availability_zone; });
@@ -504,8 +505,8 @@
 	return true;
 }
 
-/// Remembers the proposer's last sequence; the oldest proposer is forgotten beyond the bound.
-void RememberProposer(FleetState &ioState, LogPosition inPosition, const ProposalId &inId)
+/// Records the proposer's last sequence number; beyond the bound, removes the proposer whose last proposal is the oldest.
+void RecordProposer(FleetState &ioState, LogPosition inPosition, const ProposalId &inId)
 {
 	ioState.proposers[inId.incarnation] = {inPosition, inId.sequence};
 	if (ioState.proposers.size() <= cMaxProposers)
@@ -519,42 +520,42 @@
 
 Verdict FoldProposal(FleetState &ioState, LogPosition inPosition, const Proposal &inProposal)
 {
-	Verdict verdict{inProposal.id, inProposal.Kind(), inPosition, EError::None, {}};
+	Verdict outcome{inProposal.id, inProposal.Kind(), inPosition, EError::None, {}};
 	auto proposer = ioState.proposers.find(inProposal.id.incarnation);
-	// A process appends in order and repeats a batch until it is answered, so an older sequence is a repeat
+	// A process appends in order and repeats a batch until it is confirmed, so a sequence number that is not newer is a duplicate
 	if (proposer != ioState.proposers.end() && inProposal.id.sequence <= proposer->second.sequence)
 	{
-		verdict.error = EError::DuplicateProposal;
-		verdict.detail = "sequence " + std::to_string(inProposal.id.sequence) + " was already folded";
-		return verdict;
+		outcome.error = EError::DuplicateProposal;
+		outcome.detail = "sequence " + std::to_string(inProposal.id.sequence) + " was already applied";
+		return outcome;
 	}
-	RememberProposer(ioState, inPosition, inProposal.id);
-	ProposalFolder folder(ioState, inPosition);
-	if (!std::visit(folder, inProposal.body))
+	RecordProposer(ioState, inPosition, inProposal.id);
+	ProposalApplier applier(ioState, inPosition);
+	if (!std::visit(applier, inProposal.body))
 	{
-		verdict.error = LastReason().kind;
-		verdict.detail = LastReason().detail;
+		outcome.error = LastReason().kind;
+		outcome.detail = LastReason().detail;
 	}
-	return verdict;
+	return outcome;
 }
 
 std::vector<Verdict> FoldRecord(FleetState &ioState, LogOffset inOffset, std::string_view inRecord)
 {
-	LOOM_INVARIANT(inOffset >= ioState.next_offset, "records are folded in order and once");
-	std::vector<Verdict> verdicts;
+	LOOM_INVARIANT(inOffset >= ioState.next_offset, "records are applied once and in log order");
+	std::vector<Verdict> outcomes;
 	const std::optional<Batch> batch = DecodeBatch(inRecord);
 	if (!batch.has_value())
 	{
-		verdicts.push_back({{}, EProposal::Count, PositionAt(inOffset, 0), LastReason().kind, LastReason().detail});
+		outcomes.push_back({{}, EProposal::Count, PositionAt(inOffset, 0), LastReason().kind, LastReason().detail});
 	}
 	else
 	{
 		uint64 index = 0;
 		for (const Proposal &proposal : *batch)
-			verdicts.push_back(FoldProposal(ioState, PositionAt(inOffset, index++), proposal));
+			outcomes.push_back(FoldProposal(ioState, PositionAt(inOffset, index++), proposal));
 	}
 	ioState.next_offset = inOffset + 1;
-	return verdicts;
+	return outcomes;
 }
 
 } // namespace Loomreach
--- a/Loomreach/State/Fold.h
+++ b/Loomreach/State/Fold.h
@@ -1,5 +1,5 @@
-// The fold: one pure function that takes records in log order and accepts or rejects each proposal at its place.
-// All safety of the control side rests on it; leases and stewards only save work.
+// Applies records of the replicated log to the state, in log order, and accepts or rejects each proposal at its position. A deterministic
+// function without I/O. The safety of the control plane rests on it alone; leases and assigned planners only avoid duplicate work.
 
 #pragma once
 
@@ -9,23 +9,23 @@
 namespace Loomreach
 {
 
-/// What became of one proposal.
+/// Outcome of one proposal.
 struct Verdict
 {
 	ProposalId id;
 	EProposal kind = EProposal::Count;
 	LogPosition position = 0;
-	EError error = EError::None; ///< None: accepted.
+	EError error = EError::None; ///< `None` if it was accepted.
 	std::string detail;
 
 	bool Accepted() const { return this->error == EError::None; }
 };
 
-/// Folds one proposal at its position.
+/// Applies one proposal at its log position.
 Verdict FoldProposal(FleetState &ioState, LogPosition inPosition, const Proposal &inProposal);
 
-/// Folds the record at the state's next offset. A record that can't be decoded is skipped by everyone alike, with one verdict that says
-/// why.
+/// Applies the record at an offset not yet applied. A record that cannot be decoded changes nothing but the state's offset, on every entry
+/// host, and gives one outcome with the reason.
 std::vector<Verdict> FoldRecord(FleetState &ioState, LogOffset inOffset, std::string_view inRecord);
 
 } // namespace Loomreach
--- a/Loomreach/State/Records.cpp
+++ b/Loomreach/State/Records.cpp
@@ -53,7 +53,7 @@
 	{EProposal::TakeOver, "take-over"},
 	{EProposal::ZoneAlive, "zone-alive"},
 }};
-static_assert(std::variant_size_v<ProposalBody> == static_cast<size_t>(EProposal::Count), "one kind for each body");
+static_assert(std::variant_size_v<ProposalBody> == static_cast<size_t>(EProposal::Count), "one kind for each alternative of ProposalBody");
 
 Resources &Resources::operator+=(const Resources &inOther)
 {
@@ -71,9 +71,10 @@
 	return *this;
 }
 
-bool Resources::FitIn(const Resources &inRoom) const
+bool Resources::FitIn(const Resources &inCapacity) const
 {
-	return this->cpu_milli <= inRoom.cpu_milli && this->memory_mb <= inRoom.memory_mb && this->accelerators <= inRoom.accelerators;
+	return this->cpu_milli <= inCapacity.cpu_milli && this->memory_mb <= inCapacity.memory_mb &&
+		   this->accelerators <= inCapacity.accelerators;
 }
 
 std::string_view NameOfStep(EHostStep inStep) { return NameOf(cStepNames, inStep); }
@@ -90,7 +91,7 @@
 		return std::nullopt;
 	std::optional<Batch> batch = DecodeValue<Batch>(*bytes);
 	if (batch.has_value() && batch->size() > cMaxProposalsInBatch)
-		return Fail(EError::TooLarge, "more proposals than a batch may hold");
+		return Fail(EError::TooLarge, "more than 1024 proposals in a batch");
 	return batch;
 }
 
--- a/Loomreach/State/Records.h
+++ b/Loomreach/State/Records.h
@@ -1,4 +1,4 @@
-// The records that go through the platform's log: typed proposals with ids and preconditions, and the batch that one append carries.
+// Records of the replicated log: typed proposals with ids and preconditions, and the batch of proposals that one append writes.
 
 #pragma once
 
@@ -8,19 +8,18 @@
 namespace Loomreach
 {
 
-/// Offset of a record in a log stream, counted by the platform from 0.
+/// Offset of a record in a log stream, assigned by the platform, from 0.
 using LogOffset = uint64;
 
-/// Place of one proposal in the log: offset * cMaxProposalsInBatch + index in the batch + 1. 0 means "never".
+/// Position of one proposal in the log: offset * cMaxProposalsInBatch + index in the batch + 1. 0 means "never".
 using LogPosition = uint64;
 
 constexpr uint64 cMaxProposalsInBatch = 1024;
 constexpr size_t cMaxBatchBytes = 4U << 20;
 
-/// Position of a proposal.
 constexpr LogPosition PositionAt(LogOffset inOffset, uint64 inIndex) { return inOffset * cMaxProposalsInBatch + inIndex + 1; }
 
-/// Unique id of a proposal: the proposing process and its own count, which grows by one with each proposal.
+/// Unique id of a proposal: the incarnation of the proposing process and a sequence number that grows by one with each proposal.
 struct ProposalId
 {
 	uint64 incarnation = 0;
@@ -44,8 +43,8 @@
 	bool operator==(const Resources &) const = default;
 	Resources &operator+=(const Resources &inOther);
 	Resources &operator-=(const Resources &inOther);
-	/// Whether these fit into inRoom.
-	bool FitIn(const Resources &inRoom) const;
+	/// Whether no resource exceeds that of `inCapacity`.
+	bool FitIn(const Resources &inCapacity) const;
 	template <class Archive>
 	void serialize(Archive &ioArchive)
 	{
@@ -53,11 +52,11 @@
 	}
 };
 
-/// What the host list says of a host.
+/// Description of a host in the platform's host list.
 struct HostSpec
 {
 	std::string name;
-	Address address; ///< Of the worker's agent and endpoint.
+	Address address; ///< Address of the worker's agent and endpoint.
 	std::string region;
 	std::string availability_zone;
 	std::string rack;
@@ -89,33 +88,33 @@
 	}
 };
 
-/// A step of a host's life that a proposal asks for.
+/// Step of a host's lifecycle that a proposal requests.
 enum class EHostStep : uint8
 {
-	Drain,        ///< No new work from now on.
-	Undrain,      ///< Taken back before the reboot.
-	Drained,      ///< Nothing is in flight, by the endpoint's word and every entry host's.
-	Out,          ///< Handed over for its reboot.
-	Returned,     ///< Back, not yet seen healthy.
-	Healthy,      ///< Seen healthy.
-	Failed,       ///< Seen failing.
-	Quarantine,   ///< Many different jobs fail on it.
-	Unquarantine, ///< Trusted again.
-	Remove        ///< Gone from the host list for good.
+	Drain,        ///< Stop accepting new work.
+	Undrain,      ///< Return to service before the reboot.
+	Drained,      ///< Nothing is in flight, as reported by the endpoint and by every entry host.
+	Out,          ///< Taken out of service for its reboot.
+	Returned,     ///< Back from its reboot, not yet known to be healthy.
+	Healthy,      ///< Health check passed.
+	Failed,       ///< Health check failed.
+	Quarantine,   ///< Many different jobs failed on it.
+	Unquarantine, ///< Release from quarantine.
+	Remove        ///< Permanently removed from the host list.
 };
 
-/// Why a replica stops.
+/// Reason for stopping a replica.
 enum class EStopReason : uint8
 {
-	Undeclared, ///< The settings no longer ask for it.
-	Preempted,  ///< Gives way to a higher priority.
+	Undeclared, ///< No longer in the settings.
+	Preempted,  ///< Displaced by a replica of higher priority.
 	HostLost,   ///< Its host failed.
-	Finished,   ///< A batch replica ran to its end.
+	Finished,   ///< A batch replica ran to completion.
 	JobFailed,  ///< The task ended with a failure.
-	Cancelled   ///< An operator's wish.
+	Cancelled   ///< Cancelled by an operator.
 };
 
-/// What an operator asks of a wave.
+/// Operator's action on a wave.
 enum class EWaveAction : uint8
 {
 	Pause,
@@ -123,12 +122,12 @@
 	Cancel
 };
 
-/// Name of a step, a reason or an action, for logs and answers.
+/// Name of a step, a reason or an action, for logs and responses.
 std::string_view NameOfStep(EHostStep inStep);
 std::string_view NameOfStopReason(EStopReason inReason);
 std::string_view NameOfWaveAction(EWaveAction inAction);
 
-/// Replaces the whole settings tree, if base_version is still the one in force.
+/// Replaces the whole settings tree. Precondition: `base_version` is the version in force.
 struct ApplySettings
 {
 	LogPosition base_version = 0;
@@ -142,7 +141,7 @@
 	}
 };
 
-/// Makes a host known and puts it into its first pool.
+/// Adds a host to the fleet and to its first pool.
 struct AddHost
 {
 	HostSpec spec;
@@ -155,18 +154,18 @@
 	}
 };
 
-/// Stands for a wave in the drain of a host that the platform itself is about to take away.
+/// Used in place of a wave's name when a host is drained because the platform is about to remove it.
 constexpr std::string_view cPlatformDrain = "@platform";
 
-/// Takes a host one step further, if its generation is still the one given.
+/// Takes a host one step through its lifecycle. Precondition: `generation` is the host's present one.
 struct StepHost
 {
 	std::string host;
 	EHostStep step = EHostStep::Drain;
 	LogPosition generation = 0;
-	std::string wave; ///< Wave that the drain belongs to; empty: an operator's own.
+	std::string wave; ///< Wave that the drain belongs to; empty if an operator requested it.
 	std::string why;
-	uint64 boot = 0; ///< With Out: the boot that the host shows now; it has returned when it shows another.
+	uint64 boot = 0; ///< For `Out`: the host's present boot id; a different one shows that it has rebooted.
 
 	template <class Archive>
 	void serialize(Archive &ioArchive)
@@ -175,7 +174,7 @@
 	}
 };
 
-/// Moves a drained host to another pool.
+/// Moves a drained host to another pool. Precondition: `from_pool` and `generation` are the host's present ones.
 struct MoveHost
 {
 	std::string host;
@@ -190,12 +189,12 @@
 	}
 };
 
-/// Puts a replica onto a host. The placement's position in the log is its fencing generation.
+/// Places a replica on a host. The proposal's log position becomes the placement's fencing generation.
 struct PlaceReplica
 {
 	ReplicaKey replica;
 	std::string host;
-	LogPosition base_generation = 0; ///< Generation of the placement that this replaces; 0: there is none.
+	LogPosition base_generation = 0; ///< Precondition: generation of the placement to replace; 0 if there is none.
 
 	template <class Archive>
 	void serialize(Archive &ioArchive)
@@ -204,7 +203,7 @@
 	}
 };
 
-/// Ends a placement, if its generation is still the one given.
+/// Ends a placement. Precondition: `generation` is the placement's present one.
 struct StopReplica
 {
 	ReplicaKey replica;
@@ -218,14 +217,14 @@
 	}
 };
 
-/// Starts a maintenance wave over the hosts that match; an empty field matches all.
+/// Starts a maintenance wave over the hosts that match `pool`, `availability_zone` and `rack`; an empty one matches all hosts.
 struct StartWave
 {
 	std::string name;
 	std::string pool;
 	std::string availability_zone;
 	std::string rack;
-	int64 rolling_date_s = 0; ///< Of a pool's turn in the rolling plan, seconds since 1970; 0: an operator's wave.
+	int64 rolling_date_s = 0; ///< Date of the pool's turn in the rolling plan, seconds since 1970; 0: started by an operator.
 
 	template <class Archive>
 	void serialize(Archive &ioArchive)
@@ -234,7 +233,6 @@
 	}
 };
 
-/// Pauses, resumes or cancels a wave.
 struct ChangeWave
 {
 	std::string name;
@@ -247,7 +245,7 @@
 	}
 };
 
-/// One entry host in a membership view.
+/// An entry host in a membership view.
 struct Member
 {
 	std::string name;
@@ -265,12 +263,12 @@
 	}
 };
 
-/// Replaces the membership view, if base_view is still the present one.
+/// Replaces the membership view. Precondition: `base_view` is the number of the present one.
 struct ChangeView
 {
 	uint64 base_view = 0;
 	std::vector<Member> members;
-	bool reset = false; ///< Every holder of some claim range is gone; claims stay refused for the stated time.
+	bool reset = false; ///< All holders of some claim range are lost; claims are refused for claim_lease_ms + claim_quiet_ms.
 
 	template <class Archive>
 	void serialize(Archive &ioArchive)
@@ -279,7 +277,7 @@
 	}
 };
 
-/// A member has taken over the claims of these ranges for the present view.
+/// A member has copied the claims of these ranges and now holds them in the present view.
 struct TakeOver
 {
 	uint64 view = 0;
@@ -293,7 +291,7 @@
 	}
 };
 
-/// An availability zone that other zones may not hear by UDP tells by the log that it lives and reaches the platform.
+/// Log heartbeat: shows that an availability zone is alive and reaches the platform, although other zones may not hear it over UDP.
 struct ZoneAlive
 {
 	std::string availability_zone;
@@ -305,11 +303,11 @@
 	}
 };
 
-/// What a proposal asks for.
+/// Content of a proposal.
 using ProposalBody = std::variant<ApplySettings, AddHost, StepHost, MoveHost, PlaceReplica, StopReplica, StartWave, ChangeWave, ChangeView,
 								  TakeOver, ZoneAlive>;
 
-/// Kinds of proposals in the order of ProposalBody, for counters and for the priority of the append queue.
+/// Kinds of proposals, in the order of the alternatives of `ProposalBody`; used for metrics and for priorities in the append queue.
 enum class EProposal : uint8
 {
 	ApplySettings,
@@ -326,7 +324,6 @@
 	Count
 };
 
-/// One proposal.
 struct Proposal
 {
 	ProposalId id;
@@ -340,16 +337,15 @@
 	}
 };
 
-/// What one append carries: proposals of one process in the order of their sequence numbers.
+/// Record written by one append: proposals of one process in the order of their sequence numbers.
 using Batch = std::vector<Proposal>;
 
-/// Name of a kind of proposal.
 std::string_view NameOfProposal(EProposal inKind);
 
-/// Encodes a batch with its version and a hash over all of it.
+/// Encodes a batch in an envelope, with version and hash.
 std::string EncodeBatch(const Batch &inBatch);
 
-/// Decodes a batch. Nothing when it is cut short, damaged, too long or of an unknown version.
+/// Decodes a batch. Fails if it is truncated, damaged, too long or of an unknown version.
 std::optional<Batch> DecodeBatch(std::string_view inBytes);
 
 } // namespace Loomreach
--- a/Loomreach/State/Snapshot.cpp
+++ b/Loomreach/State/Snapshot.cpp
@@ -1,4 +1,4 @@
-// Cutting and assembling snapshots.
+// Splits and assembles snapshots.
 
 #include <Loomreach/Loomreach.h>
 
@@ -38,29 +38,30 @@
 	if (!piece.has_value())
 		return false;
 	if (piece->count == 0 || piece->count > cMaxPieces || piece->index >= piece->count)
-		return FailFalse(EError::Corrupt, "piece " + std::to_string(piece->index) + " of " + std::to_string(piece->count));
-	Gathering &gathering = this->gatherings[{piece->next_offset, piece->hash}];
-	if (gathering.count != 0 && gathering.count != piece->count)
-		return FailFalse(EError::Corrupt, "pieces disagree on their number");
-	gathering.count = piece->count;
-	gathering.pieces.emplace(piece->index, std::move(piece->bytes));
+		return FailFalse(EError::Corrupt,
+						 "invalid index or count: piece " + std::to_string(piece->index) + " of " + std::to_string(piece->count));
+	PartialSnapshot &partial = this->partial_snapshots[{piece->next_offset, piece->hash}];
+	if (partial.count != 0 && partial.count != piece->count)
+		return FailFalse(EError::Corrupt, "pieces of a snapshot disagree on the number of pieces");
+	partial.count = piece->count;
+	partial.pieces.emplace(piece->index, std::move(piece->bytes));
 	return true;
 }
 
 std::optional<FleetState> SnapshotAssembler::Newest() const
 {
-	for (auto entry = this->gatherings.rbegin(); entry != this->gatherings.rend(); ++entry)
+	for (auto entry = this->partial_snapshots.rbegin(); entry != this->partial_snapshots.rend(); ++entry)
 	{
-		const auto &[name, gathering] = *entry;
-		if (gathering.pieces.size() != gathering.count)
+		const auto &[key, partial] = *entry;
+		if (partial.pieces.size() != partial.count)
 			continue;
-		std::string whole;
-		for (const auto &[index, bytes] : gathering.pieces)
-			whole += bytes;
-		if (HashBytes(whole) != name.second)
+		std::string encoded;
+		for (const auto &[index, bytes] : partial.pieces)
+			encoded += bytes;
+		if (HashBytes(encoded) != key.second)
 			continue;
-		std::optional<FleetState> state = DecodeState(whole);
-		if (state.has_value() && state->next_offset == name.first)
+		std::optional<FleetState> state = DecodeState(encoded);
+		if (state.has_value() && state->next_offset == key.first)
 			return state;
 	}
 	return Fail(EError::NotFound, "no complete snapshot");
--- a/Loomreach/State/Snapshot.h
+++ b/Loomreach/State/Snapshot.h
@@ -1,5 +1,5 @@
-// Snapshots in pieces: the accepted state is cut into records of a stream of its own, and put together again
-// only when every piece is there and the whole matches its hash.
+// Splits an encoded state into pieces that fit into log records, and assembles snapshots from such records. Snapshots have a log stream of
+// their own. A snapshot is used only if all of its pieces were read and the whole matches its hash.
 
 #pragma once
 
@@ -11,8 +11,8 @@
 /// One piece of a snapshot.
 struct SnapshotPiece
 {
-	LogOffset next_offset = 0; ///< First offset of the log that the snapshot does not hold; names the snapshot.
-	uint64 hash = 0;           ///< Of the whole snapshot.
+	LogOffset next_offset = 0; ///< First log offset not included in the snapshot; identifies it together with the hash.
+	uint64 hash = 0;           ///< Hash of the whole snapshot.
 	uint32 index = 0;
 	uint32 count = 0;
 	std::string bytes;
@@ -24,27 +24,27 @@
 	}
 };
 
-/// Cuts an encoded state into sealed pieces, each small enough for one record.
+/// Splits an encoded state into pieces in envelopes, each small enough for one record.
 std::vector<std::string> CutSnapshot(LogOffset inNextOffset, std::string_view inEncodedState);
 
-/// Puts snapshots together from the pieces of a stream, in any order, doubled or with others in between.
+/// Assembles snapshots from pieces, which may come in any order, repeatedly, and mixed with those of other snapshots.
 class SnapshotAssembler
 {
 public:
-	/// Takes one record of the stream. False, with the reason, when it is no whole piece; it then changes nothing.
+	/// Adds a record of the snapshot stream. Returns false, with the last reason set and nothing changed, if it is not a valid piece.
 	bool Add(std::string_view inRecord);
-	/// The newest snapshot that is complete and whole, decoded.
+	/// Decodes the newest snapshot that is complete and matches its hash; fails with not-found if there is none.
 	std::optional<FleetState> Newest() const;
 
 private:
-	/// Pieces gathered of one snapshot.
-	struct Gathering
+	/// Pieces of one snapshot read so far.
+	struct PartialSnapshot
 	{
 		uint32 count = 0;
 		std::map<uint32, std::string> pieces;
 	};
-	/// Snapshots are told apart by offset and hash: two writers may have cut the same offset.
-	std::map<std::pair<LogOffset, uint64>, Gathering> gatherings;
+	/// By offset and hash, since two writers may have written different snapshots at the same offset.
+	std::map<std::pair<LogOffset, uint64>, PartialSnapshot> partial_snapshots;
 };
 
 } // namespace Loomreach
