--- a/Loomreach/Member/PeerMessages.cpp
+++ b/Loomreach/Member/PeerMessages.cpp
@@ -1,4 +1,4 @@
-// Sealing and opening of messages between entry hosts.
+// Encoding and authentication of messages between entry hosts.
 
 #include <Loomreach/Loomreach.h>
 
@@ -14,7 +14,7 @@
 
 static constexpr uint8 cDigestVersion = 1;
 static constexpr uint8 cFrameVersion = 1;
-static constexpr size_t cCodeBytes = 16;
+static constexpr size_t cAuthenticationCodeBytes = 16;
 static constexpr size_t cSha256Bytes = 32;
 static constexpr size_t cTagCharacters = 12;
 
@@ -28,7 +28,7 @@
 	g_hmac_update(hmac, reinterpret_cast<const guchar *>(inBytes.data()), static_cast<gssize>(inBytes.size()));
 	g_hmac_get_digest(hmac, code.data(), &length);
 	g_hmac_unref(hmac);
-	return std::string(reinterpret_cast<const char *>(code.data()), cCodeBytes);
+	return std::string(reinterpret_cast<const char *>(code.data()), cAuthenticationCodeBytes);
 }
 
 std::string PeerCodec::Seal(std::string inEnvelope) const
@@ -38,23 +38,23 @@
 	return inEnvelope;
 }
 
-std::optional<std::string_view> PeerCodec::CheckCode(std::string_view inBytes) const
+std::optional<std::string_view> PeerCodec::CheckAuthentication(std::string_view inBytes) const
 {
-	if (inBytes.size() < cCodeBytes)
+	if (inBytes.size() < cAuthenticationCodeBytes)
 		return Fail(EError::Corrupt, "shorter than its authentication code");
-	const std::string_view envelope = inBytes.substr(0, inBytes.size() - cCodeBytes);
+	const std::string_view envelope = inBytes.substr(0, inBytes.size() - cAuthenticationCodeBytes);
 	const std::string_view code = inBytes.substr(envelope.size());
 	const std::string expected = this->Authenticate(envelope);
-	// The comparison takes the same time wherever the codes differ
+	// Constant-time comparison, so that the time taken does not tell where the codes differ
 	uint8 difference = 0;
-	for (size_t i = 0; i < cCodeBytes; ++i)
+	for (size_t i = 0; i < cAuthenticationCodeBytes; ++i)
 		difference |= static_cast<uint8>(code[i] ^ expected[i]);
 	if (difference != 0)
 		return Fail(EError::Forged, "wrong authentication code");
 	return envelope;
 }
 
-/// Opens an authenticated envelope and decodes its value.
+/// Opens an envelope whose authentication code has been checked, and decodes its value.
 template <class T>
 static std::optional<T> Open(std::optional<std::string_view> inEnvelope, EEnvelope inKind, uint8 inVersion, size_t inMaxBytes)
 {
@@ -73,7 +73,7 @@
 
 std::optional<Digest> PeerCodec::OpenDigest(std::string_view inBytes) const
 {
-	return Open<Digest>(this->CheckCode(inBytes), EEnvelope::Datagram, cDigestVersion, cMaxDatagramBytes);
+	return Open<Digest>(this->CheckAuthentication(inBytes), EEnvelope::Datagram, cDigestVersion, cMaxDatagramBytes);
 }
 
 std::string PeerCodec::SealAsk(const AskFrame &inFrame) const
@@ -83,7 +83,7 @@
 
 std::optional<AskFrame> PeerCodec::OpenAsk(std::string_view inBytes) const
 {
-	return Open<AskFrame>(this->CheckCode(inBytes), EEnvelope::Frame, cFrameVersion, cMaxAskBytes);
+	return Open<AskFrame>(this->CheckAuthentication(inBytes), EEnvelope::Frame, cFrameVersion, cMaxAskBytes);
 }
 
 std::string PeerCodec::SealReply(const ReplyFrame &inFrame) const
@@ -93,7 +93,7 @@
 
 std::optional<ReplyFrame> PeerCodec::OpenReply(std::string_view inBytes) const
 {
-	return Open<ReplyFrame>(this->CheckCode(inBytes), EEnvelope::Frame, cFrameVersion, cMaxReplyBytes);
+	return Open<ReplyFrame>(this->CheckAuthentication(inBytes), EEnvelope::Frame, cFrameVersion, cMaxReplyBytes);
 }
 
 std::string PeerCodec::Tag(std::string_view inText) const
--- a/Loomreach/Member/PeerMessages.h
+++ b/Loomreach/Member/PeerMessages.h
@@ -1,5 +1,5 @@
-// Messages between entry hosts: the UDP digest and the frames of the TCP exchange, each with a version, a length limit,
-// and an authentication code over all of it.
+// Messages between entry hosts: the heartbeat datagram (UDP) and the request and reply frames (TCP). Each has a version, a length limit and
+// an authentication code over the whole message, so that a message that is forged, damaged or of another version is never decoded.
 
 #pragma once
 
@@ -9,10 +9,10 @@
 namespace Loomreach
 {
 
-/// Requests of a service at one entry host that wait or are in flight.
+/// Number of requests for a service that wait or are in flight at one entry host.
 struct ServiceDemand
 {
-	uint32 service = 0; ///< Hash of the job's path, shortened.
+	uint32 service = 0; ///< 32-bit hash of the job's path.
 	uint16 requests = 0;
 
 	template <class Archive>
@@ -22,7 +22,7 @@
 	}
 };
 
-/// How far a member of the sender's availability zone has read, as the sender last heard.
+/// Log offset up to which a member of the sender's availability zone has read, as last reported to the sender.
 struct ZoneMember
 {
 	std::string name;
@@ -35,22 +35,22 @@
 	}
 };
 
-/// The heartbeat: who lives, how far it has read, and what changes every second.
+/// Heartbeat message: identity and log offset of an entry host, and state that changes from second to second.
 struct Digest
 {
 	std::string name;
 	uint64 incarnation = 0;
-	uint64 sequence = 0; ///< Grows with each datagram of the incarnation; an older or equal one is a replay.
+	uint64 sequence = 0; ///< Increases with each datagram of the incarnation; one that is not greater than the last is a replay.
 	std::string availability_zone;
 	Address peers;
 	LogOffset next_offset = 0;
 	bool reaches_platform = false;
-	bool zone_reaches_platform = false; ///< Some live member of its availability zone does.
+	bool zone_reaches_platform = false; ///< Some live member of its availability zone reaches the platform.
 	bool stopping = false;
-	std::vector<std::string> busy_hosts;    ///< Draining hosts to which it has requests in flight.
-	std::vector<std::string> leaving_hosts; ///< Hosts whose own sign or listing says that they are leaving.
-	std::vector<ServiceDemand> demands;     ///< To members of the own availability zone only.
-	std::vector<ZoneMember> zone_members;   ///< To members of other availability zones only.
+	std::vector<std::string> busy_hosts;    ///< Draining hosts to which the sender has requests in flight.
+	std::vector<std::string> leaving_hosts; ///< Hosts that report, or are listed by the platform, as leaving.
+	std::vector<ServiceDemand> demands;     ///< Sent only to members of the sender's availability zone.
+	std::vector<ZoneMember> zone_members;   ///< Sent only to members of other availability zones.
 
 	template <class Archive>
 	void serialize(Archive &ioArchive)
@@ -61,7 +61,7 @@
 	}
 };
 
-/// Asks for records from an offset on.
+/// Requests log records from an offset on.
 struct FetchRecords
 {
 	LogOffset from = 0;
@@ -73,7 +73,7 @@
 	}
 };
 
-/// Asks for the whole accepted state.
+/// Requests the whole replicated state.
 struct FetchState
 {
 	template <class Archive>
@@ -82,7 +82,7 @@
 	}
 };
 
-/// Asks for an id to be bound to the asker.
+/// Requests that an id be bound to the sender.
 struct AskClaim
 {
 	std::string id;
@@ -97,7 +97,7 @@
 	}
 };
 
-/// Asks a holder for its claims of some ranges.
+/// Requests a holder's claims of some ranges.
 struct AskHandOver
 {
 	uint64 view = 0;
@@ -112,7 +112,7 @@
 
 using PeerAsk = std::variant<FetchRecords, FetchState, AskClaim, AskHandOver>;
 
-/// A record of the log as a peer passes it on.
+/// A log record relayed by a peer.
 struct PassedRecord
 {
 	LogOffset offset = 0;
@@ -125,7 +125,7 @@
 	}
 };
 
-/// Records without a gap, from the offset asked for.
+/// Consecutive records from the requested offset on.
 struct RecordsReply
 {
 	std::vector<PassedRecord> records;
@@ -137,7 +137,7 @@
 	}
 };
 
-/// An encoded state.
+/// The encoded replicated state.
 struct StateReply
 {
 	std::string state;
@@ -149,7 +149,7 @@
 	}
 };
 
-/// The answer to a claim.
+/// Reply to a claim.
 struct ClaimReply
 {
 	EClaim answer = EClaim::NotReady;
@@ -162,7 +162,7 @@
 	}
 };
 
-/// Claims of the ranges that the holder could hand over.
+/// Claims of those requested ranges that the holder could hand over.
 struct HandOverReply
 {
 	std::vector<std::pair<uint32, std::vector<Claim>>> ranges;
@@ -174,7 +174,7 @@
 	}
 };
 
-/// The peer could not answer.
+/// The peer could not serve the request.
 struct RefusedReply
 {
 	std::string why;
@@ -188,7 +188,7 @@
 
 using PeerReply = std::variant<RecordsReply, StateReply, ClaimReply, HandOverReply, RefusedReply>;
 
-/// A question with the nonce that binds its reply to it.
+/// A request with a nonce that its reply repeats.
 struct AskFrame
 {
 	uint64 nonce = 0;
@@ -201,7 +201,7 @@
 	}
 };
 
-/// A reply to the question with the same nonce.
+/// The reply to the request with the same nonce.
 struct ReplyFrame
 {
 	uint64 nonce = 0;
@@ -218,10 +218,11 @@
 constexpr size_t cMaxAskBytes = 64U << 10;
 constexpr size_t cMaxReplyBytes = 64U << 20;
 
-/// Short hash of a job's path, as demands carry it.
+/// 32-bit hash of a job's path, as used in `ServiceDemand`.
 uint32 ServiceHash(std::string_view inJob);
 
-/// Seals and opens messages with the key that all entry hosts share.
+/// Encodes and authenticates messages, and checks and decodes them, with the key shared by all entry hosts. Opening fails with corrupt,
+/// forged, unknown-version or too-large.
 class PeerCodec
 {
 public:
@@ -233,13 +234,13 @@
 	std::optional<AskFrame> OpenAsk(std::string_view inBytes) const;
 	std::string SealReply(const ReplyFrame &inFrame) const;
 	std::optional<ReplyFrame> OpenReply(std::string_view inBytes) const;
-	/// Authentication code of a short text, in hex, for issued ids.
+	/// Returns a shortened authentication code of a text in hex, used in issued ids.
 	std::string Tag(std::string_view inText) const;
 
 private:
 	std::string Authenticate(std::string_view inBytes) const;
 	std::string Seal(std::string inEnvelope) const;
-	std::optional<std::string_view> CheckCode(std::string_view inBytes) const;
+	std::optional<std::string_view> CheckAuthentication(std::string_view inBytes) const;
 
 	std::string key;
 };
--- a/Loomreach/Member/PeerTracker.cpp
+++ b/Loomreach/Member/PeerTracker.cpp
@@ -1,4 +1,4 @@
-// Liveness by heartbeats, and the choice of stewards.
+// Liveness by heartbeats, and the choice of assigned planners.
 
 #include <Loomreach/Loomreach.h>
 
@@ -9,34 +9,35 @@
 {
 
 static constexpr size_t cMaxIncarnations = 8192;
-/// Words by the log are as far apart as a suspicion, so two may be missed before a zone counts as silent.
-static constexpr Millis cLogBeatsToSuspect = 3;
+/// Multiple of the suspicion time after which a zone without a log heartbeat is unresponsive. Log heartbeats are further apart than
+/// heartbeat messages, and a late one must not make the zone unresponsive.
+static constexpr Millis cLogHeartbeatTimeoutFactor = 3;
 
 bool PeerTracker::Hear(Digest inDigest, Millis inNow)
 {
-	auto known = this->sequences.find(inDigest.incarnation);
-	if (known != this->sequences.end() && inDigest.sequence <= known->second.sequence)
-		return FailFalse(EError::Replayed, "sequence " + std::to_string(inDigest.sequence) + " was heard before");
+	auto known = this->incarnations.find(inDigest.incarnation);
+	if (known != this->incarnations.end() && inDigest.sequence <= known->second.sequence)
+		return FailFalse(EError::Replayed, "sequence " + std::to_string(inDigest.sequence) + " was heard before from this incarnation");
 	auto peer = this->peers.find(inDigest.name);
-	// While another incarnation of the same name is heard, datagrams of one that was heard before are late or replayed
-	const bool is_new_incarnation = known == this->sequences.end();
-	const bool other_lives = peer != this->peers.end() && peer->second.digest.incarnation != inDigest.incarnation &&
-							 inNow - peer->second.heard < this->suspect_after;
-	if (!is_new_incarnation && other_lives)
-		return FailFalse(EError::Replayed, "an earlier incarnation of " + inDigest.name);
+	// While another incarnation of the same name is live, datagrams of an incarnation known before are late or replayed
+	const bool is_new_incarnation = known == this->incarnations.end();
+	const bool other_is_live = peer != this->peers.end() && peer->second.digest.incarnation != inDigest.incarnation &&
+							   inNow - peer->second.heard < this->suspect_after;
+	if (!is_new_incarnation && other_is_live)
+		return FailFalse(EError::Replayed, "datagram of an earlier incarnation of " + inDigest.name);
 	if (is_new_incarnation)
 	{
-		this->sequence_order.push_back(inDigest.incarnation);
-		if (this->sequence_order.size() > cMaxIncarnations)
+		this->incarnation_order.push_back(inDigest.incarnation);
+		if (this->incarnation_order.size() > cMaxIncarnations)
 		{
-			this->sequences.erase(this->sequence_order.front());
-			this->sequence_order.pop_front();
+			this->incarnations.erase(this->incarnation_order.front());
+			this->incarnation_order.pop_front();
 		}
 	}
-	this->sequences[inDigest.incarnation] = {inDigest.sequence, inNow};
+	this->incarnations[inDigest.incarnation] = {inDigest.sequence, inNow};
 	for (const ZoneMember &member : inDigest.zone_members)
 	{
-		LogOffset &offset = this->far_offsets[member.name];
+		LogOffset &offset = this->remote_offsets[member.name];
 		offset = std::max(offset, member.next_offset);
 	}
 	std::string name = inDigest.name;
@@ -48,17 +49,17 @@
 {
 	for (const auto &[zone_name, position] : inState.zones_alive)
 	{
-		LogBeat &beat = this->log_beats[zone_name];
-		if (position <= beat.position)
+		LogHeartbeat &heartbeat = this->log_heartbeats[zone_name];
+		if (position <= heartbeat.position)
 			continue;
-		beat = {position, inNow};
+		heartbeat = {position, inNow};
 	}
 }
 
 bool PeerTracker::IsZoneAliveByLog(const std::string &inZone, Millis inNow) const
 {
-	auto beat = this->log_beats.find(inZone);
-	return beat != this->log_beats.end() && inNow - beat->second.heard < cLogBeatsToSuspect * this->suspect_after;
+	auto heartbeat = this->log_heartbeats.find(inZone);
+	return heartbeat != this->log_heartbeats.end() && inNow - heartbeat->second.heard < cLogHeartbeatTimeoutFactor * this->suspect_after;
 }
 
 const Peer *PeerTracker::Find(const std::string &inName) const
@@ -82,9 +83,9 @@
 LogOffset PeerTracker::ReadOffset(const std::string &inName) const
 {
 	const Peer *peer = this->Find(inName);
-	auto far_offset = this->far_offsets.find(inName);
-	const LogOffset told = far_offset == this->far_offsets.end() ? 0 : far_offset->second;
-	return std::max(told, peer == nullptr ? 0 : peer->digest.next_offset);
+	auto remote_offset = this->remote_offsets.find(inName);
+	const LogOffset reported = remote_offset == this->remote_offsets.end() ? 0 : remote_offset->second;
+	return std::max(reported, peer == nullptr ? 0 : peer->digest.next_offset);
 }
 
 std::vector<ZoneMember> PeerTracker::ZoneMembers(Millis inNow) const
@@ -98,8 +99,8 @@
 
 std::optional<Millis> PeerTracker::IncarnationLastHeard(uint64 inIncarnation) const
 {
-	auto mark = this->sequences.find(inIncarnation);
-	return mark == this->sequences.end() ? std::nullopt : std::optional(mark->second.heard);
+	auto record = this->incarnations.find(inIncarnation);
+	return record == this->incarnations.end() ? std::nullopt : std::optional(record->second.heard);
 }
 
 std::optional<Millis> PeerTracker::ZoneLastDatagram(const std::string &inZone) const
@@ -114,9 +115,9 @@
 std::optional<Millis> PeerTracker::ZoneLastHeard(const std::string &inZone) const
 {
 	const std::optional<Millis> heard = this->ZoneLastDatagram(inZone);
-	auto beat = this->log_beats.find(inZone);
-	if (beat != this->log_beats.end() && (!heard.has_value() || beat->second.heard > *heard))
-		return beat->second.heard;
+	auto heartbeat = this->log_heartbeats.find(inZone);
+	if (heartbeat != this->log_heartbeats.end() && (!heard.has_value() || heartbeat->second.heard > *heard))
+		return heartbeat->second.heard;
 	return heard;
 }
 
@@ -124,7 +125,7 @@
 {
 	const Peer *latest = nullptr;
 	for (const auto &[name, peer] : this->peers)
-		if (peer.digest.availability_zone == inZone && inNow - peer.heard < this->far_suspect_after &&
+		if (peer.digest.availability_zone == inZone && inNow - peer.heard < this->remote_suspect_after &&
 			(latest == nullptr || peer.heard > latest->heard))
 			latest = &peer;
 	return latest == nullptr ? nullptr : &latest->digest;
@@ -153,25 +154,25 @@
 	if (own == inView.members.end())
 		return;
 	this->self_zone = own->second.availability_zone;
-	this->counts = inSelfReachesPlatform && !inSelfStopping;
+	this->is_candidate = inSelfReachesPlatform && !inSelfStopping;
 	std::set<std::string> eligible;
 	std::set<std::string> heard = {this->self_zone};
 	for (const auto &[name, member] : inView.members)
 	{
 		if (member.availability_zone != this->self_zone)
 		{
-			this->silent_zones.insert(member.availability_zone);
+			this->unresponsive_zones.insert(member.availability_zone);
 			continue;
 		}
 		const bool is_self = name == inSelf;
 		const Peer *peer = is_self || !inTracker.IsLive(name, inNow) ? nullptr : inTracker.Find(name);
-		const bool reaches = is_self ? this->counts : peer != nullptr && peer->digest.reaches_platform && !peer->digest.stopping;
+		const bool reaches = is_self ? this->is_candidate : peer != nullptr && peer->digest.reaches_platform && !peer->digest.stopping;
 		if (!reaches)
 			continue;
 		eligible.insert(this->self_zone);
 		this->zone_members.push_back(name);
 	}
-	for (const std::string &zone : this->silent_zones)
+	for (const std::string &zone : this->unresponsive_zones)
 	{
 		const Digest *digest = inTracker.LiveDigestOf(zone, inNow);
 		const bool by_log = inTracker.IsZoneAliveByLog(zone, inNow);
@@ -181,16 +182,16 @@
 			eligible.insert(zone);
 	}
 	for (const std::string &zone : heard)
-		this->silent_zones.erase(zone);
+		this->unresponsive_zones.erase(zone);
 	this->zones.assign(eligible.begin(), eligible.end());
 }
 
 bool StewardPicker::IsMineIn(std::string_view inKey, const std::string &inZone) const
 {
-	if (!this->counts)
+	if (!this->is_candidate)
 		return false;
-	const bool zone_serves = std::find(this->zones.begin(), this->zones.end(), inZone) != this->zones.end();
-	const std::string_view zone = zone_serves ? std::string_view(inZone) : RendezvousOwner(inKey, this->zones);
+	const bool zone_is_eligible = std::find(this->zones.begin(), this->zones.end(), inZone) != this->zones.end();
+	const std::string_view zone = zone_is_eligible ? std::string_view(inZone) : RendezvousOwner(inKey, this->zones);
 	return zone == this->self_zone && RendezvousOwner(inKey, this->zone_members) == this->self;
 }
 
--- a/Loomreach/Member/PeerTracker.h
+++ b/Loomreach/Member/PeerTracker.h
@@ -1,5 +1,6 @@
-// What one entry host has heard from the others by UDP: who lives, how far each has read, and what each reports.
-// Suspicion is local and only picks stewards; membership changes by accepted records alone. Pure.
+// Liveness and last report of the other entry hosts, from their heartbeat messages and the log, and the choice of assigned planners.
+// Suspicion is a local judgement that only influences this choice and the proposals made; the membership itself changes only by accepted
+// proposals. Does no I/O; the caller passes the time in.
 
 #pragma once
 
@@ -8,100 +9,104 @@
 namespace Loomreach
 {
 
-/// A peer as last heard.
+/// Last heartbeat message of a peer, and when it was received.
 struct Peer
 {
 	Digest digest;
 	Millis heard = 0;
 };
 
-/// The tracker.
+/// Tracks the liveness of entry hosts and availability zones.
 class PeerTracker
 {
 public:
-	/// Members of the own zone beat often, those of other zones seldom and to one of us in turn; each has its silence that is suspect.
-	PeerTracker(std::string inSelf, std::string inZone, Millis inSuspectAfter, Millis inFarSuspectAfter)
-		: self(std::move(inSelf)), zone(std::move(inZone)), suspect_after(inSuspectAfter), far_suspect_after(inFarSuspectAfter)
+	/// `inSuspectAfter`: time without a heartbeat message after which a member of the own zone is suspected. `inRemoteSuspectAfter`: the
+	/// same for another zone, whose members send less often and to the members of this zone in turn.
+	PeerTracker(std::string inSelf, std::string inZone, Millis inSuspectAfter, Millis inRemoteSuspectAfter)
+		: self(std::move(inSelf)), zone(std::move(inZone)), suspect_after(inSuspectAfter), remote_suspect_after(inRemoteSuspectAfter)
 	{
 	}
 
-	/// Takes a digest. False, with replayed, for one that is not newer than the last of its incarnation.
+	/// Processes a heartbeat message. Fails with replayed if it is not newer than the last one of its incarnation, or if the incarnation
+	/// has been replaced by a live one of the same name.
 	bool Hear(Digest inDigest, Millis inNow);
-	/// Takes note of zones that told by the log that they live.
+	/// Processes the log heartbeats of zones.
 	void HearLog(const FleetState &inState, Millis inNow);
-	/// Whether a zone told lately by the log that it lives: it reaches the platform although it may not be heard.
+	/// Whether a zone has written a recent log heartbeat: it reaches the platform even if it is not heard over UDP.
 	bool IsZoneAliveByLog(const std::string &inZone, Millis inNow) const;
-	/// The peer as last heard, or nullptr.
+	/// Returns the peer, or nullptr if it has never been heard.
 	const Peer *Find(const std::string &inName) const;
-	/// Whether a peer was heard lately.
+	/// Whether a peer was heard within the suspicion time of the own zone.
 	bool IsLive(const std::string &inName, Millis inNow) const;
-	/// The latest digest of a zone that was heard lately, or nullptr.
+	/// Returns the latest heartbeat message from a zone, or nullptr if it is older than the zone's suspicion time.
 	const Digest *LiveDigestOf(const std::string &inZone, Millis inNow) const;
-	/// Whether a member of the view counts as heard: itself in the own zone, any of its zone in another.
+	/// Whether a member of the view is considered live: in the own zone by its own heartbeat messages, in another zone by those of any
+	/// member of that zone.
 	bool IsHeard(const Member &inMember, Millis inNow) const;
-	/// When a peer was last heard, if ever.
+	/// Time of a peer's last heartbeat message, if any.
 	std::optional<Millis> LastHeard(const std::string &inName) const;
-	/// When a datagram of an incarnation was last heard, if ever.
+	/// Time of an incarnation's last heartbeat message, if any.
 	std::optional<Millis> IncarnationLastHeard(uint64 inIncarnation) const;
-	/// When any peer of an availability zone was last heard by UDP, if ever.
+	/// Time of the last heartbeat message from any peer of a zone, if any.
 	std::optional<Millis> ZoneLastDatagram(const std::string &inZone) const;
-	/// When any peer of an availability zone was last heard, by UDP or by the log, if ever.
+	/// Time of the last heartbeat of a zone, by message or by log, if any.
 	std::optional<Millis> ZoneLastHeard(const std::string &inZone) const;
-	/// How far a member has read, as heard from itself or from a member of its availability zone. 0: never heard.
+	/// Log offset up to which a member has read, as reported by itself or by a member of its zone; 0 if never reported.
 	LogOffset ReadOffset(const std::string &inName) const;
-	/// Members of the own availability zone that live, with how far they have read.
+	/// Live members of the own zone and the log offsets up to which they have read.
 	std::vector<ZoneMember> ZoneMembers(Millis inNow) const;
-	/// All peers as last heard.
+	/// All peers by name.
 	const std::map<std::string, Peer> &All() const { return this->peers; }
-	/// Whether some live peer of the own availability zone reaches the platform.
+	/// Whether some live peer of the own zone reaches the platform.
 	bool ZoneReachesPlatform(Millis inNow) const;
 
 private:
 	std::string self;
 	std::string zone;
 	Millis suspect_after;
-	Millis far_suspect_after;
+	Millis remote_suspect_after;
 	std::map<std::string, Peer> peers;
-	/// A zone's last word by the log.
-	struct LogBeat
+	/// Last log heartbeat of a zone.
+	struct LogHeartbeat
 	{
 		LogPosition position = 0;
 		Millis heard = 0;
 	};
-	std::map<std::string, LogBeat> log_beats;
-	std::map<std::string, LogOffset> far_offsets; ///< Of members of other zones, as their zone mates tell.
-	/// The last datagram of an incarnation.
-	struct IncarnationMark
+	std::map<std::string, LogHeartbeat> log_heartbeats;
+	std::map<std::string, LogOffset> remote_offsets; ///< By member of another zone, as reported by any member of that zone.
+	/// Last datagram of an incarnation.
+	struct IncarnationRecord
 	{
 		uint64 sequence = 0;
 		Millis heard = 0;
 	};
-	std::map<uint64, IncarnationMark> sequences; ///< Of each incarnation heard; bounded.
-	std::deque<uint64> sequence_order;
+	std::map<uint64, IncarnationRecord> incarnations; ///< By incarnation; bounded.
+	std::deque<uint64> incarnation_order;             ///< Incarnations in `incarnations`, oldest first.
 };
 
-/// Picks stewards: the one entry host that plans for a pool, keeps a host or tends the membership. Every entry host picks alone;
-/// when two pick differently both plan, and the fold rejects what comes second.
+/// Determines the assigned planner of a key: the one entry host that plans for a pool, a host or the membership, by rendezvous hashing.
+/// Every entry host decides this alone. If two decide differently, both plan, and the second proposal is rejected when it is applied.
 class StewardPicker
 {
 public:
-	/// `inSelfStopping`: a planned stop has begun, so this entry host picks itself for nothing.
+	/// `inSelfStopping`: a planned stop has begun, so this entry host is assigned nothing.
 	StewardPicker(const View &inView, const PeerTracker &inTracker, const std::string &inSelf, bool inSelfReachesPlatform,
 				  bool inSelfStopping, Millis inNow);
-	/// Whether this entry host is the steward of a key, over all availability zones.
+	/// Whether this entry host is the assigned planner of a key, chosen from all availability zones.
 	bool IsMine(std::string_view inKey) const;
-	/// Whether this entry host is the steward of a key that belongs to an availability zone; another zone's member when that zone has none.
+	/// Whether this entry host is the assigned planner of a key that belongs to an availability zone. If that zone has no eligible member,
+	/// the planner is chosen from the other zones.
 	bool IsMineIn(std::string_view inKey, const std::string &inZone) const;
-	/// Availability zones of the view of which no member has been heard lately.
-	const std::set<std::string> &SilentZones() const { return this->silent_zones; }
+	/// Availability zones of the view from which no recent heartbeat was received, by message or by log.
+	const std::set<std::string> &SilentZones() const { return this->unresponsive_zones; }
 
 private:
 	std::string self;
 	std::string self_zone;
 	std::vector<std::string> zones;        ///< Zones with a live member that reaches the platform.
 	std::vector<std::string> zone_members; ///< Live members of the own zone that reach the platform.
-	std::set<std::string> silent_zones;
-	bool counts = false; ///< This entry host is itself a candidate.
+	std::set<std::string> unresponsive_zones;
+	bool is_candidate = false; ///< Whether this entry host may be assigned anything.
 };
 
 } // namespace Loomreach
--- a/Loomreach/Member/ViewPlanner.cpp
+++ b/Loomreach/Member/ViewPlanner.cpp
@@ -8,19 +8,20 @@
 namespace Loomreach
 {
 
-/// Whether a member has been silent for so long that it should leave the view.
-static bool IsGone(const ViewInputs &inInputs, const Member &inMember)
+/// Whether a member has been unresponsive for so long that it should be removed from the view.
+static bool ShouldRemove(const ViewInputs &inInputs, const Member &inMember)
 {
-	// A new incarnation that is heard under the same name proves the old one gone, once that is silent. What was heard of an
-	// incarnation before the view's proves nothing: this entry host may have been cut off from the newer one
+	// A live new incarnation of the same name proves that the member's incarnation has ended, once that one is no longer heard. Another
+	// live incarnation proves nothing if the member's was never heard: it may be the older one, and this entry host cut off from the newer
+	// one
 	const Peer *peer = inInputs.tracker.Find(inMember.name);
 	const std::optional<Millis> own_last = inInputs.tracker.IncarnationLastHeard(inMember.incarnation);
-	const bool followed =
+	const bool is_replaced =
 		peer != nullptr && peer->digest.incarnation != inMember.incarnation && inInputs.tracker.IsLive(inMember.name, inInputs.now);
-	if (followed && own_last.has_value() && inInputs.now - *own_last >= inInputs.suspect_after)
+	if (is_replaced && own_last.has_value() && inInputs.now - *own_last >= inInputs.suspect_after)
 		return true;
 	const bool same_zone = inMember.availability_zone == inInputs.self.availability_zone;
-	// Members of other zones beat to only some of us, so there the whole zone must be silent
+	// Members of other zones send heartbeats to only some members of this one, so the whole zone must be unresponsive
 	const std::optional<Millis> heard =
 		same_zone ? inInputs.tracker.LastHeard(inMember.name) : inInputs.tracker.ZoneLastHeard(inMember.availability_zone);
 	const Millis since = std::max(heard.value_or(inInputs.listening_since), inInputs.listening_since);
@@ -28,7 +29,7 @@
 }
 
 /// Whether some claim range would lose its last holder.
-static bool LosesRange(const FleetState &inState, const std::vector<Member> &inMembers)
+static bool LosesClaimRange(const FleetState &inState, const std::vector<Member> &inMembers)
 {
 	for (const std::set<std::string> &holders : inState.claim_holders)
 	{
@@ -70,7 +71,7 @@
 	{
 		if (name == inInputs.self.name)
 			continue;
-		if (IsGone(inInputs, member))
+		if (ShouldRemove(inInputs, member))
 			removes = true;
 		else
 			members.push_back(member);
@@ -79,7 +80,7 @@
 		return std::nullopt;
 	members.push_back(inInputs.self);
 	ChangeView change{view.number, std::move(members), false};
-	change.reset = LosesRange(inInputs.state, change.members);
+	change.reset = LosesClaimRange(inInputs.state, change.members);
 	return change;
 }
 
--- a/Loomreach/Member/ViewPlanner.h
+++ b/Loomreach/Member/ViewPlanner.h
@@ -1,5 +1,5 @@
-// Decides changes of the membership view: joining, removing members that have been silent for long, and the reset
-// when every holder of some claim range is gone. Pure; the fold checks each proposal again.
+// Plans changes of the membership view: joining, removing members that have been unresponsive for too long, and the reset when all holders
+// of some claim range are lost. Does no I/O; each proposal is checked again when it is applied.
 
 #pragma once
 
@@ -8,24 +8,24 @@
 namespace Loomreach
 {
 
-/// What the planner looks at.
+/// Inputs of the planner. Times in ms.
 struct ViewInputs
 {
 	const FleetState &state;
 	const PeerTracker &tracker;
 	Member self;
 	Millis now = 0;
-	Millis listening_since = 0;  ///< Since when this process has listened without a gap.
-	Millis remove_after = 15000; ///< Silence after which a member is removed.
-	Millis suspect_after = 3000; ///< Silence after which an incarnation that was followed by another counts as over.
+	Millis listening_since = 0;  ///< Start of the time in which this process has received heartbeats without a gap.
+	Millis remove_after = 15000; ///< Time without heartbeats after which a member is removed.
+	Millis suspect_after = 3000; ///< Time without heartbeats after which an incarnation that has a live successor is removed.
 };
 
-/// Since when a process has listened without a gap. One that was paused has missed heartbeats and must not take
-/// the others' silence for their end.
+/// Tracks since when this process has run without a pause. A paused process has missed heartbeats and must not conclude from this that the
+/// others are lost.
 class ListeningSpan
 {
 public:
-	/// Called in each round. Returns the start of the span without gaps longer than `inMaxGap`.
+	/// To be called in each round. Returns the start of the time without pauses longer than `inMaxGap` ms.
 	Millis Note(Millis inNow, Millis inMaxGap)
 	{
 		if (this->last == 0 || inNow - this->last > inMaxGap)
@@ -39,11 +39,11 @@
 	Millis since = 0;
 };
 
-/// Whether this entry host's zone should tell by the log that it lives: some other zone of the view is not heard by UDP,
-/// and so may not hear this one.
+/// Whether this entry host's zone should write a log heartbeat: some other zone of the view has not been heard over UDP for `inSilence` ms,
+/// and so may not hear this one either.
 bool NeedsLogBeat(const View &inView, const PeerTracker &inTracker, const std::string &inOwnZone, Millis inSilence, Millis inNow);
 
-/// The view that this entry host would propose now, or nothing.
+/// Returns the change of the view that this entry host should propose, or nothing.
 std::optional<ChangeView> PlanView(const ViewInputs &inInputs);
 
 } // namespace Loomreach
