--- a/Loomreach/Member/PeerMessages.cpp
+++ b/Loomreach/Member/PeerMessages.cpp
@@ -66,9 +66,9 @@
 	return DecodeValue<T>(*bytes);
 }
 
-std::string PeerCodec::SealDigest(const Digest &inDigest) const
+std::string PeerCodec::SealDigest(const Digest &inHeartbeat) const
 {
-	return this->Seal(SealEnvelope(EEnvelope::Datagram, cDigestVersion, EncodeValue(inDigest)));
+	return this->Seal(SealEnvelope(EEnvelope::Datagram, cDigestVersion, EncodeValue(inHeartbeat)));
 }
 
 std::optional<Digest> PeerCodec::OpenDigest(std::string_view inBytes) const
--- a/Loomreach/Member/PeerMessages.h
+++ b/Loomreach/Member/PeerMessages.h
@@ -228,7 +228,7 @@
 public:
 	explicit PeerCodec(std::string inKey) : key(std::move(inKey)) {}
 
-	std::string SealDigest(const Digest &inDigest) const;
+	std::string SealDigest(const Digest &inHeartbeat) const;
 	std::optional<Digest> OpenDigest(std::string_view inBytes) const;
 	std::string SealAsk(const AskFrame &inFrame) const;
 	std::optional<AskFrame> OpenAsk(std::string_view inBytes) const;
--- a/Loomreach/Member/PeerTracker.cpp
+++ b/Loomreach/Member/PeerTracker.cpp
@@ -13,35 +13,35 @@
 /// heartbeat messages, and a late one must not make the zone unresponsive.
 static constexpr Millis cLogHeartbeatTimeoutFactor = 3;
 
-bool PeerTracker::Hear(Digest inDigest, Millis inNow)
+bool PeerTracker::Hear(Digest inHeartbeat, Millis inNow)
 {
-	auto known = this->incarnations.find(inDigest.incarnation);
-	if (known != this->incarnations.end() && inDigest.sequence <= known->second.sequence)
-		return FailFalse(EError::Replayed, "sequence " + std::to_string(inDigest.sequence) + " was heard before from this incarnation");
-	auto peer = this->peers.find(inDigest.name);
+	auto known = this->incarnations.find(inHeartbeat.incarnation);
+	if (known != this->incarnations.end() && inHeartbeat.sequence <= known->second.sequence)
+		return FailFalse(EError::Replayed, "sequence " + std::to_string(inHeartbeat.sequence) + " was heard before from this incarnation");
+	auto peer = this->peers.find(inHeartbeat.name);
 	// While another incarnation of the same name is live, datagrams of an incarnation known before are late or replayed
 	const bool is_new_incarnation = known == this->incarnations.end();
-	const bool other_is_live = peer != this->peers.end() && peer->second.digest.incarnation != inDigest.incarnation &&
+	const bool other_is_live = peer != this->peers.end() && peer->second.digest.incarnation != inHeartbeat.incarnation &&
 							   inNow - peer->second.heard < this->suspect_after;
 	if (!is_new_incarnation && other_is_live)
-		return FailFalse(EError::Replayed, "datagram of an earlier incarnation of " + inDigest.name);
+		return FailFalse(EError::Replayed, "datagram of an earlier incarnation of " + inHeartbeat.name);
 	if (is_new_incarnation)
 	{
-		this->incarnation_order.push_back(inDigest.incarnation);
+		this->incarnation_order.push_back(inHeartbeat.incarnation);
 		if (this->incarnation_order.size() > cMaxIncarnations)
 		{
 			this->incarnations.erase(this->incarnation_order.front());
 			this->incarnation_order.pop_front();
 		}
 	}
-	this->incarnations[inDigest.incarnation] = {inDigest.sequence, inNow};
-	for (const ZoneMember &member : inDigest.zone_members)
+	this->incarnations[inHeartbeat.incarnation] = {inHeartbeat.sequence, inNow};
+	for (const ZoneMember &member : inHeartbeat.zone_members)
 	{
 		LogOffset &offset = this->remote_offsets[member.name];
 		offset = std::max(offset, member.next_offset);
 	}
-	std::string name = inDigest.name;
-	this->peers[std::move(name)] = {std::move(inDigest), inNow};
+	std::string name = inHeartbeat.name;
+	this->peers[std::move(name)] = {std::move(inHeartbeat), inNow};
 	return true;
 }
 
--- a/Loomreach/Member/PeerTracker.h
+++ b/Loomreach/Member/PeerTracker.h
@@ -29,7 +29,7 @@
 
 	/// Processes a heartbeat message. Fails with replayed if it is not newer than the last one of its incarnation, or if the incarnation
 	/// has been replaced by a live one of the same name.
-	bool Hear(Digest inDigest, Millis inNow);
+	bool Hear(Digest inHeartbeat, Millis inNow);
 	/// Processes the log heartbeats of zones.
 	void HearLog(const FleetState &inState, Millis inNow);
 	/// Whether a zone has written a recent log heartbeat: it reaches the platform even if it is not heard over UDP.
--- a/Loomreach/Settings/DaemonConfig.cpp
+++ b/Loomreach/Settings/DaemonConfig.cpp
@@ -1,4 +1,4 @@
-// Reads and checks the daemon's configuration by one table of keys.
+// Reads and checks the daemon's configuration. Tables list the keys, with type, range and target member.
 
 #include <Loomreach/Loomreach.h>
 
@@ -16,9 +16,9 @@
 namespace
 {
 
-constexpr size_t cMinKeyBytes = 16;
+constexpr size_t cMinPeerKeyBytes = 16;
 
-/// A key whose value is a whole number.
+/// A key with an integer value.
 struct IntegerKey
 {
 	std::string_view name;
@@ -27,16 +27,16 @@
 	int64 max;
 };
 
-/// A key whose value is text.
+/// A key with a string value.
 struct TextKey
 {
 	std::string_view name;
 	std::string DaemonConfig::*member;
 	bool required;
-	bool is_file; ///< The value names a file whose content is the value.
+	bool is_file; ///< The string is the path of a file that contains the value.
 };
 
-/// A key whose value is "ip:port".
+/// A key with a value of the form "ip:port".
 struct AddressKey
 {
 	std::string_view name;
@@ -76,7 +76,7 @@
 	AddressKey{"platform", &DaemonConfig::platform},
 };
 
-/// Reads one configuration document by the tables above.
+/// Reads one configuration document according to the tables above.
 class ConfigReader
 {
 public:
@@ -87,15 +87,15 @@
 		for (auto &&[key, value] : inDocument)
 			if (!this->ReadKey(key, value))
 				return false;
-		return this->CheckWhole();
+		return this->CheckDocument();
 	}
 
 	DaemonConfig config;
 
 private:
-	bool Wrong(const toml::source_region &inWhere, const std::string &inWhat)
+	bool FailAt(const toml::source_region &inWhere, const std::string &inDetail)
 	{
-		return FailFalse(EError::BadConfig, PositionOf(inWhere, this->file) + ": " + inWhat);
+		return FailFalse(EError::BadConfig, PositionOf(inWhere, this->file) + ": " + inDetail);
 	}
 
 	bool ReadKey(const toml::key &inKey, const toml::node &inValue)
@@ -112,7 +112,7 @@
 				return this->ReadAddress(inValue, name, this->config.*key.member);
 		if (name == "seeds")
 			return this->ReadSeeds(inValue);
-		return this->Wrong(inKey.source(), "unknown key '" + std::string(name) + "'");
+		return this->FailAt(inKey.source(), "unknown key '" + std::string(name) + "'");
 	}
 
 	bool ReadInteger(const IntegerKey &inKey, const toml::node &inValue)
@@ -120,7 +120,7 @@
 		const std::string range = " from " + std::to_string(inKey.min) + " to " + std::to_string(inKey.max);
 		const auto *number = inValue.as_integer();
 		if (number == nullptr || **number < inKey.min || **number > inKey.max)
-			return this->Wrong(inValue.source(), std::string(inKey.name) + ": expected a whole number" + range);
+			return this->FailAt(inValue.source(), std::string(inKey.name) + ": expected a whole number" + range);
 		this->config.*inKey.member = **number;
 		return true;
 	}
@@ -129,7 +129,7 @@
 	{
 		const auto *text = inValue.as_string();
 		if (text == nullptr || (**text).empty())
-			return this->Wrong(inValue.source(), std::string(inKey.name) + ": expected text in quotes, not empty");
+			return this->FailAt(inValue.source(), std::string(inKey.name) + ": expected text in quotes that is not empty");
 		if (!inKey.is_file)
 		{
 			this->config.*inKey.member = **text;
@@ -138,11 +138,11 @@
 		const std::string path = (**text).front() == '/' ? **text : this->directory + "/" + **text;
 		std::optional<std::string> content = ReadFile(path);
 		if (!content.has_value())
-			return this->Wrong(inValue.source(), std::string(inKey.name) + ": " + LastReason().detail);
+			return this->FailAt(inValue.source(), std::string(inKey.name) + ": " + LastReason().detail);
 		while (!content->empty() && (content->back() == '\n' || content->back() == '\r'))
 			content->pop_back();
 		if (content->empty())
-			return this->Wrong(inValue.source(), std::string(inKey.name) + ": the file is empty");
+			return this->FailAt(inValue.source(), std::string(inKey.name) + ": the file is empty");
 		this->config.*inKey.member = std::move(*content);
 		return true;
 	}
@@ -152,7 +152,7 @@
 		const auto *text = inValue.as_string();
 		std::optional<Address> address = text == nullptr ? std::nullopt : ParseAddress(**text);
 		if (!address.has_value())
-			return this->Wrong(inValue.source(), std::string(inName) + ": expected \"ip:port\" by numbers");
+			return this->FailAt(inValue.source(), std::string(inName) + ": expected \"ip:port\" by numbers, such as \"127.0.0.1:8080\"");
 		outAddress = std::move(*address);
 		return true;
 	}
@@ -161,7 +161,7 @@
 	{
 		const toml::array *array = inValue.as_array();
 		if (array == nullptr)
-			return this->Wrong(inValue.source(), "seeds: expected a list of \"ip:port\"");
+			return this->FailAt(inValue.source(), "seeds: expected a list of \"ip:port\"");
 		for (const toml::node &element : *array)
 		{
 			Address address;
@@ -172,7 +172,7 @@
 		return true;
 	}
 
-	bool CheckWhole()
+	bool CheckDocument()
 	{
 		const std::string where = std::string(this->file) + ": ";
 		for (const TextKey &key : cTextKeys)
@@ -181,15 +181,15 @@
 		for (const AddressKey &key : cAddressKeys)
 			if ((this->config.*key.member).port == 0)
 				return FailFalse(EError::BadConfig, where + "missing key '" + std::string(key.name) + "'");
-		if (this->config.peer_key.size() < cMinKeyBytes)
+		if (this->config.peer_key.size() < cMinPeerKeyBytes)
 			return FailFalse(EError::BadConfig, where + "peer_key_file: expected at least 16 bytes");
 		const bool loopback = this->config.operators.ip.starts_with("127.") || this->config.operators.ip == "::1";
 		if (this->config.operators_token.empty() && !loopback)
-			return FailFalse(EError::BadConfig, where + "operators: without operators_token_file it binds to loopback only");
+			return FailFalse(EError::BadConfig, where + "operators: without operators_token_file the address must be loopback only");
 		if (this->config.suspect_after_ms <= this->config.heartbeat_ms)
 			return FailFalse(EError::BadConfig, where + "suspect_after_ms: expected more than heartbeat_ms");
 		if (this->config.callers == this->config.operators)
-			return FailFalse(EError::BadConfig, where + "callers and operators need listeners of their own");
+			return FailFalse(EError::BadConfig, where + "callers and operators need addresses for listeners of their own");
 		if (this->config.region.empty())
 			this->config.region = this->config.availability_zone;
 		return true;
@@ -214,7 +214,7 @@
 	const auto [end, error] = std::from_chars(digits.data(), digits.data() + digits.size(), port);
 	const bool good_port = error == std::errc() && end == digits.data() + digits.size() && port != 0;
 	if (!good_port || g_hostname_is_ip_address(ip.c_str()) == FALSE)
-		return Fail(EError::BadConfig, "expected ip:port by numbers");
+		return Fail(EError::BadConfig, "expected ip:port by numbers, with a port from 1 to 65535");
 	return Address{std::move(ip), port};
 }
 
--- a/Loomreach/Settings/JobHostConfig.cpp
+++ b/Loomreach/Settings/JobHostConfig.cpp
@@ -1,4 +1,4 @@
-// Reads the entry host's configuration by one table of keys.
+// Reads and checks the entry host's configuration. Tables list the keys, with type, range and target member.
 
 #include <Loomreach/Loomreach.h>
 
@@ -12,10 +12,10 @@
 namespace
 {
 
-constexpr double cMostCores = 1024.0;
-constexpr double cMostSeconds = 86'400.0;
+constexpr double cMaxCores = 1024.0;
+constexpr double cMaxSeconds = 86'400.0;
 
-/// A key whose value is a whole number.
+/// A key with an integer value.
 struct NumberKey
 {
 	std::string_view name;
@@ -24,14 +24,14 @@
 	int64 max;
 };
 
-/// A key whose value is text.
+/// A key with a string value.
 struct TextKey
 {
 	std::string_view name;
 	std::string JobHostConfig::*member;
 };
 
-/// A key whose value is "ip:port".
+/// A key with a value of the form "ip:port".
 struct AddressKey
 {
 	std::string_view name;
@@ -67,7 +67,7 @@
 	AddressKey{"store", &JobHostConfig::store},
 };
 
-/// Reads one document.
+/// Reads one configuration document according to the tables above.
 class JobConfigReader
 {
 public:
@@ -84,18 +84,20 @@
 		for (const AddressKey &key : cAddressKeys)
 			if ((this->config.*key.member).port == 0)
 				return Fail(EError::BadConfig, std::string(this->file) + ": '" + std::string(key.name) + "' is missing");
-		// Workers cut down what is longer, so nothing is gained by asking for it
+		// Workers cap longer leases, so asking for one gains nothing
 		this->config.worker_lease_ms = std::min(this->config.worker_lease_ms, this->config.worker_most_lease_ms);
 		this->config.owner_short_lease_ms = std::min(this->config.owner_short_lease_ms, this->config.owner_lease_ms);
 		if (this->config.owner_slack_ms * 2 >= this->config.owner_short_lease_ms)
-			return Fail(EError::BadConfig, std::string(this->file) + ": owner_slack_ms leaves no lease");
+			return Fail(EError::BadConfig,
+						std::string(this->file) +
+							": owner_slack_ms leaves no lease: expected less than half of owner_short_lease_ms and owner_lease_ms");
 		return this->config;
 	}
 
 private:
-	bool Wrong(const toml::source_region &inWhere, const std::string &inWhat)
+	bool FailAt(const toml::source_region &inWhere, const std::string &inDetail)
 	{
-		return FailFalse(EError::BadConfig, PositionOf(inWhere, this->file) + ": " + inWhat);
+		return FailFalse(EError::BadConfig, PositionOf(inWhere, this->file) + ": " + inDetail);
 	}
 
 	bool ReadKey(const toml::key &inKey, const toml::node &inValue)
@@ -109,54 +111,54 @@
 			if (key.name == name)
 			{
 				this->config.*key.member = text.value_or("");
-				return text.has_value() || this->Wrong(inValue.source(), std::string(name) + " must be text");
+				return text.has_value() || this->FailAt(inValue.source(), std::string(name) + " must be text");
 			}
 		for (const AddressKey &key : cAddressKeys)
 			if (key.name == name)
 			{
 				const std::optional<Address> address = ParseAddress(text.value_or(""));
 				this->config.*key.member = address.value_or(Address());
-				return address.has_value() || this->Wrong(inValue.source(), std::string(name) + " must be \"ip:port\"");
+				return address.has_value() || this->FailAt(inValue.source(), std::string(name) + " must be \"ip:port\"");
 			}
 		if (name == "processor_share")
-			return this->ReadThousandths(inValue, name, cMostCores, this->config.processor_milli);
+			return this->ReadThousandths(inValue, name, cMaxCores, this->config.processor_milli);
 		if (name == "maintenance_s")
-			return this->ReadThousandths(inValue, name, cMostSeconds, this->config.maintenance_ms);
+			return this->ReadThousandths(inValue, name, cMaxSeconds, this->config.maintenance_ms);
 		if (name == "adviser")
 			return this->ReadOptional(inValue, name, this->config.adviser);
 		if (name == "machines")
 			return this->ReadOptional(inValue, name, this->config.machines);
-		return this->Wrong(inKey.source(), "unknown key '" + std::string(name) + "'");
+		return this->FailAt(inKey.source(), "unknown key '" + std::string(name) + "'");
 	}
 
-	/// An address that may be empty: there is no such service.
+	/// Reads an address that is empty if there is no such service.
 	bool ReadOptional(const toml::node &inValue, std::string_view inName, std::optional<Address> &outAddress)
 	{
 		const std::string text = inValue.value<std::string>().value_or("");
 		if (text.empty())
 			return true;
 		outAddress = ParseAddress(text);
-		return outAddress.has_value() || this->Wrong(inValue.source(), std::string(inName) + " must be \"ip:port\"");
+		return outAddress.has_value() || this->FailAt(inValue.source(), std::string(inName) + " must be \"ip:port\"");
 	}
 
 	bool ReadNumber(const NumberKey &inKey, const toml::node &inValue)
 	{
-		// The platform writes whole numbers and fractions alike
+		// The platform may write integers as fractions, such as 8.0
 		const std::optional<double> number = inValue.value<double>();
 		const bool fits = number.has_value() && *number >= static_cast<double>(inKey.min) && *number <= static_cast<double>(inKey.max);
 		if (!fits)
-			return this->Wrong(inValue.source(),
-							   std::string(inKey.name) + " must be from " + std::to_string(inKey.min) + " to " + std::to_string(inKey.max));
+			return this->FailAt(inValue.source(), std::string(inKey.name) + " must be from " + std::to_string(inKey.min) + " to " +
+													  std::to_string(inKey.max));
 		this->config.*inKey.member = static_cast<int64>(*number);
 		return true;
 	}
 
-	/// A number of cores or seconds, as a fraction, kept in thousandths.
-	bool ReadThousandths(const toml::node &inValue, std::string_view inName, double inMost, int64 &outThousandths)
+	/// Reads a number of cores or seconds, which may be a fraction, and stores it in thousandths.
+	bool ReadThousandths(const toml::node &inValue, std::string_view inName, double inMax, int64 &outThousandths)
 	{
 		const std::optional<double> number = inValue.value<double>();
-		if (!number.has_value() || *number <= 0.0 || *number > inMost)
-			return this->Wrong(inValue.source(), std::string(inName) + " must be above 0 and at most " + std::to_string(inMost));
+		if (!number.has_value() || *number <= 0.0 || *number > inMax)
+			return this->FailAt(inValue.source(), std::string(inName) + " must be above 0 and at most " + std::to_string(inMax));
 		outThousandths = std::max<int64>(1, static_cast<int64>(*number * 1000.0));
 		return true;
 	}
--- a/Loomreach/Settings/SettingsKey.cpp
+++ b/Loomreach/Settings/SettingsKey.cpp
@@ -1,4 +1,4 @@
-// The table of settings.
+// Table of the settings and checks of their values.
 
 #include <Loomreach/Loomreach.h>
 
@@ -15,33 +15,34 @@
 
 static constexpr std::array<SettingInfo, cSettingCount> cSettings = {{
 	{ESetting::Kind, "kind", Word, 0, 0, 0, "service", "service|batch",
-	 "service: replicas answer requests; batch: replicas run to their end"},
-	{ESetting::Team, "team", Word, 0, 0, 0, "none", "", "team that pays, for quotas"},
-	{ESetting::Priority, "priority", Integer, 0, 1000, 100, "", "", "greater goes first"},
-	{ESetting::Replicas, "replicas", Integer, 0, 5000, 1, "", "", "replicas wanted of a job"},
+	 "service: replicas answer requests; batch: replicas run to completion"},
+	{ESetting::Team, "team", Word, 0, 0, 0, "none", "", "team whose quota the job counts against"},
+	{ESetting::Priority, "priority", Integer, 0, 1000, 100, "", "", "priority of the job; greater values go first"},
+	{ESetting::Replicas, "replicas", Integer, 0, 5000, 1, "", "", "number of replicas of a job"},
 	{ESetting::CpuMilli, "cpu_milli", Integer, 1, 1'000'000, 1000, "", "", "processor time of a replica, thousandths of a core"},
 	{ESetting::MemoryMb, "memory_mb", Integer, 1, 16'000'000, 1024, "", "", "memory of a replica, MB"},
 	{ESetting::Accelerators, "accelerators", Integer, 0, 64, 0, "", "", "accelerators of a replica"},
 	{ESetting::RunTimeS, "run_time_s", Integer, 0, 31'536'000, 0, "", "", "declared run time of a batch replica, s; 0: not declared"},
-	{ESetting::DeadlineMs, "deadline_ms", Integer, 1, cDayMs, 5000, "", "", "time in which a request must begin and end, ms"},
-	{ESetting::Repeatable, "repeatable", Boolean, 0, 1, 1, "", "", "whether requests may be repeated when nothing else is said"},
-	{ESetting::QueueLimit, "queue_limit", Integer, 0, 100'000, 128, "", "", "requests that may wait at one entry host"},
+	{ESetting::DeadlineMs, "deadline_ms", Integer, 1, cDayMs, 5000, "", "", "time limit of a request, from its arrival to its end, ms"},
+	{ESetting::Repeatable, "repeatable", Boolean, 0, 1, 1, "", "", "whether requests may be repeated unless the request says otherwise"},
+	{ESetting::QueueLimit, "queue_limit", Integer, 0, 100'000, 128, "", "", "requests that may wait in the queue of one entry host"},
 	{ESetting::QueueShare, "queue_share", Integer, 0, 100, 10, "", "",
-	 "share of starts that the service keeps when higher priorities fill a worker, percent"},
-	{ESetting::LongRequests, "long_requests", Boolean, 0, 1, 0, "", "", "whether requests last for minutes to hours (holds, call legs)"},
-	{ESetting::RetryBudgetPercent, "retry_budget_percent", Integer, 0, 100, 10, "", "", "retries allowed, percent of fresh requests"},
+	 "share of request starts reserved for the service when higher priorities fill a worker, percent"},
+	{ESetting::LongRequests, "long_requests", Boolean, 0, 1, 0, "", "",
+	 "whether requests last for minutes to hours (such as held connections or call legs)"},
+	{ESetting::RetryBudgetPercent, "retry_budget_percent", Integer, 0, 100, 10, "", "", "retries allowed, percent of first attempts"},
 	{ESetting::MinAvailablePercent, "min_available_percent", Integer, 0, 100, 80, "", "",
 	 "availability budget: hosts of the pool that stay available, percent"},
 	{ESetting::BufferPercent, "buffer_percent", Integer, -1, 100, -1, "", "",
-	 "spare capacity held in the pool, percent; -1: its largest rack"},
-	{ESetting::WaveWidth, "wave_width", Integer, 1, 5000, 1000, "", "", "hosts of the pool out at once in a wave, at most"},
-	{ESetting::RebootS, "reboot_s", Integer, 0, 86'400, 300, "", "", "time in which a host is back from its maintenance, s"},
+	 "spare capacity kept in the pool, percent; -1: the capacity of its largest rack"},
+	{ESetting::WaveWidth, "wave_width", Integer, 1, 5000, 1000, "", "", "maximum number of hosts of the pool out at once in a wave"},
+	{ESetting::RebootS, "reboot_s", Integer, 0, 86'400, 300, "", "", "time in which a host returns from its maintenance, s"},
 	{ESetting::MaintainEveryDays, "maintain_every_days", Integer, 0, 365, 0, "", "",
-	 "every host of the pool is maintained once in so many days; 0: only by operators' waves"},
+	 "interval of the maintenance of every host of the pool, days; 0: maintained only in operators' waves"},
 	{ESetting::WeightMoves, "weight_moves", Integer, 0, 1000, 1, "", "", "cost of displacing a replica, against weight_buffer"},
 	{ESetting::WeightBuffer, "weight_buffer", Integer, 0, 1000, 1, "", "", "cost of an idle host, against weight_moves"},
 	{ESetting::QuotaCpuMilli, "quota_cpu_milli", Integer, 0, 1'000'000'000, 0, "", "",
-	 "processor time that the team may hold, thousandths of a core; 0: no quota"},
+	 "processor time that the team's replicas may hold, thousandths of a core; 0: no quota"},
 }};
 
 static constexpr bool TableIsOrdered()
--- a/Loomreach/Settings/SettingsKey.h
+++ b/Loomreach/Settings/SettingsKey.h
@@ -1,4 +1,4 @@
-// The closed list of settings that a node of the tree may state, with type, range and default of each.
+// The settings that a node of the settings tree may have, with type, range and default of each.
 
 #pragma once
 
@@ -7,7 +7,7 @@
 namespace Loomreach
 {
 
-/// A setting. Every one may be stated on any node and is inherited by all beneath it.
+/// A setting. It may be set on any node and is inherited by all nodes below.
 enum class ESetting : uint8
 {
 	Kind,
@@ -43,7 +43,7 @@
 	Word
 };
 
-/// A value: an integer (booleans as 0 and 1) or a word.
+/// Value of a setting: an integer (booleans as 0 and 1) or a word.
 struct SettingValue
 {
 	int64 number = 0;
@@ -57,7 +57,7 @@
 	}
 };
 
-/// What the table knows of one setting.
+/// Properties of a setting.
 struct SettingInfo
 {
 	ESetting setting;
@@ -65,25 +65,25 @@
 	ESettingType type;
 	int64 min;            ///< Smallest integer allowed.
 	int64 max;            ///< Largest integer allowed.
-	int64 default_number; ///< Value in force where no node states one.
+	int64 default_number; ///< Value where neither the node nor an ancestor sets one.
 	std::string_view default_word;
-	std::string_view choices; ///< Words allowed, separated by '|'; empty: any name.
-	std::string_view meaning; ///< One line for people, with the unit.
+	std::string_view choices; ///< Allowed words, separated by '|'; empty: any name.
+	std::string_view meaning; ///< One-line description with the unit, shown to operators.
 };
 
-/// The row for a setting.
+/// Returns the properties of a setting.
 const SettingInfo &InfoOf(ESetting inSetting);
 
-/// The setting called by a name, or nothing.
+/// Returns the setting with a name, or nothing.
 std::optional<ESetting> SettingOf(std::string_view inName);
 
-/// The value in force where no node states one.
+/// Returns the value where neither the node nor an ancestor sets one.
 SettingValue DefaultOf(ESetting inSetting);
 
-/// The value as it is written in TOML.
+/// Returns the value in TOML syntax.
 std::string TextOf(ESetting inSetting, const SettingValue &inValue);
 
-/// Whether a value fits its setting's type and range; what was expected is left as the last reason.
+/// Whether a value is within its setting's range or choices. If not, the last reason is bad-settings and says what was expected.
 bool CheckValue(ESetting inSetting, const SettingValue &inValue);
 
 } // namespace Loomreach
--- a/Loomreach/Settings/SettingsParser.cpp
+++ b/Loomreach/Settings/SettingsParser.cpp
@@ -1,4 +1,4 @@
-// TOML to settings tree: [group.X], [group.X.pool.Y], [group.X.pool.Y.job.Z], each with settings of its own.
+// Converts TOML to a settings tree. Tables [group.X], [group.X.pool.Y] and [group.X.pool.Y.job.Z] are nodes, and their other keys settings.
 
 #include <Loomreach/Loomreach.h>
 
@@ -12,13 +12,13 @@
 namespace
 {
 
-/// Gathers the nodes of one document.
+/// Collects the nodes of one document.
 class NodeReader
 {
 public:
 	explicit NodeReader(std::string_view inFile) : file(inFile) {}
 
-	/// Reads a table as the node at a path, and the tables beneath it.
+	/// Reads a table as the node at a path, and the tables below it.
 	bool ReadNode(const toml::table &inTable, const std::string &inPath, ENodeKind inKind)
 	{
 		SettingsNode node{inPath, inKind, {}};
@@ -52,9 +52,9 @@
 		return std::nullopt;
 	}
 
-	bool Wrong(const toml::source_region &inWhere, const std::string &inWhat)
+	bool FailAt(const toml::source_region &inWhere, const std::string &inDetail)
 	{
-		return FailFalse(EError::BadSettings, PositionOf(inWhere, this->file) + ": " + inWhat);
+		return FailFalse(EError::BadSettings, PositionOf(inWhere, this->file) + ": " + inDetail);
 	}
 
 	bool ReadChildren(const toml::node &inValue, const std::string &inPath, ENodeKind inParent, ENodeKind inChild)
@@ -62,19 +62,19 @@
 		const bool allowed =
 			inParent == ENodeKind::Group ? inChild != ENodeKind::Job : (inParent == ENodeKind::Pool && inChild == ENodeKind::Job);
 		if (!allowed)
-			return this->Wrong(inValue.source(), "groups hold groups and pools, pools hold jobs");
+			return this->FailAt(inValue.source(), "groups hold groups and pools, pools hold jobs");
 		const toml::table *table = inValue.as_table();
 		if (table == nullptr)
-			return this->Wrong(inValue.source(), "expected a table of names");
+			return this->FailAt(inValue.source(), "expected a table of named groups, pools or jobs");
 		const std::string prefix = inPath == "/" ? "/" : inPath + "/";
 		for (auto &&[name, child] : *table)
 		{
 			const toml::table *child_table = child.as_table();
 			if (child_table == nullptr)
-				return this->Wrong(child.source(), "expected a table with settings");
+				return this->FailAt(child.source(), "expected a table with settings");
 			const bool is_name = !name.str().empty() && name.str().find_first_of(" /\"\\\n\r\t") == std::string_view::npos;
 			if (!is_name)
-				return this->Wrong(name.source(), "expected a name without spaces, quotes or slashes");
+				return this->FailAt(name.source(), "expected a name without spaces, quotes or slashes");
 			if (!this->ReadNode(*child_table, prefix + std::string(name.str()), inChild))
 				return false;
 		}
@@ -85,28 +85,28 @@
 	{
 		const std::optional<ESetting> setting = SettingOf(inKey.str());
 		if (!setting.has_value())
-			return this->Wrong(inKey.source(), "unknown setting '" + std::string(inKey.str()) + "'");
+			return this->FailAt(inKey.source(), "unknown setting '" + std::string(inKey.str()) + "'");
 		SettingValue value;
 		switch (InfoOf(*setting).type)
 		{
 		case ESettingType::Integer:
 			if (!inValue.is_integer())
-				return this->Wrong(inValue.source(), std::string(inKey.str()) + ": expected a whole number");
+				return this->FailAt(inValue.source(), std::string(inKey.str()) + ": expected a whole number");
 			value.number = **inValue.as_integer();
 			break;
 		case ESettingType::Boolean:
 			if (!inValue.is_boolean())
-				return this->Wrong(inValue.source(), std::string(inKey.str()) + ": expected true or false");
+				return this->FailAt(inValue.source(), std::string(inKey.str()) + ": expected true or false");
 			value.number = **inValue.as_boolean() ? 1 : 0;
 			break;
 		case ESettingType::Word:
 			if (!inValue.is_string())
-				return this->Wrong(inValue.source(), std::string(inKey.str()) + ": expected text in quotes");
+				return this->FailAt(inValue.source(), std::string(inKey.str()) + ": expected text in quotes");
 			value.word = **inValue.as_string();
 			break;
 		}
 		if (!CheckValue(*setting, value))
-			return this->Wrong(inValue.source(), std::string(inKey.str()) + ": " + LastReason().detail);
+			return this->FailAt(inValue.source(), std::string(inKey.str()) + ": " + LastReason().detail);
 		ioNode.stated.emplace(*setting, std::move(value));
 		return true;
 	}
--- a/Loomreach/Settings/SettingsParser.h
+++ b/Loomreach/Settings/SettingsParser.h
@@ -1,4 +1,5 @@
-// Reads a settings tree from TOML. Each error names file, line, column and what was expected; nothing is taken in part.
+// Parses a settings tree from TOML. An error gives file, line, column and what was expected. A document with an error is rejected as a
+// whole.
 
 #pragma once
 
@@ -7,7 +8,7 @@
 namespace Loomreach
 {
 
-/// Parses TOML text. `inFile` is only used in error messages.
+/// Parses TOML text. `inFile` is only used in error messages. Fails with bad-settings.
 std::optional<SettingsTree> ParseSettings(std::string_view inText, std::string_view inFile);
 
 } // namespace Loomreach
--- a/Loomreach/Settings/SettingsTree.cpp
+++ b/Loomreach/Settings/SettingsTree.cpp
@@ -1,4 +1,4 @@
-// Inheritance, checks, explanation and difference of settings trees.
+// Checks, inheritance, text form and comparison of settings trees.
 
 #include <Loomreach/Loomreach.h>
 
@@ -9,7 +9,7 @@
 {
 
 static constexpr size_t cMaxNodes = 20'000;
-static constexpr size_t cMaxPath = 200;
+static constexpr size_t cMaxPathLength = 200;
 static constexpr std::string_view cRoot = "/";
 
 std::string_view ParentPath(std::string_view inPath)
@@ -24,7 +24,7 @@
 
 SettingsTree::SettingsTree() { this->nodes.emplace(cRoot, SettingsNode{std::string(cRoot), ENodeKind::Group, {}}); }
 
-static bool MayHold(ENodeKind inParent, ENodeKind inChild)
+static bool MayContain(ENodeKind inParent, ENodeKind inChild)
 {
 	switch (inParent)
 	{
@@ -37,10 +37,11 @@
 
 static bool CheckNode(const SettingsNode &inNode)
 {
-	if (inNode.path.empty() || inNode.path.size() > cMaxPath || inNode.path.front() != '/')
-		return FailFalse(EError::BadSettings, "a path starts with / and has at most 200 characters: " + inNode.path.substr(0, cMaxPath));
+	if (inNode.path.empty() || inNode.path.size() > cMaxPathLength || inNode.path.front() != '/')
+		return FailFalse(EError::BadSettings,
+						 "a path must start with / and have at most 200 characters: " + inNode.path.substr(0, cMaxPathLength));
 	if (inNode.path.find_first_of(" \"\\\n\r\t") != std::string::npos || inNode.path.find("//") != std::string::npos)
-		return FailFalse(EError::BadSettings, "a path holds no spaces, quotes or empty parts: " + inNode.path);
+		return FailFalse(EError::BadSettings, "a path must have no spaces, quotes or empty parts: " + inNode.path);
 	for (const auto &[setting, value] : inNode.stated)
 	{
 		if (setting >= ESetting::Count)
@@ -54,9 +55,9 @@
 std::optional<SettingsTree> SettingsTree::FromNodes(std::vector<SettingsNode> inNodes)
 {
 	if (inNodes.size() > cMaxNodes)
-		return Fail(EError::BadSettings, "more than 20000 nodes");
+		return Fail(EError::BadSettings, "settings have more than 20000 nodes");
 	SettingsTree tree;
-	// Parents sort before their children, so each node finds its parent already in the tree
+	// Parents sort before their children, so the parent of each node is already in the tree
 	std::sort(inNodes.begin(), inNodes.end(), [](const SettingsNode &inA, const SettingsNode &inB) { return inA.path < inB.path; });
 	std::set<std::string, std::less<>> jobs;
 	for (SettingsNode &node : inNodes)
@@ -69,13 +70,15 @@
 			continue;
 		}
 		const SettingsNode *parent = tree.Find(ParentPath(node.path));
-		if (parent == nullptr || !MayHold(parent->kind, node.kind))
-			return Fail(EError::BadSettings, node.path + ": its parent may not hold it (groups hold groups and pools, pools hold jobs)");
+		if (parent == nullptr || !MayContain(parent->kind, node.kind))
+			return Fail(EError::BadSettings,
+						node.path + ": missing parent or parent of the wrong kind (groups hold groups and pools, pools hold jobs)");
 		if (tree.Find(node.path) != nullptr)
-			return Fail(EError::BadSettings, node.path + ": stated twice");
-		// Requests name a service by the last part of its path, so that part must be one job's only
+			return Fail(EError::BadSettings, node.path + ": node listed twice");
+		// Requests name a service by the last part of its path, which must therefore be unique among jobs
 		if (node.kind == ENodeKind::Job && !jobs.emplace(LeafName(node.path)).second)
-			return Fail(EError::BadSettings, node.path + ": another job has the same name; requests could not tell them apart");
+			return Fail(EError::BadSettings,
+						node.path + ": another job has the same name; requests name a job by the last part of its path");
 		tree.nodes.emplace(node.path, std::move(node));
 	}
 	return tree;
@@ -111,7 +114,7 @@
 	return {DefaultOf(inSetting), {}};
 }
 
-static std::string_view TableWord(ENodeKind inKind)
+static std::string_view TableName(ENodeKind inKind)
 {
 	switch (inKind)
 	{
@@ -132,7 +135,7 @@
 		{
 			const std::string_view parent = ParentPath(path);
 			std::string header = parent == cRoot ? "" : headers.find(parent)->second + ".";
-			header += TableWord(node.kind);
+			header += TableName(node.kind);
 			header += ".\"";
 			header += LeafName(path);
 			header += '"';
@@ -145,8 +148,8 @@
 	return text;
 }
 
-/// Value in force as text, "absent" where the node is not in the tree.
-static std::string InForce(const SettingsTree &inTree, const std::string &inPath, ESetting inSetting)
+/// Returns the effective value in TOML syntax, or "absent" if the node is not in the tree.
+static std::string EffectiveText(const SettingsTree &inTree, const std::string &inPath, ESetting inSetting)
 {
 	if (inTree.Find(inPath) == nullptr)
 		return "absent";
@@ -166,7 +169,7 @@
 		for (size_t i = 0; i < static_cast<size_t>(ESetting::Count); ++i)
 		{
 			const ESetting setting = static_cast<ESetting>(i);
-			SettingChange change{path, setting, InForce(inBefore, path, setting), InForce(*this, path, setting)};
+			SettingChange change{path, setting, EffectiveText(inBefore, path, setting), EffectiveText(*this, path, setting)};
 			if (change.before != change.after)
 				changes.push_back(std::move(change));
 		}
--- a/Loomreach/Settings/SettingsTree.h
+++ b/Loomreach/Settings/SettingsTree.h
@@ -1,5 +1,5 @@
-// The tree of settings: groups, pools and jobs, each inheriting from its parent what it does not state itself.
-// Pure data; the text form is read by SettingsParser, versions are kept by the fold.
+// Tree of settings: groups, pools and jobs. A node inherits from its parent the settings that it does not set itself. SettingsParser reads
+// the text form; versions are part of the replicated state.
 
 #pragma once
 
@@ -8,15 +8,15 @@
 namespace Loomreach
 {
 
-/// What a node of the tree stands for.
+/// Kind of a node of the tree.
 enum class ENodeKind : uint8
 {
-	Group, ///< Holds groups and pools; the root is a group with the path "/".
-	Pool,  ///< Holds jobs; hosts belong to it.
+	Group, ///< Contains groups and pools; the root is a group with the path "/".
+	Pool,  ///< Contains jobs; each host belongs to one pool.
 	Job    ///< A service or a batch job.
 };
 
-/// One node: its path and the settings that it states itself.
+/// A node: its path and the settings that it sets itself.
 struct SettingsNode
 {
 	std::string path; ///< "/" or "/group/.../pool/job".
@@ -31,44 +31,44 @@
 	}
 };
 
-/// A value in force and the node that states it.
+/// The effective value of a setting, and the node that sets it.
 struct Explained
 {
 	SettingValue value;
-	std::string from; ///< Path of the stating node; empty: the built-in default.
+	std::string from; ///< Path of the node that sets the value; empty: the built-in default.
 };
 
-/// One value in force that differs between two trees.
+/// An effective value that differs between two trees.
 struct SettingChange
 {
 	std::string path;
 	ESetting setting = ESetting::Count;
-	std::string before; ///< Text of the value, or "absent" where the node is not there.
+	std::string before; ///< Value in TOML syntax, or "absent" if the node is not in the tree.
 	std::string after;
 };
 
-/// The tree. Invariant: it holds the root, and the parent of every node in it.
+/// Invariant: the tree contains the root, and the parent of each of its nodes.
 class SettingsTree
 {
 public:
 	SettingsTree();
 
-	/// Builds a tree from nodes, checking paths, parents, kinds and values. Nothing on failure; the last reason names the node.
+	/// Builds a tree from nodes, checking paths, parents, kinds and values. Fails with bad-settings; the last reason names the node.
 	static std::optional<SettingsTree> FromNodes(std::vector<SettingsNode> inNodes);
 
-	/// All nodes in order of their paths.
+	/// Returns all nodes in the order of their paths.
 	std::vector<SettingsNode> Nodes() const;
-	/// The node at a path, or nullptr.
+	/// Returns the node at a path, or nullptr.
 	const SettingsNode *Find(std::string_view inPath) const;
-	/// The value in force at a path, and where it comes from. The path must be of a node.
+	/// Returns the effective value of a setting at the path of a node, and which node sets it.
 	Explained Explain(std::string_view inPath, ESetting inSetting) const;
-	/// The number in force at a path.
+	/// Returns the effective integer value of a setting at the path of a node.
 	int64 Number(std::string_view inPath, ESetting inSetting) const { return this->Explain(inPath, inSetting).value.number; }
-	/// The word in force at a path.
+	/// Returns the effective word of a setting at the path of a node.
 	std::string Word(std::string_view inPath, ESetting inSetting) const { return this->Explain(inPath, inSetting).value.word; }
-	/// The tree as TOML that SettingsParser reads back to an equal tree.
+	/// Returns the tree as TOML, from which SettingsParser builds an equal tree.
 	std::string ToToml() const;
-	/// Every value in force that differs from inBefore, on every pool and job that it reaches.
+	/// Returns the effective values that differ from those in `inBefore`, for each pool and job.
 	std::vector<SettingChange> DiffFrom(const SettingsTree &inBefore) const;
 
 	bool operator==(const SettingsTree &) const = default;
@@ -77,10 +77,10 @@
 	std::map<std::string, SettingsNode, std::less<>> nodes;
 };
 
-/// Path of the parent: "/a" for "/a/b", "/" for "/a". The root has none: empty.
+/// Returns the path of the parent: "/a" for "/a/b", "/" for "/a", and an empty path for the root.
 std::string_view ParentPath(std::string_view inPath);
 
-/// Last part of a path: "b" for "/a/b".
+/// Returns the last part of a path: "b" for "/a/b".
 std::string_view LeafName(std::string_view inPath);
 
 } // namespace Loomreach
--- a/Loomreach/Settings/TomlReader.cpp
+++ b/Loomreach/Settings/TomlReader.cpp
@@ -1,4 +1,4 @@
-// toml++ with positions.
+// Parses TOML and formats positions.
 
 #include <Loomreach/Loomreach.h>
 
--- a/Loomreach/Settings/TomlReader.h
+++ b/Loomreach/Settings/TomlReader.h
@@ -1,4 +1,4 @@
-// Helpers over toml++ that both readers of TOML share: positions in error messages and whole-document parsing.
+// Helpers over toml++ for all readers of TOML: parsing of a document and positions for error messages.
 
 #pragma once
 
@@ -12,10 +12,10 @@
 namespace Loomreach
 {
 
-/// "file:line:column" of a node.
+/// Returns the position of a node as "file:line:column".
 std::string PositionOf(const toml::source_region &inWhere, std::string_view inFile);
 
-/// Parses a document, or leaves the parser's complaint with its position as a reason of the given kind.
+/// Parses a document. Fails with the given kind and the parser's message with its position.
 std::optional<toml::table> ParseToml(std::string_view inText, std::string_view inFile, EError inKind);
 
 } // namespace Loomreach
