--- a/Loomreach/Core/Clock.h
+++ b/Loomreach/Core/Clock.h
@@ -1,4 +1,4 @@
-// The process's own clocks. Only wiring reads them; decisions get time as an input.
+// Clocks of the process. Only code that does I/O reads them; decision logic gets the time as an input, so that tests can control it.
 
 #pragma once
 
@@ -9,7 +9,7 @@
 namespace Loomreach
 {
 
-/// Milliseconds on the boot-time clock, which goes on while the machine is suspended; leases are measured by it.
+/// Returns the boot-time clock, ms. It continues while the machine is suspended, so a lease measured by it also expires then.
 inline Millis NowMillis()
 {
 	timespec now{};
@@ -17,7 +17,7 @@
 	return static_cast<Millis>(now.tv_sec) * 1000 + now.tv_nsec / 1'000'000;
 }
 
-/// The same clock with microseconds as fractions, for measuring durations.
+/// Returns the same clock in ms with a fraction, for measuring short durations.
 inline double NowMillisExact()
 {
 	timespec now{};
--- a/Loomreach/Core/EnumTable.h
+++ b/Loomreach/Core/EnumTable.h
@@ -1,4 +1,5 @@
-// Tables of names for enumerations: each enumeration of the system has one table, from which text is written and read.
+// Tables of names for enumerations. One table for each enumeration is used both to write and to parse its names, so that the two always
+// agree.
 
 #pragma once
 
@@ -7,7 +8,7 @@
 namespace Loomreach
 {
 
-/// One row of a table of names: an enumerator and the word by which settings, logs and answers call it.
+/// Row of a table of names: an enumerator and its name in settings, logs and responses.
 template <class E>
 struct EnumName
 {
@@ -15,7 +16,7 @@
 	std::string_view name;
 };
 
-/// The name of an enumerator, or "?" when the table has no row for it (a value that came over the wire).
+/// Returns the name of an enumerator, or "?" if the table does not have it (a value received over the network).
 template <class E, size_t N>
 constexpr std::string_view NameOf(const std::array<EnumName<E>, N> &inTable, E inValue)
 {
@@ -25,7 +26,7 @@
 	return "?";
 }
 
-/// The enumerator called by a name, or nothing when the table has no such name.
+/// Returns the enumerator with a name, or nothing if the table does not have it.
 template <class E, size_t N>
 constexpr std::optional<E> ValueOf(const std::array<EnumName<E>, N> &inTable, std::string_view inName)
 {
--- a/Loomreach/Core/Error.h
+++ b/Loomreach/Core/Error.h
@@ -1,5 +1,5 @@
-// The closed list of error kinds and the table from kind to answer.
-// Functions that can fail return std::optional (or bool) and leave the last reason behind, one per thread.
+// Error kinds and the table of their responses. Functions that can fail return an empty std::optional (or false) and set the thread's last
+// reason, as errno does.
 
 #pragma once
 
@@ -8,7 +8,7 @@
 namespace Loomreach
 {
 
-/// Every kind of failure that the system answers with. The order is that of the table in Error.cpp.
+/// Kinds of errors. The order is that of the table in Error.cpp.
 enum class EError : uint8
 {
 	None,
@@ -59,52 +59,52 @@
 	Count
 };
 
-/// What the caller may conclude about its request.
+/// What the caller of a failed or completed request can conclude about its execution.
 enum class EOutcome : uint8
 {
-	Ran,    ///< The endpoint's own answer was relayed.
-	NotRun, ///< The request certainly never began.
-	Unknown ///< The request may have begun; it is never sent again.
+	Ran,    ///< The endpoint's response was relayed.
+	NotRun, ///< The request certainly did not begin.
+	Unknown ///< The request may have begun, so it is not sent again.
 };
 
-/// One row of the table from kind to answer.
+/// Row of the error table: name of a kind and how it is reported.
 struct ErrorAnswer
 {
 	EError kind;
-	std::string_view name;    ///< Value of the Loomreach-Reason header, of log fields and of metric labels.
-	uint16 http_status;       ///< Status towards callers and operators.
+	std::string_view name;    ///< Value of the Loomreach-Reason header, log fields and metric labels.
+	uint16 http_status;       ///< HTTP status sent to callers and operators.
 	EOutcome outcome;         ///< Value of the Loomreach-Outcome header.
-	uint8 exit_code;          ///< Exit code of the two programs.
-	bool come_back;           ///< Whether the same request may succeed later; a Retry-After goes with it.
-	std::string_view meaning; ///< One sentence for people.
+	uint8 exit_code;          ///< Exit code of the daemon and the command-line client.
+	bool come_back;           ///< Whether the same request may succeed later; a Retry-After header is then sent.
+	std::string_view meaning; ///< Description for people, one sentence.
 };
 
-/// The row for a kind.
+/// Returns the row of a kind.
 const ErrorAnswer &AnswerOf(EError inKind);
 
-/// The kind called by a name, or nothing.
+/// Returns the kind with a name, or nothing.
 std::optional<EError> ErrorOf(std::string_view inName);
 
-/// The word for an outcome: ran, not-run or unknown.
+/// Returns the name of an outcome: ran, not-run or unknown.
 std::string_view OutcomeName(EOutcome inOutcome);
 
 /// Why the last failing call on this thread failed.
 struct Reason
 {
 	EError kind = EError::None;
-	std::string detail; ///< What exactly was wrong, for people.
+	std::string detail; ///< What exactly was wrong; text for people.
 };
 
-/// Leaves a reason behind and returns the empty optional: `return Fail(EError::Conflict, "...")`.
+/// Sets the last reason and returns an empty optional: `return Fail(EError::Conflict, "...")`.
 std::nullopt_t Fail(EError inKind, std::string inDetail);
 
-/// Leaves a reason behind and returns false, for functions that return bool.
+/// Sets the last reason and returns false, for functions that return bool.
 bool FailFalse(EError inKind, std::string inDetail);
 
-/// The reason left behind by the last failing call on this thread.
+/// Returns the reason set by the last failed call on this thread.
 const Reason &LastReason();
 
-/// The last reason as one line: its name, a colon, its detail.
+/// Returns the last reason as "name: detail".
 std::string LastReasonText();
 
 } // namespace Loomreach
--- a/Loomreach/Core/GlibHandle.h
+++ b/Loomreach/Core/GlibHandle.h
@@ -1,4 +1,4 @@
-// Owning handles for GLib objects, and a timer bound to its owner's life.
+// Owning handles for GLib objects, and a timer that stops when it is destroyed.
 
 #pragma once
 
@@ -9,24 +9,24 @@
 namespace Loomreach
 {
 
-/// Drops a reference to a GObject.
+/// Deleter that releases a reference to a GObject.
 struct ObjectUnref
 {
 	void operator()(void *inObject) const { g_object_unref(inObject); }
 };
 
-/// An owned reference to a GObject.
+/// Owned reference to a GObject.
 template <class T>
 using ObjectPtr = std::unique_ptr<T, ObjectUnref>;
 
-/// A second reference to an object that somebody else owns.
+/// Returns a new reference to a GObject owned elsewhere.
 template <class T>
 ObjectPtr<T> Share(T *inObject)
 {
 	return ObjectPtr<T>(static_cast<T *>(g_object_ref(inObject)));
 }
 
-/// An owned GError.
+/// Owned GError.
 struct ErrorPtr
 {
 	ErrorPtr() = default;
@@ -41,7 +41,7 @@
 	GError *error = nullptr;
 };
 
-/// A timer on the main context that ends with its owner.
+/// Timer on the default main context, stopped on destruction.
 class Timer
 {
 public:
@@ -50,18 +50,17 @@
 	Timer(const Timer &) = delete;
 	Timer &operator=(const Timer &) = delete;
 
-	/// Calls back every `inMillis`, replacing what ran before.
+	/// Calls `inCall` every `inMillis` ms. Replaces the previous callback.
 	void Every(Millis inMillis, std::function<void()> inCall) { this->Start(inMillis, std::move(inCall), true); }
-	/// Calls back once after `inMillis`, replacing what ran before.
+	/// Calls `inCall` once after `inMillis` ms. Replaces the previous callback.
 	void Once(Millis inMillis, std::function<void()> inCall) { this->Start(inMillis, std::move(inCall), false); }
-	/// Ends it.
 	void Stop()
 	{
 		if (this->source != 0)
 			g_source_remove(this->source);
 		this->source = 0;
 	}
-	/// Whether it will call back.
+	/// Whether a call is pending.
 	bool IsRunning() const { return this->source != 0; }
 
 private:
@@ -79,9 +78,9 @@
 		const std::function<void()> call = self->call;
 		if (!self->repeats)
 			self->source = 0;
-		const bool goes_on = self->repeats;
+		const bool continues = self->repeats;
 		call();
-		return goes_on ? G_SOURCE_CONTINUE : G_SOURCE_REMOVE;
+		return continues ? G_SOURCE_CONTINUE : G_SOURCE_REMOVE;
 	}
 
 	guint source = 0;
@@ -89,7 +88,7 @@
 	bool repeats = false;
 };
 
-/// Calls once after `inMillis`, whoever started it.
+/// Calls `inCall` once after `inMillis` ms. The call is not bound to an owner and cannot be cancelled.
 inline void After(Millis inMillis, std::function<void()> inCall)
 {
 	auto *held = new std::function<void()>(std::move(inCall));
--- a/Loomreach/Core/Guarded.h
+++ b/Loomreach/Core/Guarded.h
@@ -1,4 +1,4 @@
-// Callbacks that end with the object they call: a call that is answered after its caller is gone does nothing.
+// Callbacks that do nothing once their object is destroyed, so that an answer that arrives after its requester was destroyed is ignored.
 
 #pragma once
 
@@ -7,7 +7,7 @@
 namespace Loomreach
 {
 
-/// Base of objects that hand out callbacks to themselves.
+/// Base class of objects that register callbacks to themselves.
 class Guarded
 {
 protected:
@@ -16,7 +16,7 @@
 	Guarded(const Guarded &) = delete;
 	Guarded &operator=(const Guarded &) = delete;
 
-	/// The same callback, which does nothing once this object is destroyed.
+	/// Wraps a callback so that it does nothing once this object is destroyed.
 	template <class F>
 	auto Guard(F inCall)
 	{
--- a/Loomreach/Core/Hash.cpp
+++ b/Loomreach/Core/Hash.cpp
@@ -1,4 +1,4 @@
-// xxHash and rendezvous hashing.
+// Hashing by xxHash (XXH3) and rendezvous hashing.
 
 #include <Loomreach/Loomreach.h>
 
--- a/Loomreach/Core/Hash.h
+++ b/Loomreach/Core/Hash.h
@@ -1,4 +1,4 @@
-// Hashing by xxHash: state hashes, and rendezvous hashing, by which every entry host picks the same owner for a key without asking.
+// Hashing by xxHash, and rendezvous hashing, by which all entry hosts choose the same owner of a key without communication.
 
 #pragma once
 
@@ -7,13 +7,13 @@
 namespace Loomreach
 {
 
-/// 64-bit hash of bytes.
+/// Returns a 64-bit hash of bytes, equal on all machines.
 uint64 HashBytes(std::string_view inBytes, uint64 inSeed = 0);
 
-/// Rendezvous weight of a candidate for a key: the candidate with the greatest weight owns the key.
+/// Returns the rendezvous weight of a candidate for a key. The candidate with the greatest weight owns the key.
 uint64 RendezvousWeight(std::string_view inKey, std::string_view inCandidate);
 
-/// The candidate that owns a key, or an empty view when there are no candidates. Independent of the order of the candidates.
+/// Returns the candidate that owns a key, or an empty view if there are no candidates. The order of the candidates does not matter.
 std::string_view RendezvousOwner(std::string_view inKey, std::span<const std::string> inCandidates);
 
 } // namespace Loomreach
--- a/Loomreach/Core/Invariant.cpp
+++ b/Loomreach/Core/Invariant.cpp
@@ -1,4 +1,4 @@
-// Counts, logs and, in tests, aborts on broken invariants.
+// Counts and logs broken invariants and, in tests, aborts on them.
 
 #include <Loomreach/Loomreach.h>
 
--- a/Loomreach/Core/Invariant.h
+++ b/Loomreach/Core/Invariant.h
@@ -1,5 +1,5 @@
-// Invariants asserted inside the program. They are always compiled in: tests abort on the first broken one,
-// a daemon in production counts and logs it and goes on serving.
+// Invariants that are checked at run time in all builds. Tests abort on the first broken one; a daemon in production counts and logs it and
+// continues to serve.
 
 #pragma once
 
@@ -8,10 +8,10 @@
 namespace Loomreach
 {
 
-/// Whether a broken invariant ends the process (tests, soak) or is counted and logged (production, the default).
+/// Sets whether a broken invariant aborts the process (tests, soak runs) or is only counted and logged (the default, for production).
 void SetInvariantsAbort(bool inAbort);
 
-/// How many invariants have been seen broken by this process.
+/// Returns how many times a broken invariant was detected in this process.
 uint64 BrokenInvariants();
 
 /// Called by LOOM_INVARIANT when its condition is false.
@@ -19,7 +19,7 @@
 
 } // namespace Loomreach
 
-/// States what must always hold. `inWhy` says which promise breaks otherwise.
+/// Checks a condition that must always hold. `inWhy` describes the invariant, for the log.
 #define LOOM_INVARIANT(inCondition, inWhy)                                                                                                 \
 	do                                                                                                                                     \
 	{                                                                                                                                      \
--- a/Loomreach/Core/LogEvent.cpp
+++ b/Loomreach/Core/LogEvent.cpp
@@ -1,4 +1,4 @@
-// Writes structured events through glog.
+// Formats structured events and writes them through glog.
 
 #include <Loomreach/Loomreach.h>
 
@@ -12,7 +12,7 @@
 namespace Loomreach
 {
 
-/// Hands glog's lines to a stream, with their time and severity before them.
+/// glog sink that prefixes each line with severity and time and writes it to a `LogStream`.
 class StreamSink final : public google::LogSink
 {
 public:
@@ -30,7 +30,7 @@
 		this->line.assign(head.data(), static_cast<size_t>(std::clamp(length, 0, static_cast<int>(head.size()) - 1)));
 		this->line.append(inMessage, inLength);
 		this->stream.Write(this->line);
-		// An error may be a process's last word
+		// The process may end after an error, and the line must not be lost
 		if (inSeverity >= google::GLOG_ERROR)
 			this->stream.Flush();
 	}
@@ -40,14 +40,14 @@
 
 private:
 	LogStream stream;
-	std::string line; ///< Kept for its room.
+	std::string line; ///< Member so that its allocation is reused.
 };
 
 /// glog's severities, in the order of ELogLevel.
 static constexpr std::array cSeverities = {google::GLOG_INFO, google::GLOG_WARNING, google::GLOG_ERROR};
 
-/// The one sink of the process; empty while glog itself writes.
-static std::unique_ptr<StreamSink> &SinkOfProcess()
+/// Sink of the process; null if glog writes the log itself.
+static std::unique_ptr<StreamSink> &ProcessSink()
 {
 	static std::unique_ptr<StreamSink> sink;
 	return sink;
@@ -57,8 +57,8 @@
 
 LogEvent::~LogEvent()
 {
-	// Without a sink glog writes by itself
-	StreamSink *sink = SinkOfProcess().get();
+	// Without a sink, glog writes the line itself
+	StreamSink *sink = ProcessSink().get();
 	const bool by_glog = sink == nullptr;
 	const google::LogSeverity severity = cSeverities[static_cast<size_t>(this->level)];
 	google::LogMessage(__FILE__, __LINE__, severity, sink, by_glog).stream() << this->line;
@@ -78,7 +78,7 @@
 	this->line += '"';
 	for (char c : inValue)
 	{
-		// A log line stays one line, whatever a caller sends
+		// Control characters become spaces, so that text from a caller cannot start a new log line
 		const bool control = static_cast<unsigned char>(c) < ' ';
 		if (c == '"' || c == '\\')
 			this->line += '\\';
@@ -93,13 +93,13 @@
 	FLAGS_logtostderr = inTo == ELogTo::StandardError;
 	google::InitGoogleLogging(inProgram);
 	if (inTo == ELogTo::StandardOutput)
-		SinkOfProcess() = std::make_unique<StreamSink>(STDOUT_FILENO);
+		ProcessSink() = std::make_unique<StreamSink>(STDOUT_FILENO);
 }
 
 void StopLogging()
 {
-	if (SinkOfProcess() != nullptr)
-		SinkOfProcess()->Stream().Flush();
+	if (ProcessSink() != nullptr)
+		ProcessSink()->Stream().Flush();
 }
 
 } // namespace Loomreach
--- a/Loomreach/Core/LogEvent.h
+++ b/Loomreach/Core/LogEvent.h
@@ -1,4 +1,4 @@
-// Structured logging: one glog line an event, written as key=value pairs in the order in which they are given.
+// Structured logging: one glog line for each event, with key=value pairs in the order in which they were added.
 
 #pragma once
 
@@ -7,7 +7,7 @@
 namespace Loomreach
 {
 
-/// How loud an event is; mapped onto glog's severities.
+/// Severity of an event; mapped to glog's severities.
 enum class ELogLevel : uint8
 {
 	Info,
@@ -15,7 +15,7 @@
 	Error
 };
 
-/// One event. Fields are added by chaining; the line is written when the object goes out of scope.
+/// One event. Fields are added by chained calls; the destructor writes the line.
 class LogEvent
 {
 public:
@@ -24,7 +24,7 @@
 	LogEvent(const LogEvent &) = delete;
 	LogEvent &operator=(const LogEvent &) = delete;
 
-	/// Adds a text field; text with spaces or quotes is quoted.
+	/// Adds a text field. Text that is empty or contains spaces, quotes, '=' or line breaks is quoted.
 	LogEvent &Field(std::string_view inKey, std::string_view inValue);
 	/// Adds a text field.
 	LogEvent &Field(std::string_view inKey, const char *inValue) { return this->Field(inKey, std::string_view(inValue)); }
@@ -45,16 +45,16 @@
 /// Writes an event that has no fields.
 inline void LogPlain(ELogLevel inLevel, std::string_view inEvent) { const LogEvent event(inLevel, inEvent); }
 
-/// Where a program's log goes.
+/// Destination of a program's log.
 enum class ELogTo : uint8
 {
 	StandardError,
 	StandardOutput
 };
 
-/// Starts glog for a program. On standard output a line never waits for its reader (LogStream.h).
+/// Initializes glog for a program. Writing to standard output never blocks on its reader (see LogStream.h).
 void StartLogging(const char *inProgram, ELogTo inTo = ELogTo::StandardError);
-/// Writes what is still buffered, as far as it is taken.
+/// Writes the buffered lines, as far as the reader accepts them without blocking.
 void StopLogging();
 
 } // namespace Loomreach
--- a/Loomreach/Core/LogStream.h
+++ b/Loomreach/Core/LogStream.h
@@ -1,4 +1,5 @@
-// The way of log lines out of a process that must not wait for whoever reads them: a bounded buffer, written when the descriptor takes it.
+// Non-blocking output of log lines. A slow reader of the log must not block the process, so lines go into a bounded buffer, which is
+// written when the descriptor accepts data.
 
 #pragma once
 
@@ -7,39 +8,39 @@
 namespace Loomreach
 {
 
-/// See the head of the file. Lines that come while the buffer is full are counted and told of once there is room.
+/// Lines added while the buffer is full are dropped; their number is logged once there is space again.
 class LogStream
 {
 public:
-	/// Bytes kept for a reader that is behind: a second or two of the busiest owner's lines.
+	/// Buffer limit, bytes: enough for one to two seconds of the busiest cell owner's lines while the reader is behind.
 	static constexpr size_t cMostBytes = size_t{512} * 1024;
 
-	explicit LogStream(int inDescriptor, size_t inMostBytes = cMostBytes) : descriptor(inDescriptor), most_bytes(inMostBytes) {}
+	explicit LogStream(int inDescriptor, size_t inMaxBytes = cMostBytes) : descriptor(inDescriptor), max_bytes(inMaxBytes) {}
 
-	/// Takes a line, without its end. Never waits.
+	/// Adds a line, given without its line break. Never blocks.
 	void Write(std::string_view inLine);
-	/// Writes as much as the descriptor takes now. Never waits.
+	/// Writes as much as the descriptor accepts now. Never blocks.
 	void Flush();
-	/// Lines that found no room.
+	/// Number of lines dropped because the buffer was full.
 	uint64 Dropped() const { return this->dropped; }
 
 private:
-	/// What a pipe that is ready takes without waiting (POSIX).
+	/// Bytes that a pipe reported as writable accepts without blocking (PIPE_BUF of Linux).
 	static constexpr size_t cChunkBytes = 4096;
-	/// Lines that come together leave together; what a killed process had not yet written is at most this old.
+	/// Time for which lines are collected into one write. A process that is killed loses at most the lines of this time.
 	static constexpr Millis cFlushMs = 20;
-	static constexpr size_t cFlushBytes = size_t{32} * 1024; ///< So much leaves at once.
+	static constexpr size_t cFlushBytes = size_t{32} * 1024; ///< At this size the buffer is written without waiting for the timer.
 
-	/// Whether the descriptor takes a chunk.
-	bool IsReady() const;
-	void AddDropped();
+	/// Whether the descriptor accepts a chunk without blocking.
+	bool IsWritable() const;
+	void AppendDroppedCount();
 
 	int descriptor;
-	size_t most_bytes;
+	size_t max_bytes;
 	std::string buffer;
 	uint64 dropped = 0;
-	uint64 told = 0;     ///< Of the dropped lines.
-	bool behind = false; ///< The reader did not take all at the last look.
+	uint64 reported_dropped = 0;   ///< Dropped lines that the log already reports.
+	bool reader_is_behind = false; ///< The last flush could not write the whole buffer.
 	Timer timer;
 };
 
--- a/Loomreach/Core/Metrics.cpp
+++ b/Loomreach/Core/Metrics.cpp
@@ -1,4 +1,4 @@
-// Counters, gauges and Boost histograms.
+// Counters, gauges and Boost histograms, and their Prometheus text.
 
 #include <Loomreach/Loomreach.h>
 
@@ -22,7 +22,7 @@
 constexpr double cLowestMs = 0.05;
 constexpr double cHighestMs = 100'000.0;
 
-/// A family's metric name and label name.
+/// Metric name and label name of a counter family.
 struct FamilyName
 {
 	std::string_view metric;
--- a/Loomreach/Core/Metrics.h
+++ b/Loomreach/Core/Metrics.h
@@ -1,4 +1,4 @@
-// Counters and latency histograms of one process, written as Prometheus text. Every refusal and retry reason is a label.
+// Counters, gauges and latency histograms of one process, exported as Prometheus text. Every reason of a refusal or retry is a label value.
 
 #pragma once
 
@@ -7,32 +7,32 @@
 namespace Loomreach
 {
 
-/// Families of counters; each has one label.
+/// Counter families; each has one label.
 enum class ECounter : uint8
 {
 	Requests,      ///< By outcome.
 	Refusals,      ///< By error kind.
-	Proposals,     ///< By kind, accepted ones.
-	Rejections,    ///< By error kind, of own proposals.
-	PeerRejects,   ///< Datagrams and frames that changed nothing, by error kind.
-	PeerBytes,     ///< Bytes to and from peers, by direction.
-	PlatformCalls, ///< By result.
-	RecordsFolded, ///< By source: platform or peer.
+	Proposals,     ///< Accepted proposals, by kind.
+	Rejections,    ///< Rejected proposals of this process, by error kind.
+	PeerRejects,   ///< Rejected datagrams and frames from peers, by error kind.
+	PeerBytes,     ///< Bytes sent to and received from peers, by direction.
+	PlatformCalls, ///< Calls to the platform, by result.
+	RecordsFolded, ///< Applied log records, by source: platform or peer.
 	Snapshots,     ///< By event.
 	Claims,        ///< By result.
-	Orders,        ///< To workers, by result.
-	Duties,        ///< To hosts, by result.
+	Orders,        ///< Orders to workers, by result.
+	Duties,        ///< Orders to hosts, by result.
 	JobCalls,      ///< Callers' requests about jobs, by answer.
 	Count
 };
 
-/// Families of latency histograms, ms.
+/// Latency histogram families, ms.
 enum class ETiming : uint8
 {
 	Request, ///< From arrival to the last byte.
 	Queue,   ///< From arrival to the first attempt.
 	Plan,    ///< One planning round.
-	Fold,    ///< One batch of records.
+	Fold,    ///< Applying one batch of log records.
 	Count
 };
 
@@ -45,15 +45,12 @@
 	Metrics(const Metrics &) = delete;
 	Metrics &operator=(const Metrics &) = delete;
 
-	/// Adds to a counter.
 	void Count(ECounter inFamily, std::string_view inLabel, uint64 inBy = 1);
-	/// The value of a counter.
 	uint64 Value(ECounter inFamily, std::string_view inLabel) const;
-	/// Notes a duration.
+	/// Records a duration in a histogram.
 	void Time(ETiming inFamily, double inMillis);
-	/// Sets a gauge.
 	void Gauge(std::string_view inName, double inValue);
-	/// All of it as Prometheus text.
+	/// Returns all metrics in Prometheus' text format.
 	std::string Prometheus() const;
 
 private:
--- a/Loomreach/Core/Random.h
+++ b/Loomreach/Core/Random.h
@@ -1,4 +1,5 @@
-// A small seeded generator. Decisions never draw from a global source: the seed is part of the input, so runs repeat.
+// Small seeded random number generator. There is no global generator: decision logic gets its seed as an input, so that runs can be
+// repeated.
 
 #pragma once
 
@@ -7,13 +8,13 @@
 namespace Loomreach
 {
 
-/// SplitMix64, after Steele, Lea and Flood (2014): 64-bit state, one multiplication chain a draw.
+/// SplitMix64 (Steele, Lea and Flood, 2014); 64-bit state.
 class Random
 {
 public:
 	explicit Random(uint64 inSeed) : state(inSeed) {}
 
-	/// The next 64 random bits.
+	/// Returns the next 64 random bits.
 	uint64 Next()
 	{
 		this->state += 0x9e3779b97f4a7c15ULL;
@@ -23,10 +24,10 @@
 		return z ^ (z >> 31);
 	}
 
-	/// A number below inBound; 0 when the bound is 0.
+	/// Returns a number from 0 to `inBound` - 1; 0 if the bound is 0.
 	uint64 Below(uint64 inBound) { return inBound == 0 ? 0 : this->Next() % inBound; }
 
-	/// True with the given chance in percent.
+	/// Returns true with a probability of `inPercent` percent.
 	bool Chance(uint64 inPercent) { return this->Below(100) < inPercent; }
 
 private:
--- a/Loomreach/Loomreach.h
+++ b/Loomreach/Loomreach.h
@@ -1,5 +1,5 @@
-// The common header: included first by every source file of the library, the programs and the tests.
-// It brings in the standard containers and the fixed-width names that the whole tree uses, and nothing of the system's own logic.
+// Common header, included first by every source file of the library, the programs and the tests. Contains only standard headers,
+// fixed-width integer types and the type of time, none of the project's logic.
 
 #pragma once
 
@@ -30,7 +30,7 @@
 using uint64 = std::uint64_t;
 using int64 = std::int64_t;
 
-/// Monotonic time in milliseconds since an arbitrary start of the own process. Never compared between processes.
+/// Monotonic time or duration, ms. The origin is arbitrary, so points in time of different processes must not be compared.
 using Millis = int64;
 
 } // namespace Loomreach
--- a/Loomreach/Settings/JobHostConfig.h
+++ b/Loomreach/Settings/JobHostConfig.h
@@ -17,7 +17,7 @@
 	Address ready;                      ///< Address of the listener for the load balancer's readiness checks.
 	Address peers;                      ///< UDP address for queries from other entry hosts.
 	Address store;                      ///< Address of the platform's log store.
-	std::optional<Address> machines;    ///< Address of the platform's machine service; without it, hosts are not moved between pools.
+	std::optional<Address> machines;    ///< Address of the platform's machine service; without it, no hosts are moved.
 	std::optional<Address> adviser;     ///< Address of the adviser service, if there is one.
 	int64 metrics_port = 0;             ///< Port for metrics; 0: none.
 	int64 log_parts = 8;                ///< Number of partitions of a log topic.
--- a/Loomreach/Settings/SettingsTree.cpp
+++ b/Loomreach/Settings/SettingsTree.cpp
@@ -39,7 +39,7 @@
 {
 	if (inNode.path.empty() || inNode.path.size() > cMaxPathLength || inNode.path.front() != '/')
 		return FailFalse(EError::BadSettings,
-						 "a path must start with / and have at most 200 characters: " + inNode.path.substr(0, cMaxPathLength));
+						 "a path starts with / and has at most 200 characters: " + inNode.path.substr(0, cMaxPathLength));
 	if (inNode.path.find_first_of(" \"\\\n\r\t") != std::string::npos || inNode.path.find("//") != std::string::npos)
 		return FailFalse(EError::BadSettings, "a path must have no spaces, quotes or empty parts: " + inNode.path);
 	for (const auto &[setting, value] : inNode.stated)
