--- a/Loomreach/Core/Error.h
+++ b/Loomreach/Core/Error.h
@@ -74,7 +74,7 @@
 	std::string_view name;    ///< Value of the Loomreach-Reason header, log fields and metric labels.
 	uint16 http_status;       ///< HTTP status sent to callers and operators.
 	EOutcome outcome;         ///< Value of the Loomreach-Outcome header.
-	uint8 exit_code;          ///< Exit code of the daemon and the command-line client.
+	uint8 exit_code;          ///< Exit code of a program that ends with this error.
 	bool come_back;           ///< Whether the same request may succeed later; a Retry-After header is then sent.
 	std::string_view meaning; ///< Description for people, one sentence.
 };
--- a/Loomreach/Member/PeerTracker.cpp
+++ b/Loomreach/Member/PeerTracker.cpp
@@ -174,11 +174,11 @@
 	}
 	for (const std::string &zone : this->unresponsive_zones)
 	{
-		const Digest *digest = inTracker.LiveDigestOf(zone, inNow);
+		const Digest *latest = inTracker.LiveDigestOf(zone, inNow);
 		const bool by_log = inTracker.IsZoneAliveByLog(zone, inNow);
-		if (digest != nullptr || by_log)
+		if (latest != nullptr || by_log)
 			heard.insert(zone);
-		if (by_log || (digest != nullptr && digest->zone_reaches_platform))
+		if (by_log || (latest != nullptr && latest->zone_reaches_platform))
 			eligible.insert(zone);
 	}
 	for (const std::string &zone : heard)
--- a/Loomreach/Settings/DaemonConfig.h
+++ b/Loomreach/Settings/DaemonConfig.h
@@ -54,8 +54,7 @@
 	int64 max_request_bytes = 1 << 20;
 	int64 connect_timeout_ms = 1000;
 	int64 claim_lease_ms = 15000; ///< Caller-supplied ids are claimed only until this time after the platform was last read.
-	int64 claim_quiet_ms =
-		30000; ///< Longest time in which a caller repeats a request. After a reset, claims are refused for claim_lease_ms + this.
+	int64 claim_quiet_ms = 30000; ///< Longest time in which callers repeat a request; after a reset, added to claim_lease_ms.
 };
 
 /// Parses the configuration file's TOML text. Secrets are read from the files that it names, relative to `inDirectory`. Fails with
--- a/Loomreach/Settings/SettingsKey.cpp
+++ b/Loomreach/Settings/SettingsKey.cpp
@@ -15,7 +15,7 @@
 
 static constexpr std::array<SettingInfo, cSettingCount> cSettings = {{
 	{ESetting::Kind, "kind", Word, 0, 0, 0, "service", "service|batch",
-	 "service: replicas answer requests; batch: replicas run to completion"},
+	 "service: replicas answer requests; batch: replicas run until they end"},
 	{ESetting::Team, "team", Word, 0, 0, 0, "none", "", "team whose quota the job counts against"},
 	{ESetting::Priority, "priority", Integer, 0, 1000, 100, "", "", "priority of the job; greater values go first"},
 	{ESetting::Replicas, "replicas", Integer, 0, 5000, 1, "", "", "number of replicas wanted of a job"},
--- a/Loomreach/State/Envelope.cpp
+++ b/Loomreach/State/Envelope.cpp
@@ -58,7 +58,7 @@
 		return Fail(EError::UnknownVersion, "unknown envelope version " + std::to_string(static_cast<uint8>(inSealed[3])));
 	const uint64 length = ReadLittleEndian(inSealed, 4, 4);
 	if (length > inMaxBytes)
-		return Fail(EError::TooLarge, std::to_string(length) + " bytes; the limit is " + std::to_string(inMaxBytes));
+		return Fail(EError::TooLarge, std::to_string(length) + " bytes, at most " + std::to_string(inMaxBytes));
 	const std::string_view bytes = inSealed.substr(cHeaderBytes);
 	if (bytes.size() != length)
 		return Fail(EError::Corrupt, "cut short or too long: length differs from the envelope header");
