--- a/Loomreach/Entry/CellSeat.inl
+++ b/Loomreach/Entry/CellSeat.inl
@@ -12,8 +12,8 @@
 /// Long-poll time of inbox reads. Bounds the age of the information behind a "no such job" answer.
 inline constexpr Millis cInboxReadWaitMs = 1000;
 inline constexpr Millis cInboxRetryMs = 150;
-/// Nothing is started when the inbox has not been read for this long: a cancellation must take effect within 3 s (the users' strictest
-/// limit). Leaves time to repeat one lost read.
+/// Nothing is started when the inbox has not been read for this long: a cancellation must take effect within 3 s (the strictest limit).
+/// Leaves time to repeat one lost read.
 inline constexpr Millis cInboxStaleMs = 2500;
 
 /// Wall clock, ms since 1970.
--- a/Loomreach/Entry/EndsHandIn.h
+++ b/Loomreach/Entry/EndsHandIn.h
@@ -34,7 +34,7 @@
 		Millis give_up_at = 0;
 	};
 
-	static constexpr Millis cAttemptTimeoutMs = 700; ///< The users' slow store answers in 240 ms.
+	static constexpr Millis cAttemptTimeoutMs = 700; ///< A slow store answers in 240 ms.
 	static constexpr Millis cRetryDelayMs = 300;     ///< Delay between two attempts.
 	/// While the store is down the cell has no next owner; after this long the tasks have been run again.
 	static constexpr Millis cGiveUpAfterMs = 30000;
--- a/Loomreach/Entry/HelperSearch.h
+++ b/Loomreach/Entry/HelperSearch.h
@@ -22,7 +22,7 @@
 
 private:
 	static constexpr Millis cAskIntervalMs = 200; ///< A question and its answer are two datagrams.
-	static constexpr size_t cAskPerRound = 3; ///< Hosts of a zone fail together; in the users' worst outage that is a third of all hosts.
+	static constexpr size_t cAskPerRound = 3; ///< Hosts of a zone fail together; in the worst expected outage that is a third of all hosts.
 	static constexpr Millis cReachedValidMs = 700; ///< Up to three rounds of questions may be lost.
 
 	std::map<Address, Millis> reached; ///< When each host last confirmed that it reaches the store.
--- a/Loomreach/Entry/InboxWriter.h
+++ b/Loomreach/Entry/InboxWriter.h
@@ -38,16 +38,16 @@
 		OnOutcome done;
 	};
 
-	/// Limits of one call, in records and bytes. The latter is a quarter of what a call may contain (2 MB, figure given by the users) and
-	/// of what a link transfers in a second.
+	/// Limits of one call, in records and bytes. The latter is a quarter of what a call may contain (2 MB) and of what a link transfers in
+	/// a second.
 	static constexpr size_t cMaxRecords = 500;
 	static constexpr size_t cMaxBytes = size_t{512} * 1024;
 	static constexpr Millis cMinGapMs = 40;      ///< About ten appends. While a call has no answer, the next one is sent after this long,
 	static constexpr Millis cGapPerLatency = 2;  ///< or after this many times the mean latency if that is longer,
 	static constexpr Millis cMaxGapMs = 700;     ///< but at the latest after this long. A store that is behind thus gets fewer calls.
 	static constexpr Millis cMinTimeoutMs = 200; ///< Lower bound of a call's timeout.
-	static constexpr Millis cMaxTimeoutMs = 700; ///< Upper bound of a call's timeout; the users' slow store answers in 240 ms.
-	static constexpr double cSlowLatencyMs = 100.0; ///< The store usually answers in 4 ms, the users' slow store in 240 ms.
+	static constexpr Millis cMaxTimeoutMs = 700; ///< Upper bound of a call's timeout; a slow store answers in 240 ms.
+	static constexpr double cSlowLatencyMs = 100.0; ///< The store usually answers in 4 ms, in 240 ms when slow.
 	/// After this long without an answer the store no longer counts as slow, so that it is tried again.
 	static constexpr Millis cSlowExpiryMs = 2000;
 	static constexpr double cLatencyWeight = 0.4; ///< Weight of a new answer in the mean latency.
--- a/Loomreach/Entry/JobHost.inl
+++ b/Loomreach/Entry/JobHost.inl
@@ -19,12 +19,11 @@
 inline constexpr Millis cEntriesRefusedLogMs = 1000; ///< Entries that cannot be decoded are logged at most once in this time.
 /// Heartbeats sent, and reads of other hosts' heartbeats, during one lease: three may be lost.
 inline constexpr Millis cHeartbeatsPerLease = 4;
-/// Delay before a cell that never had an owner is claimed. All hosts start within 0.3 s (figure given by the users), the smallest need
-/// 0.5 s to get ready, and their heartbeats are seen at the next read. With a shorter delay the first few hosts to start would own all
-/// cells.
+/// Delay before a cell that never had an owner is claimed. All hosts start within 0.3 s, the smallest need 0.5 s to get ready, and
+/// their heartbeats are seen at the next read. With a shorter delay the first few hosts to start would own all cells.
 inline constexpr Millis cFirstClaimDelayMs = 3000;
 inline constexpr Millis cSlowHeartbeatMs = 200; ///< Slower heartbeats of an owner are logged.
-/// A store with a higher latency counts as slow: it usually answers in 4 ms, the users' slow store in 240 ms.
+/// A store with a higher latency counts as slow: it usually answers in 4 ms, in 240 ms when slow.
 inline constexpr Millis cSlowStoreMs = 100;
 /// Factor by which hosts without cells stretch their heartbeat interval while the store is slow.
 inline constexpr Millis cIdleSlowFactor = 4;
@@ -40,7 +39,7 @@
 inline constexpr Millis cAskOwnersPerHostMs = 2;
 inline constexpr Millis cAskOwnersTimeoutMs = 300; ///< Without an answer the next question follows at its regular time.
 inline constexpr Millis cLostHostsCheckMs = 2000;  ///< Interval at which lost hosts are looked for.
-/// A host without heartbeats for this long is lost: six leases, and longer than the network partitions of a zone that the users expect.
+/// A host without heartbeats for this long is lost: six leases, and longer than a network partition of a zone is expected to last.
 inline constexpr Millis cHostLostMs = 12000;
 inline constexpr Millis cReleaseRepeatMs = 60;         ///< The release of cells is announced twice since datagrams may be lost.
 inline constexpr double cHeartbeatLatencyWeight = 0.4; ///< Weight of a faster answer in the mean latency; a slower one counts in full.
@@ -67,14 +66,14 @@
 inline constexpr Millis cStoreUnresponsiveMs = 1800; ///< The store counts as unresponsive after this long without an answer.
 /// This many delays between reads of the operator's records are added; the delay is 0 for long polls.
 inline constexpr Millis cReadsUntilUnresponsive = 2;
-/// Workers whose entries expired while the store was down are listed again within this time (figure given by the users).
+/// Workers whose entries expired while the store was down are listed again within this time, as specified.
 inline constexpr Millis cRelistedMs = 2000;
 /// A planned stop waits this long for appends in flight and for drain grants to expire, which last 1.5 s (cEmptyForMs).
 inline constexpr Millis cStopReleaseMs = cEmptyForMs + 100;
 /// A stopping host keeps answering this long: the load balancer notices after two failed checks, one second apart.
 inline constexpr Millis cStopServeMs = 3200;
 
-/// Limit for submitting run ends during a stop: the users allow 6 s for a stop.
+/// Limit for submitting run ends during a stop: a stop may take 6 s.
 inline constexpr Millis cStopSubmitEndsMs = 5000;
 
 inline constexpr int64 cKbPerMb = 1000;
--- a/Loomreach/Entry/StoreWatch.h
+++ b/Loomreach/Entry/StoreWatch.h
@@ -24,7 +24,7 @@
 	Millis Patience() const;
 
 private:
-	static constexpr Millis cMinAnswerTimeoutMs = 350;  ///< The users' stores answer within 4 ms; two lost packets cost 300 ms.
+	static constexpr Millis cMinAnswerTimeoutMs = 350;  ///< The store usually answers within 4 ms; two lost packets cost 300 ms.
 	static constexpr Millis cMaxAnswerTimeoutMs = 1800; ///< After this an owner's lease is over anyway.
 	static constexpr double cTimeoutPerLatency = 3.0;   ///< The answer times of one store vary by half their mean.
 	static constexpr Millis cLateDivisor = 3;           ///< An answer is late after the timeout divided by this.
@@ -35,8 +35,7 @@
 };
 
 /// Detects that the store does not answer this host while it answers others. An owner then releases its cells before its lease is over: it
-/// could not do anything with them, and a successor starts half a second sooner. Together with LetGoBeat this was worth +0.019 (error
-/// 0.012) in 10 pairs of days with faults.
+/// could not do anything with them, and a successor starts half a second sooner.
 class TurnedAwayWatch
 {
 public:
--- a/Loomreach/Fleet/TeamShares.cpp
+++ b/Loomreach/Fleet/TeamShares.cpp
@@ -84,8 +84,7 @@
 		if (before)
 			left.Subtract(other.claim.wanted);
 	}
-	// Resources without demand are granted in advance, so that new work need not wait for an answer: the score was 0.344 with and 0.313
-	// without it (mean of five scenarios with faults, one run each)
+	// Resources without demand are granted in advance, so that new work need not wait for an answer
 	const auto cells = static_cast<int64>(std::max<size_t>(this->cells.size(), 1));
 	const Resources in_advance = EachOf(spare, demand, [cells](int64 inSpare, int64) { return std::max<int64>(inSpare, 0) / cells; });
 	demand.Add(in_advance);
--- a/Loomreach/Forward/ForwardPlan.h
+++ b/Loomreach/Forward/ForwardPlan.h
@@ -21,8 +21,8 @@
 	/// Forwarding begins when orders would take this share of the processor: the rest is for planning and the log.
 	int64 begin_percent = 25;
 	int64 end_percent = 12; ///< Forwarding ends when orders would take less than this.
-	Millis window_ms = 500; ///< Orders are counted over this long: short compared with a load peak (4 s in the users' scenarios).
-	/// First exclusion of an unresponsive host: hosts are cut off or killed for 2 to 10 s in the users' scenarios.
+	Millis window_ms = 500; ///< Orders are counted over this long: short compared with a load peak (4 s).
+	/// First exclusion of an unresponsive host: a host that is cut off or killed is back after 2 to 10 s.
 	Millis exclusion_ms = 5000;
 	Millis max_exclusion_ms = 40'000; ///< The exclusion doubles each time that the host is unresponsive again, up to this.
 	size_t min_idle_hosts = 4;        ///< With fewer idle hosts nothing is forwarded: they are the next owners.
--- a/Loomreach/Job/JobRecord.cpp
+++ b/Loomreach/Job/JobRecord.cpp
@@ -8,7 +8,7 @@
 namespace Loomreach::Jobs
 {
 
-/// Bounds against damaged submissions, not policy: far above what users submit (32 tasks per step, 5 steps, 8 rounds).
+/// Bounds against damaged submissions, not policy: far above the usual size of a job (32 tasks per step, 5 steps, 8 rounds).
 static constexpr uint32 cMaxTasksPerStep = 10'000;
 static constexpr size_t cMaxSteps = 256;
 static constexpr uint32 cMaxRoundsPerJob = 10'000;
--- a/Loomreach/Ownership/CellNames.h
+++ b/Loomreach/Ownership/CellNames.h
@@ -34,10 +34,9 @@
 	return {"inbox" + std::to_string(inCell / inPartitions), inCell % inPartitions};
 }
 
-/// Number of partitions for the heartbeats of hosts. A slow store handles the appends to a partition one after the other, at 240 ms each
-/// (users' figure): six owners in one partition would wait for each other longer than a lease lasts, two do not. The last partition is
-/// for hosts without cells, so that owners do not queue behind them. Every host reads all partitions, so more of them would cost more
-/// reads.
+/// Number of partitions for the heartbeats of hosts. A slow store handles the appends to a partition one after the other, at 240 ms each:
+/// six owners in one partition would wait for each other longer than a lease lasts, two do not. The last partition is for hosts
+/// without cells, so that owners do not queue behind them. Every host reads all partitions, so more of them would cost more reads.
 inline constexpr uint32 cHostParts = 4;
 
 /// One partition of the log of host heartbeats.
--- a/Loomreach/Ownership/OwnerTable.h
+++ b/Loomreach/Ownership/OwnerTable.h
@@ -17,7 +17,7 @@
 struct LeaseTuning
 {
 	Millis lease_ms = 2000; ///< Longest lease that an owner may announce. Setting `owner_lease_ms`.
-	/// The owner stops this long before its lease ends: covers a freeze of 300 ms (users' figure), and clocks that are 2% apart.
+	/// The owner stops this long before its lease ends: covers a freeze of 300 ms, and clocks that are 2% apart.
 	Millis slack_ms = 300;
 	Millis beat_ms = 500;                  ///< Interval between heartbeats of an owner.
 	Millis idle_interval_per_host_ms = 30; ///< Interval between heartbeats of a host without cells, for each host that there is.
@@ -176,8 +176,7 @@
 	bool IsFree(uint32 inCell, Millis inNow) const;
 	/// Whether this host, which owns `inOwn` cells, should hand one over: another host would carry it with less than half the load of
 	/// this one, relative to size. Otherwise small hosts that took cells while the large ones were unavailable would keep them for good:
-	/// one with 10 Mbit/s held a busy cell for 34 s, during which its jobs took 14 s and more and its long-running tasks made no
-	/// progress.
+	/// with a link of 10 Mbit/s the jobs of a busy cell take 14 s and more, and its long-running tasks make no progress.
 	bool ShouldGiveOn(size_t inOwn, Millis inNow);
 
 	/// Of the given cells, those to claim now. Every host computes the same ranking of hosts for a cell from the same heartbeats: the
--- a/Loomreach/Schedule/CellCrashes.cpp
+++ b/Loomreach/Schedule/CellCrashes.cpp
@@ -28,7 +28,7 @@
 {
 
 /// A run has survived its start once its worker has answered this long after confirming it. Tasks that crash their worker do so within
-/// 10 ms, by the users' records; the rest is margin for slow machines. A trial run keeps other starts off its worker for as long.
+/// 10 ms; the rest is margin for slow machines. A trial run keeps other starts off its worker for as long.
 static constexpr Millis cStartWindowMs = 300;
 /// A crash seen within this time after a start counts as right after it: the 10 ms, plus the time until a poll shows it.
 static constexpr Millis cImmediateCrashMs = 150;
@@ -38,8 +38,8 @@
 static constexpr uint32 cBlamedCrashesToIsolate = 2;
 /// The same for crashes of any kind.
 static constexpr uint32 cCrashesToIsolate = 3;
-/// Crashes after which a task's job fails if cMinClearCrashes of them have no other possible cause. The users tolerate three crashes and
-/// two more starts; one of these five is left for a crash that went unseen.
+/// Crashes after which a task's job fails if cMinClearCrashes of them have no other possible cause. Specified: at most two more
+/// starts after three crashes; one of these five is left for a crash that went unseen.
 static constexpr uint32 cMaxCrashes = 4;
 /// See cMaxCrashes.
 static constexpr uint32 cMinClearCrashes = 2;
@@ -380,7 +380,7 @@
 	if (only_suspect && at_once && !proved && IsCrasherProved(cleared, doubts))
 		this->AwaitOtherSuspects(job, inRun.task, inNow);
 	const bool exceeds_limit = weight.clear >= cMinClearCrashes && weight.Total() >= cMaxCrashes;
-	// The limit that the users set applies to all crashes, explained or not
+	// The specified limit applies to all crashes, explained or not
 	const bool given_up = proved || exceeds_limit || IsMoreThanBorne(crashes);
 	LogEvent(ELogLevel::Warning, "task_blamed")
 		.Field("request", inRun.task.job)
--- a/Loomreach/Schedule/CellEnds.cpp
+++ b/Loomreach/Schedule/CellEnds.cpp
@@ -11,7 +11,7 @@
 {
 
 /// A worker is slow if its average ratio of actual to expected run time exceeds this. An ended run has a weight of a fifth, a progress
-/// report of an overdue run a tenth. Slow workers take 4 to 6.5 times as long, by the users' records.
+/// report of an overdue run a tenth. Slow workers take 4 to 6.5 times as long.
 static constexpr double cSlowRatio = 2.2;
 static constexpr double cMaxRatio = 8.0; ///< Cap, so that a single outlier does not decide.
 static constexpr double cEndWeight = 0.2;
--- a/Loomreach/Schedule/CellMisses.cpp
+++ b/Loomreach/Schedule/CellMisses.cpp
@@ -11,8 +11,8 @@
 
 /// Progress at which a long-running task is up.
 static constexpr int64 cUpPercent = 100;
-/// A task counts as up if its worker reported so within this time, which spans two polls during a drain. The availability rule of the users
-/// counts a task as unavailable after 4.5 s.
+/// A task counts as up if its worker reported so within this time, which spans two polls during a drain. Specified: a task counts as
+/// unavailable after 4.5 s.
 static constexpr Millis cUpReportMaxAgeMs = 1200;
 
 /// Longest time a worker takes to stop a run: 0.4 to 0.9 s as specified, and half as much again.
--- a/Loomreach/Schedule/CellPlan.cpp
+++ b/Loomreach/Schedule/CellPlan.cpp
@@ -20,7 +20,7 @@
 /// Weights of the placement score. A rack with the task's data halves the run time and outweighs any load balance.
 static constexpr double cDataRackWeight = 10.0;
 static constexpr double cNeighbourWeight = 2.0; ///< Per latency-sensitive or best-effort neighbour of such a task.
-/// A job that ends later than this many times its objective earns nothing, by the users' rule.
+/// Specified: a job that ends later than this many times its objective earns nothing.
 static constexpr int64 cCreditObjectives = 3;
 /// A step that has exceeded its expected time is assumed to need this fraction (1/n) of it still.
 static constexpr Millis cOverdueDivisor = 5;
