--- a/Loomreach/Entry/CellSeat.h
+++ b/Loomreach/Entry/CellDriver.h
@@ -116,4 +116,4 @@
 
 } // namespace Loomreach::Jobs
 
-#include <Loomreach/Entry/CellSeat.inl>
+#include <Loomreach/Entry/CellDriver.inl>
--- a/Loomreach/Entry/ControlLoop.cpp
+++ b/Loomreach/Entry/ControlLoop.cpp
@@ -6,7 +6,7 @@
 #include <Loomreach/Core/Hash.h>
 #include <Loomreach/Core/LogEvent.h>
 #include <Loomreach/Entry/ControlLoop.h>
-#include <Loomreach/Fleet/HostKeeper.h>
+#include <Loomreach/Fleet/HostLifecycle.h>
 #include <Loomreach/Fleet/RollingPlan.h>
 #include <Loomreach/Fleet/WavePlanner.h>
 #include <Loomreach/Request/ShareUpdate.h>
--- a/Loomreach/Entry/FleetSeat.h
+++ b/Loomreach/Entry/FleetDriver.h
@@ -5,7 +5,7 @@
 
 #pragma once
 
-#include <Loomreach/Entry/CellSeat.h>
+#include <Loomreach/Entry/CellDriver.h>
 #include <Loomreach/Fleet/PoolBalancer.h>
 #include <Loomreach/Fleet/TeamShares.h>
 
@@ -83,4 +83,4 @@
 
 } // namespace Loomreach::Jobs
 
-#include <Loomreach/Entry/FleetSeat.inl>
+#include <Loomreach/Entry/FleetDriver.inl>
--- a/Loomreach/Fleet/HostKeeper.cpp
+++ b/Loomreach/Fleet/HostLifecycle.cpp
@@ -2,7 +2,7 @@
 
 #include <Loomreach/Loomreach.h>
 
-#include <Loomreach/Fleet/HostKeeper.h>
+#include <Loomreach/Fleet/HostLifecycle.h>
 
 namespace Loomreach
 {
--- a/Loomreach/Platform/PeerTrust.cpp
+++ b/Loomreach/Platform/ResponseTimeTracker.cpp
@@ -2,7 +2,7 @@
 
 #include <Loomreach/Loomreach.h>
 
-#include <Loomreach/Platform/PeerTrust.h>
+#include <Loomreach/Platform/ResponseTimeTracker.h>
 
 namespace Loomreach
 {
--- a/Loomreach/Schedule/CellTypes.h
+++ b/Loomreach/Schedule/CellTypes.h
@@ -7,7 +7,7 @@
 #pragma once
 
 #include <Loomreach/Schedule/Advice.h>
-#include <Loomreach/Schedule/StepSeen.h>
+#include <Loomreach/Schedule/StepRunTimes.h>
 #include <Loomreach/Schedule/TaskCrashes.h>
 #include <Loomreach/Schedule/Worker.h>
 
--- a/Loomreach/Schedule/EndReplicas.h
+++ b/Loomreach/Schedule/RunEndReplicas.h
@@ -3,7 +3,7 @@
 
 #pragma once
 
-#include <Loomreach/Schedule/EndReplicator.h>
+#include <Loomreach/Schedule/RunEndReplicator.h>
 
 namespace Loomreach::Jobs
 {
--- a/Loomreach/Schedule/StepSeen.cpp
+++ b/Loomreach/Schedule/StepRunTimes.cpp
@@ -2,7 +2,7 @@
 
 #include <Loomreach/Loomreach.h>
 
-#include <Loomreach/Schedule/StepSeen.h>
+#include <Loomreach/Schedule/StepRunTimes.h>
 
 #include <cmath>
 
--- a/PerformanceTest/FleetBuilder.h
+++ b/PerformanceTest/FleetBuilder.h
@@ -2,7 +2,7 @@
 
 #pragma once
 
-#include <Loomreach/State/Fold.h>
+#include <Loomreach/State/ApplyProposals.h>
 
 namespace Loomreach
 {
--- a/SoakTests/SoakNode.h
+++ b/SoakTests/SoakNode.h
@@ -2,7 +2,7 @@
 
 #pragma once
 
-#include <Loomreach/Fleet/HostKeeper.h>
+#include <Loomreach/Fleet/HostLifecycle.h>
 #include <Loomreach/Fleet/PlacementPlanner.h>
 #include <Loomreach/Fleet/WavePlanner.h>
 #include <Loomreach/Member/PeerTracker.h>
--- a/UnitTests/CatalogueTests.cpp
+++ b/UnitTests/CatalogueTests.cpp
@@ -4,8 +4,8 @@
 
 #include <Loomreach/Core/Error.h>
 #include <Loomreach/Schedule/Catalogue.h>
-#include <UnitTests/CellWorld.h>
-#include <platform/Feeds.h>
+#include <UnitTests/CellSimulation.h>
+#include <platform/StoreRecords.h>
 
 #include <gtest/gtest.h>
 
--- a/UnitTests/CellSeatTests.cpp
+++ b/UnitTests/CellDriverTests.cpp
@@ -3,7 +3,7 @@
 #include <Loomreach/Loomreach.h>
 
 #include <Loomreach/Core/Clock.h>
-#include <Loomreach/Entry/CellSeat.h>
+#include <Loomreach/Entry/CellDriver.h>
 #include <Loomreach/State/Codec.h>
 #include <UnitTests/FakeLog.h>
 
--- a/UnitTests/CellTroubles.h
+++ b/UnitTests/CellScenarios.h
@@ -2,7 +2,7 @@
 
 #pragma once
 
-#include <UnitTests/CellWorld.h>
+#include <UnitTests/CellSimulation.h>
 
 namespace Loomreach::Jobs
 {
--- a/UnitTests/CellWorld.cpp
+++ b/UnitTests/CellSimulation.cpp
@@ -2,7 +2,7 @@
 
 #include <Loomreach/Loomreach.h>
 
-#include <UnitTests/CellWorld.h>
+#include <UnitTests/CellSimulation.h>
 
 namespace Loomreach::Jobs
 {
--- a/UnitTests/FleetTests.cpp
+++ b/UnitTests/FleetTests.cpp
@@ -3,7 +3,7 @@
 #include <Loomreach/Loomreach.h>
 
 #include <Loomreach/Core/Invariant.h>
-#include <Loomreach/Fleet/HostKeeper.h>
+#include <Loomreach/Fleet/HostLifecycle.h>
 #include <Loomreach/Fleet/JobBackoff.h>
 #include <Loomreach/Fleet/PlacementPlanner.h>
 #include <Loomreach/Fleet/RollingPlan.h>
--- a/UnitTests/PlatformTests.cpp
+++ b/UnitTests/PlatformTests.cpp
@@ -4,7 +4,7 @@
 
 #include <Loomreach/Core/Error.h>
 #include <Loomreach/Settings/JobHostConfig.h>
-#include <platform/Feeds.h>
+#include <platform/StoreRecords.h>
 #include <platform/WorkerCalls.h>
 
 #include <gtest/gtest.h>
--- a/UnitTests/RunTimesTests.cpp
+++ b/UnitTests/RunTimesTests.cpp
@@ -3,7 +3,7 @@
 #include <Loomreach/Loomreach.h>
 
 #include <Loomreach/Schedule/RunTimes.h>
-#include <Loomreach/Schedule/StepSeen.h>
+#include <Loomreach/Schedule/StepRunTimes.h>
 
 #include <gtest/gtest.h>
 #include <random>
