--- a/Loomreach/Entry/CallerServer.cpp
+++ b/Loomreach/Entry/CallerServer.cpp
@@ -232,7 +232,7 @@
 	const std::string key = "own:" + inExchange->service + "/" + inId;
 	if (this->ids.KnowsOwn(key))
 	{
-		const IdVerdict id_state = this->ids.BeginOwn(key);
+		const IdUseResult id_state = this->ids.BeginOwn(key);
 		if (id_state.use != EIdUse::MayRun)
 			return this->HandleIdState(inExchange, key, id_state);
 	}
@@ -267,7 +267,7 @@
 				 "the id could not be claimed at every member of its claim group; ids from POST /v1/ids need no claim");
 }
 
-void CallerServer::HandleIdState(const std::shared_ptr<Exchange> &inExchange, const std::string &inKey, const IdVerdict &inState)
+void CallerServer::HandleIdState(const std::shared_ptr<Exchange> &inExchange, const std::string &inKey, const IdUseResult &inState)
 {
 	switch (inState.use)
 	{
--- a/Loomreach/Entry/CallerServer.h
+++ b/Loomreach/Entry/CallerServer.h
@@ -50,7 +50,7 @@
 	void OnClaimed(const std::shared_ptr<Exchange> &inExchange, const std::string &inKey, bool inForwarded, EError inError,
 				   uint64 inHolder);
 	/// Submits the request, answers with the kept answer, or refuses it, by what is known of its id.
-	void HandleIdState(const std::shared_ptr<Exchange> &inExchange, const std::string &inKey, const IdVerdict &inState);
+	void HandleIdState(const std::shared_ptr<Exchange> &inExchange, const std::string &inKey, const IdUseResult &inState);
 	/// Forwards a request to the member with an incarnation, unless it was forwarded before.
 	void ForwardTo(const std::shared_ptr<Exchange> &inExchange, uint64 inIncarnation, bool inForwarded);
 	void Refuse(const std::shared_ptr<Exchange> &inExchange, EError inError, std::string_view inDetail);
--- a/Loomreach/Entry/CellDriver.h
+++ b/Loomreach/Entry/CellDriver.h
@@ -15,7 +15,7 @@
 {
 
 /// Dependencies that a driver gets from its host.
-struct SeatContext
+struct DriverContext
 {
 	const JobHostConfig &config;
 	Metrics &metrics;
@@ -27,7 +27,7 @@
 	/// Asks the owner of the fleet cell, which may be this host. Only set for cells of pools.
 	std::function<void(PeerQuestion, PeerQuery::OnAnswer)> ask_fleet = {};
 	/// Sends run ends to the hosts that keep replicas of them. Only set for cells of pools.
-	std::function<void(const EndsUpdate &)> replicate_ends = {};
+	std::function<void(const RunEndsUpdate &)> replicate_ends = {};
 };
 
 /// What a driver requires of a client for worker agents.
@@ -46,13 +46,13 @@
 
 /// Drives one cell. `Hub` is the platform, see JobHost.
 template <class Hub>
-class CellSeat : private Guarded
+class CellDriver : private Guarded
 {
 public:
 	/// Called once with the outcome of the claim, and with false when the cell is lost later.
 	using OnOwnership = std::function<void(bool inHeld)>;
 
-	CellSeat(Hub &inHub, const SeatContext &inContext, uint32 inCell);
+	CellDriver(Hub &inHub, const DriverContext &inContext, uint32 inCell);
 
 	/// `inHeartbeatNumber`: number of the host's newest heartbeat.
 	void Claim(uint64 inHeartbeatNumber, const OnOwnership &inDone);
@@ -69,7 +69,7 @@
 	PeerAnswer Answer(const PeerQuestion &inQuestion);
 	/// Lets the cell plan, then sends its orders and writes its log. Called by a timer, and shortly after each update.
 	void Step();
-	CellFigures Figures() const { return this->cell.Figures(); }
+	CellCounts Figures() const { return this->cell.Figures(); }
 	/// Whether the last planning found no capacity for some tasks, so that new workers are of use immediately.
 	bool IsShort() const { return this->cell.IsShort(); }
 	/// Run ends that workers have listed and the log does not contain yet.
@@ -77,7 +77,7 @@
 	/// Prepares a planned hand-over: no further drain grants are given.
 	void Retire() { this->cell.Retire(); }
 	/// Whether a successor may start immediately: no append is in flight, the log contains every run end, and no grant is still relied on.
-	bool IsQuiet() const { return !this->log.IsBusy() && this->cell.CanHandOver(NowMillis()); }
+	bool IsReadyToHandOver() const { return !this->log.IsBusy() && this->cell.CanHandOver(NowMillis()); }
 
 private:
 	using Store = decltype(Hub::store);
@@ -96,7 +96,7 @@
 	void AskShares(Millis inNow);
 
 	Hub &hub;
-	SeatContext context;
+	DriverContext context;
 	uint32 number;
 	OwnedLog<Store> log;
 	Cell cell;
--- a/Loomreach/Entry/CellDriver.inl
+++ b/Loomreach/Entry/CellDriver.inl
@@ -31,7 +31,7 @@
 }
 
 template <class Hub>
-CellSeat<Hub>::CellSeat(Hub &inHub, const SeatContext &inContext, uint32 inCell)
+CellDriver<Hub>::CellDriver(Hub &inHub, const DriverContext &inContext, uint32 inCell)
 	: hub(inHub), context(inContext), number(inCell),
 	  log(inHub.store, CellLog(inCell, static_cast<uint32>(inContext.config.log_parts)), inContext.process),
 	  cell(CellTuningOf(inContext.config))
@@ -39,7 +39,7 @@
 }
 
 template <class Hub>
-void CellSeat<Hub>::Claim(uint64 inHeartbeatNumber, const OnOwnership &inDone)
+void CellDriver<Hub>::Claim(uint64 inHeartbeatNumber, const OnOwnership &inDone)
 {
 	this->on_ownership = inDone;
 	this->log.Claim(
@@ -63,7 +63,7 @@
 }
 
 template <class Hub>
-void CellSeat<Hub>::Begin(const typename OwnedLog<Store>::Records &inRecords)
+void CellDriver<Hub>::Begin(const typename OwnedLog<Store>::Records &inRecords)
 {
 	size_t damaged = 0;
 	for (const auto &[key, value] : inRecords)
@@ -71,7 +71,7 @@
 	this->cell.Begin(this->log.Epoch(), NowMillis(), this->number);
 	this->held = true;
 	this->claimed_at = NowMillis();
-	const CellFigures figures = this->cell.Figures();
+	const CellCounts figures = this->cell.Figures();
 	LogEvent(ELogLevel::Info, "cell_owned")
 		.Field("cell", this->number)
 		.Field("epoch", this->log.Epoch())
@@ -85,7 +85,7 @@
 }
 
 template <class Hub>
-void CellSeat<Hub>::SetWorkers(const std::vector<WorkerEntry> &inWorkers, Millis inTrustUntil)
+void CellDriver<Hub>::SetWorkers(const std::vector<WorkerEntry> &inWorkers, Millis inTrustUntil)
 {
 	std::vector<WorkerEntry> own_workers;
 	for (const WorkerEntry &worker : inWorkers)
@@ -96,7 +96,7 @@
 }
 
 template <class Hub>
-void CellSeat<Hub>::ReadInbox()
+void CellDriver<Hub>::ReadInbox()
 {
 	const Millis sent_at = NowMillis();
 	const LogName inbox = InboxLog(this->number, static_cast<uint32>(this->context.config.log_parts));
@@ -114,7 +114,7 @@
 }
 
 template <class Hub>
-void CellSeat<Hub>::OnInbox(ReadAnswer inAnswer)
+void CellDriver<Hub>::OnInbox(ReadAnswer inAnswer)
 {
 	if (inAnswer.result == ERead::Failed)
 		return this->inbox_retry_timer.Once(cInboxRetryMs, [this] { this->ReadInbox(); });
@@ -140,14 +140,14 @@
 }
 
 template <class Hub>
-void CellSeat<Hub>::ScheduleStep(Millis inDelayMs)
+void CellDriver<Hub>::ScheduleStep(Millis inDelayMs)
 {
 	if (!this->step_timer.IsRunning())
 		this->step_timer.Once(inDelayMs, [this] { this->Step(); });
 }
 
 template <class Hub>
-void CellSeat<Hub>::Step()
+void CellDriver<Hub>::Step()
 {
 	const Millis now = NowMillis();
 	// Without the lease another owner may already be acting on this cell
@@ -180,7 +180,7 @@
 }
 
 template <class Hub>
-void CellSeat<Hub>::CheckInboxFreshness(Millis inNow)
+void CellDriver<Hub>::CheckInboxFreshness(Millis inNow)
 {
 	// Checked separately from appends: the store may accept appends while reads fail
 	const bool fresh = inNow - std::max(this->inbox_read_at, this->claimed_at) < cInboxStaleMs;
@@ -193,7 +193,7 @@
 }
 
 template <class Hub>
-void CellSeat<Hub>::AskShares(Millis inNow)
+void CellDriver<Hub>::AskShares(Millis inNow)
 {
 	if (this->awaiting_shares || inNow < this->cell.NextSharesAt())
 		return;
@@ -217,7 +217,7 @@
 }
 
 template <class Hub>
-void CellSeat<Hub>::Write()
+void CellDriver<Hub>::Write()
 {
 	if (this->log.IsBusy() || !this->cell.HasNews())
 		return;
@@ -248,7 +248,7 @@
 }
 
 template <class Hub>
-void CellSeat<Hub>::SendOrders()
+void CellDriver<Hub>::SendOrders()
 {
 	for (Order &order : this->cell.TakeOrders(NowMillis()))
 	{
@@ -274,15 +274,15 @@
 }
 
 template <class Hub>
-void CellSeat<Hub>::ReplicateEnds()
+void CellDriver<Hub>::ReplicateEnds()
 {
-	while (const std::optional<EndsUpdate> update = this->cell.TakeEndsUpdate(NowMillis()))
+	while (const std::optional<RunEndsUpdate> update = this->cell.TakeEndsUpdate(NowMillis()))
 		if (this->context.replicate_ends)
 			this->context.replicate_ends(*update);
 }
 
 template <class Hub>
-PeerAnswer CellSeat<Hub>::Answer(const PeerQuestion &inQuestion)
+PeerAnswer CellDriver<Hub>::Answer(const PeerQuestion &inQuestion)
 {
 	const Millis now = NowMillis();
 	PeerAnswer answer;
--- a/Loomreach/Entry/ControlLoop.cpp
+++ b/Loomreach/Entry/ControlLoop.cpp
@@ -54,7 +54,7 @@
 								  [this]
 								  {
 									  if (this->follower.IsReady())
-										  this->poller.PollWorkers(this->follower.State(), this->Picker(NowMillis()), NowMillis());
+										  this->poller.PollWorkers(this->follower.State(), this->MakeAssignment(NowMillis()), NowMillis());
 								  });
 	this->host_list_timer.Every(cHostListIntervalMs, [this] { this->ReadHostList(); });
 }
@@ -65,7 +65,7 @@
 			this->config.peers, this->config.callers};
 }
 
-StewardPicker ControlLoop::Picker(Millis inNow) const
+PlannerAssignment ControlLoop::MakeAssignment(Millis inNow) const
 {
 	return {this->follower.State().view, this->tracker, this->config.name, this->follower.ReachesPlatform(inNow), this->stopping, inNow};
 }
@@ -98,13 +98,13 @@
 	const Millis now = NowMillis();
 	for (const auto &[name, peer] : this->tracker.All())
 		if (now - peer.heard < cLeavingReportMaxAgeMs)
-			leaving.insert(peer.digest.leaving_hosts.begin(), peer.digest.leaving_hosts.end());
+			leaving.insert(peer.heartbeat.leaving_hosts.begin(), peer.heartbeat.leaving_hosts.end());
 	return leaving;
 }
 
-Digest ControlLoop::MakeHeartbeat(Millis inNow) const
+HeartbeatMessage ControlLoop::MakeHeartbeat(Millis inNow) const
 {
-	Digest heartbeat;
+	HeartbeatMessage heartbeat;
 	heartbeat.name = this->config.name;
 	heartbeat.incarnation = this->incarnation;
 	heartbeat.availability_zone = this->config.availability_zone;
@@ -136,7 +136,7 @@
 void ControlLoop::SendHeartbeats(bool inUnscheduled)
 {
 	const Millis now = NowMillis();
-	Digest heartbeat = this->MakeHeartbeat(now);
+	HeartbeatMessage heartbeat = this->MakeHeartbeat(now);
 	const bool is_remote_turn = inUnscheduled || this->scheduled_heartbeats++ % static_cast<uint64>(cRemoteHeartbeatEvery) == 0;
 	std::map<std::string, std::vector<std::string>> remote_members;
 	uint64 zone_rank = 0; ///< Position of this entry host among the members of its zone, by name.
@@ -169,7 +169,7 @@
 	}
 }
 
-void ControlLoop::OnHeartbeat(Digest inHeartbeat)
+void ControlLoop::OnHeartbeat(HeartbeatMessage inHeartbeat)
 {
 	if (inHeartbeat.incarnation == this->incarnation)
 		return;
@@ -184,7 +184,7 @@
 		this->follower.OnPeerAhead(peer, next);
 }
 
-void ControlLoop::OnRecordsApplied(const std::vector<Verdict> &inOutcomes)
+void ControlLoop::OnRecordsApplied(const std::vector<ProposalOutcome> &inOutcomes)
 {
 	if (inOutcomes.empty())
 		this->proposer.OnAdopted(this->follower.State());
@@ -210,8 +210,8 @@
 void ControlLoop::ReadHostList()
 {
 	// Only one reader in each zone and the planner for the host list read it; the others learn of leaving hosts from heartbeats
-	const StewardPicker picker = this->Picker(NowMillis());
-	if (picker.IsMineIn("log-reader", this->config.availability_zone) || picker.IsMine("hosts"))
+	const PlannerAssignment assignment = this->MakeAssignment(NowMillis());
+	if (assignment.IsMineIn("log-reader", this->config.availability_zone) || assignment.IsMine("hosts"))
 		this->poller.ReadHosts(this->follower.State());
 }
 
@@ -238,7 +238,7 @@
 	// Without demand in this zone, now and in the last round, the limits need no update
 	const bool any_demand =
 		this->dispatcher.Open() > 0 || std::any_of(this->tracker.All().begin(), this->tracker.All().end(),
-												   [](const auto &inPeer) { return !inPeer.second.digest.demands.empty(); });
+												   [](const auto &inPeer) { return !inPeer.second.heartbeat.demands.empty(); });
 	if (!any_demand && !this->had_demand)
 		return;
 	this->had_demand = any_demand;
@@ -253,7 +253,7 @@
 		if (name == this->config.name)
 			members.push_back({name, true, {}});
 		else if (peer != nullptr && this->tracker.IsLive(name, inNow))
-			members.push_back({name, false, DemandByService(peer->digest)});
+			members.push_back({name, false, DemandByService(peer->heartbeat)});
 	}
 	UpdateLimits(this->dispatcher, this->config.availability_zone, members);
 }
@@ -268,8 +268,8 @@
 	this->proposer.SendBatch();
 	if (!this->follower.IsReady())
 		return;
-	const StewardPicker picker = this->Picker(now);
-	this->follower.SetInterval(picker.IsMineIn("log-reader", this->config.availability_zone)
+	const PlannerAssignment assignment = this->MakeAssignment(now);
+	this->follower.SetInterval(assignment.IsMineIn("log-reader", this->config.availability_zone)
 								   ? cReaderPollIntervalMs
 								   : std::min(cFollowerPollIntervalMs, this->config.claim_lease_ms / 3));
 	this->UpdateRoutes();
@@ -278,19 +278,19 @@
 		if (endpoint.ejected_until > now || endpoint.leaving_until > now)
 			this->poller.PollSoon(name);
 	if (!this->stopping)
-		this->PlanMembership(picker, now);
+		this->PlanMembership(assignment, now);
 	this->TakeOverClaims();
 	// Plan only once earlier proposals have been read back, so that nothing is proposed twice
 	if (!this->proposer.IsIdle())
 		return;
 	const double began = NowMillisExact();
-	this->PlanHosts(picker, now);
-	this->PlanPools(picker, now);
-	this->PlanSnapshot(picker, now);
+	this->PlanHosts(assignment, now);
+	this->PlanPools(assignment, now);
+	this->PlanSnapshot(assignment, now);
 	this->metrics.Time(ETiming::Plan, NowMillisExact() - began);
 }
 
-void ControlLoop::PlanMembership(const StewardPicker &inPicker, Millis inNow)
+void ControlLoop::PlanMembership(const PlannerAssignment &inAssignment, Millis inNow)
 {
 	const Millis listening_since = this->listening.Note(inNow, this->config.suspect_after_ms);
 	if (!this->follower.ReachesPlatform(inNow) || !this->proposer.IsIdle())
@@ -305,20 +305,20 @@
 	const std::string &zone = this->config.availability_zone;
 	const Millis silence = this->config.remove_after_ms / 2;
 	const bool due = inNow - this->log_heartbeat_sent >= this->config.remove_after_ms / 3 && inNow - listening_since >= silence;
-	if (!due || !inPicker.IsMineIn("log-beat", zone) || !NeedsLogBeat(state.view, this->tracker, zone, silence, inNow))
+	if (!due || !inAssignment.IsMineIn("log-beat", zone) || !NeedsLogHeartbeat(state.view, this->tracker, zone, silence, inNow))
 		return;
 	this->log_heartbeat_sent = inNow;
 	this->proposer.Propose(ZoneAlive{zone});
 }
 
-void ControlLoop::PlanHosts(const StewardPicker &inPicker, Millis inNow)
+void ControlLoop::PlanHosts(const PlannerAssignment &inAssignment, Millis inNow)
 {
 	const FleetState &state = this->follower.State();
 	this->poller.SetLeaving(this->LeavingHosts());
-	const KeeperBounds bounds{this->poller.FailedAfter(), this->config.worker_poll_ms / 2, 10 * this->poller.FailedAfter()};
-	const HostKeeper lifecycle(state, this->poller.Seen(), bounds, inNow);
-	if (inPicker.IsMine("hosts"))
-		for (ProposalBody &body : lifecycle.FollowList())
+	const HostLifecycleBounds bounds{this->poller.FailedAfter(), this->config.worker_poll_ms / 2, 10 * this->poller.FailedAfter()};
+	const HostLifecycle lifecycle(state, this->poller.Seen(), bounds, inNow);
+	if (inAssignment.IsMine("hosts"))
+		for (ProposalBody &body : lifecycle.FollowHostList())
 			this->proposer.Propose(std::move(body));
 	for (const auto &[name, observation] : this->poller.Seen().hosts)
 	{
@@ -343,9 +343,9 @@
 		// Members of other zones send heartbeats seldom and to one member only; a draining worker refuses their requests itself
 		if (!same_zone)
 			continue;
-		if (peer == nullptr || !this->tracker.IsLive(name, inNow) || peer->digest.next_offset <= drained_at)
+		if (peer == nullptr || !this->tracker.IsLive(name, inNow) || peer->heartbeat.next_offset <= drained_at)
 			return false;
-		const std::vector<std::string> &busy = peer->digest.busy_hosts;
+		const std::vector<std::string> &busy = peer->heartbeat.busy_hosts;
 		if (std::find(busy.begin(), busy.end(), inHost.spec.name) != busy.end())
 			return false;
 	}
@@ -353,12 +353,12 @@
 	return own == nullptr || own->in_flight == 0;
 }
 
-void ControlLoop::PlanPools(const StewardPicker &inPicker, Millis inNow)
+void ControlLoop::PlanPools(const PlannerAssignment &inAssignment, Millis inNow)
 {
 	const FleetState &state = this->follower.State();
 	std::set<std::string> unresponsive_hosts;
 	for (const auto &[name, host] : state.hosts)
-		if (inPicker.SilentZones().count(host.spec.availability_zone) != 0)
+		if (inAssignment.UnresponsiveZones().count(host.spec.availability_zone) != 0)
 			unresponsive_hosts.insert(name);
 	std::set<std::string> backed_off_jobs = this->backoff.Waiting(state, inNow);
 	// A plan is made again when its inputs have changed, or after a while, since planning assignments move between entry hosts
@@ -370,7 +370,7 @@
 	this->wave_blockers.clear();
 	for (const auto &[path, pool] : state.pools)
 	{
-		if (!inPicker.IsMine("pool:" + path))
+		if (!inAssignment.IsMine("pool:" + path))
 			continue;
 		PlacementPlan placements = PlacementPlanner(state, path, &this->last_plan_inputs.backed_off_jobs).Plan();
 		if (std::optional<StartWave> turn = PlanRolling(state, pool, g_get_real_time() / G_USEC_PER_SEC); turn.has_value())
@@ -385,9 +385,9 @@
 	}
 }
 
-void ControlLoop::PlanSnapshot(const StewardPicker &inPicker, Millis inNow)
+void ControlLoop::PlanSnapshot(const PlannerAssignment &inAssignment, Millis inNow)
 {
-	if (!inPicker.IsMine("snapshot"))
+	if (!inAssignment.IsMine("snapshot"))
 		return;
 	const LogOffset next = this->follower.State().next_offset;
 	const bool many = next - this->follower.SnapshotOffset() >= static_cast<uint64>(this->config.snapshot_every_records);
@@ -406,7 +406,7 @@
 	auto member = this->follower.State().view.members.find(holder);
 	if (member == this->follower.State().view.members.end())
 		return;
-	AskHandOver request{this->claims.ViewNumber(), {}};
+	HandOverRequest request{this->claims.ViewNumber(), {}};
 	for (const auto &[range, from] : missing)
 		if (from == holder)
 			request.ranges.push_back(range);
@@ -431,7 +431,7 @@
 						   });
 }
 
-PeerReply ControlLoop::AnswerClaim(const AskClaim &inRequest)
+PeerReply ControlLoop::AnswerClaim(const ClaimRequest &inRequest)
 {
 	if (inRequest.range >= cClaimRanges)
 		return RefusedReply{"no such range"};
@@ -442,7 +442,7 @@
 	return reply;
 }
 
-PeerReply ControlLoop::AnswerClaim(const AskHandOver &inRequest)
+PeerReply ControlLoop::AnswerClaim(const HandOverRequest &inRequest)
 {
 	HandOverReply reply;
 	for (uint32 range : inRequest.ranges)
@@ -455,7 +455,7 @@
 /// arbitrates between concurrent claimers.
 struct ControlLoop::ClaimRound
 {
-	AskClaim request;
+	ClaimRequest request;
 	std::vector<std::string> group;
 	size_t next = 0;
 	std::function<void(EError, uint64)> done;
@@ -524,7 +524,7 @@
 		return inDone();
 	this->leave_proposed = true;
 	// If the proposal is rejected, the others remove this member once it has been unresponsive for long enough
-	this->proposer.Propose(std::move(change), [done = std::move(inDone)](const Verdict &) { done(); });
+	this->proposer.Propose(std::move(change), [done = std::move(inDone)](const ProposalOutcome &) { done(); });
 }
 
 } // namespace Loomreach
--- a/Loomreach/Entry/ControlLoop.h
+++ b/Loomreach/Entry/ControlLoop.h
@@ -37,12 +37,12 @@
 	/// can't leave: the log is not reachable, or no other member would remain.
 	void LeaveView(std::function<void()> inDone);
 	/// Handles a heartbeat message from a peer.
-	void OnHeartbeat(Digest inHeartbeat);
+	void OnHeartbeat(HeartbeatMessage inHeartbeat);
 	/// Handles records that have been applied to the state. `inOutcomes` is empty when a whole state was adopted instead.
-	void OnRecordsApplied(const std::vector<Verdict> &inOutcomes);
+	void OnRecordsApplied(const std::vector<ProposalOutcome> &inOutcomes);
 	/// Answers a peer that wants an id bound to it, or claims handed over.
-	PeerReply AnswerClaim(const AskClaim &inRequest);
-	PeerReply AnswerClaim(const AskHandOver &inRequest);
+	PeerReply AnswerClaim(const ClaimRequest &inRequest);
+	PeerReply AnswerClaim(const HandOverRequest &inRequest);
 	/// Binds an id that a caller chose to this entry host. Calls back with None, or with the reason why the request must not be dispatched
 	/// here. With DuplicateId, the second argument is the incarnation that the id is bound to.
 	void ClaimCallerId(const std::string &inId, std::function<void(EError, uint64)> inDone);
@@ -60,7 +60,7 @@
 	uint64 WorkerBytes() const { return this->poller.Bytes(); }
 	bool IsStopping() const { return this->stopping; }
 	/// Tells which planning assignments belong to this entry host at the given time.
-	StewardPicker Picker(Millis inNow) const;
+	PlannerAssignment MakeAssignment(Millis inNow) const;
 
 	/// Receives the decisions of the dispatcher that follow from changed routes or elapsed time. Must be set before Start().
 	std::function<void(std::vector<Decision>)> on_decisions;
@@ -78,12 +78,12 @@
 	};
 	/// Sends heartbeats to the own zone and, every few rounds or when unscheduled, to one member of each other zone.
 	void SendHeartbeats(bool inUnscheduled);
-	Digest MakeHeartbeat(Millis inNow) const;
+	HeartbeatMessage MakeHeartbeat(Millis inNow) const;
 	void PlanRound();
-	void PlanMembership(const StewardPicker &inPicker, Millis inNow);
-	void PlanHosts(const StewardPicker &inPicker, Millis inNow);
-	void PlanPools(const StewardPicker &inPicker, Millis inNow);
-	void PlanSnapshot(const StewardPicker &inPicker, Millis inNow);
+	void PlanMembership(const PlannerAssignment &inAssignment, Millis inNow);
+	void PlanHosts(const PlannerAssignment &inAssignment, Millis inNow);
+	void PlanPools(const PlannerAssignment &inAssignment, Millis inNow);
+	void PlanSnapshot(const PlannerAssignment &inAssignment, Millis inNow);
 	/// Whether every member of the own zone has read past the drain of a host and has no requests in flight to it.
 	bool IsAcknowledged(const Host &inHost, Millis inNow) const;
 	/// Requests the claims that this member must hold under the present view and lacks, from one of their holders.
--- a/Loomreach/Entry/EndsSubmitter.h
+++ b/Loomreach/Entry/EndsSubmitter.h
@@ -13,12 +13,12 @@
 /// Submits run ends to cells' inboxes and retries. Submitting an end twice, or one that the next owner knows already, is harmless: it
 /// counts once.
 template <class Store>
-class EndsHandIn : private Guarded
+class EndsSubmitter : private Guarded
 {
 public:
 	using WriterOf = std::function<InboxWriter<Store> &(uint32 inCell)>;
 
-	explicit EndsHandIn(WriterOf inWriterOf) : writer_of(std::move(inWriterOf)) {}
+	explicit EndsSubmitter(WriterOf inWriterOf) : writer_of(std::move(inWriterOf)) {}
 
 	/// Appends a report to the inbox of a cell; retries until the store has accepted it or `cGiveUpAfterMs` is over.
 	void HandIn(uint32 inCell, EndReport inReport);
--- a/Loomreach/Entry/EndsSubmitter.inl
+++ b/Loomreach/Entry/EndsSubmitter.inl
@@ -7,14 +7,14 @@
 {
 
 template <class Store>
-void EndsHandIn<Store>::HandIn(uint32 inCell, EndReport inReport)
+void EndsSubmitter<Store>::HandIn(uint32 inCell, EndReport inReport)
 {
 	++this->in_flight;
 	this->Try(std::make_shared<const Item>(Item{inCell, std::move(inReport), NowMillis() + cGiveUpAfterMs}));
 }
 
 template <class Store>
-void EndsHandIn<Store>::Try(const std::shared_ptr<const Item> &inItem)
+void EndsSubmitter<Store>::Try(const std::shared_ptr<const Item> &inItem)
 {
 	std::string record = EncodeValue(InboxRecord{EInbox::Ends, {}, inItem->report});
 	this->writer_of(inItem->cell)
@@ -23,7 +23,7 @@
 }
 
 template <class Store>
-void EndsHandIn<Store>::OnAnswer(const std::shared_ptr<const Item> &inItem, const AppendAnswer &inAnswer)
+void EndsSubmitter<Store>::OnAnswer(const std::shared_ptr<const Item> &inItem, const AppendAnswer &inAnswer)
 {
 	const bool done = inAnswer.result == EAppend::Done;
 	if (!done && NowMillis() + cRetryDelayMs < inItem->give_up_at)
--- a/Loomreach/Entry/EntryHost.cpp
+++ b/Loomreach/Entry/EntryHost.cpp
@@ -24,10 +24,11 @@
 	  callers(this->config, this->incarnation, this->follower, this->control, this->relay, this->ids, this->codec, this->metrics),
 	  operators(this->config, this->follower, this->control, this->proposer, this->platform, this->dispatcher, this->relay, this->metrics)
 {
-	this->follower.on_records_applied = [this](const std::vector<Verdict> &inOutcomes) { this->control.OnRecordsApplied(inOutcomes); };
+	this->follower.on_records_applied = [this](const std::vector<ProposalOutcome> &inOutcomes)
+	{ this->control.OnRecordsApplied(inOutcomes); };
 	this->control.on_decisions = [this](std::vector<Decision> inDecisions) { this->relay.Execute(std::move(inDecisions)); };
-	this->link.on_heartbeat = [this](Digest inHeartbeat) { this->control.OnHeartbeat(std::move(inHeartbeat)); };
-	this->link.on_request = [this](const PeerAsk &inRequest) -> PeerReply
+	this->link.on_heartbeat = [this](HeartbeatMessage inHeartbeat) { this->control.OnHeartbeat(std::move(inHeartbeat)); };
+	this->link.on_request = [this](const PeerRequest &inRequest) -> PeerReply
 	{
 		return std::visit(
 			[this](const auto &inContent) -> PeerReply
--- a/Loomreach/Entry/FleetDriver.h
+++ b/Loomreach/Entry/FleetDriver.h
@@ -14,21 +14,21 @@
 
 /// Drives the fleet cell. `Hub` is the platform, see JobHost.
 template <class Hub>
-class FleetSeat : private Guarded
+class FleetDriver : private Guarded
 {
 public:
 	using OnOwnership = std::function<void(bool inHeld)>;
 	/// Asks the owner of a pool, which may be this host, about the pool or one of its workers.
 	using AskOwner = std::function<void(const std::string &inPool, PeerQuestion inQuestion, PeerQuery::OnAnswer inDone)>;
 
-	FleetSeat(Hub &inHub, const SeatContext &inContext, AskOwner inAsk);
+	FleetDriver(Hub &inHub, const DriverContext &inContext, AskOwner inAsk);
 
 	/// `inHeartbeatNumber`: number of the host's newest heartbeat.
 	void Claim(uint64 inHeartbeatNumber, const OnOwnership &inDone);
 	bool IsHeld() const { return this->held; }
 	uint64 Epoch() const { return this->log.Epoch(); }
 	/// Sets the maintenance waves that the operator has asked for.
-	void SetWaves(const std::map<int64, UpkeepWave> &inWaves);
+	void SetWaves(const std::map<int64, MaintenanceWave> &inWaves);
 	void SetCatalogue(const std::shared_ptr<const Catalogue> &inCatalogue);
 	/// Sets the availability zones in which nothing may be started.
 	void SetEvacuated(const std::set<std::string> &inZones) { this->balancer.SetEvacuated(inZones); }
@@ -37,9 +37,9 @@
 	/// Prepares a planned hand-over: no new orders to hosts.
 	void Retire() { this->retiring = true; }
 	/// Whether a successor may start immediately: no append and no order to a host is in flight.
-	bool IsQuiet() const { return !this->log.IsBusy() && !this->HasOrdersUnderWay(); }
+	bool IsReadyToHandOver() const { return !this->log.IsBusy() && !this->HasOrdersInFlight(); }
 	/// Whether an order to a host may still be carried out.
-	bool HasOrdersUnderWay() const { return this->duties_in_flight > 0 || NowMillis() - this->last_unknown_at < cUnknownOutcomeMs; }
+	bool HasOrdersInFlight() const { return this->host_orders_in_flight > 0 || NowMillis() - this->last_unknown_at < cUnknownOutcomeMs; }
 
 private:
 	using Store = decltype(Hub::store);
@@ -53,14 +53,14 @@
 	void RequestDemands(Millis inNow);
 	std::vector<std::string> RecentlyDeparted(const std::string &inPool, Millis inNow);
 	void Write(Millis inNow);
-	void SendDuty(const HostDuty &inDuty);
+	void SendHostOrder(const HostOrder &inHostOrder);
 	void WriteStatus(int64 inWave, bool inCompleted);
 
 	Hub &hub;
-	SeatContext context;
+	DriverContext context;
 	AskOwner ask;
 	OwnedLog<Store> log;
-	UpkeepPlanner planner;
+	MaintenancePlanner planner;
 	PoolBalancer balancer;
 	std::optional<TeamShares> shares;           ///< Set once the fleet cell is owned.
 	std::shared_ptr<const Catalogue> catalogue; ///< The configuration in force; null: none has been read yet.
@@ -73,7 +73,7 @@
 	std::set<std::string> awaiting_demand;
 	Millis demands_asked_at = 0;
 	std::map<std::string, std::map<std::string, Millis>> departed; ///< Workers whose hosts were moved or taken down, and when, by pool.
-	uint32 duties_in_flight = 0;
+	uint32 host_orders_in_flight = 0;
 	Millis last_unknown_at = std::numeric_limits<Millis>::min() / 2; ///< When an order last ended without an answer.
 	bool retiring = false;                                           ///< Set by Retire.
 	bool listing = false;
--- a/Loomreach/Entry/FleetDriver.inl
+++ b/Loomreach/Entry/FleetDriver.inl
@@ -11,10 +11,11 @@
 /// A pool's owner is told of a departed worker for this long, since some questions may be lost.
 inline constexpr Millis cReportDepartedMs = 900;
 inline constexpr size_t cMaxDeparted = 100; ///< Limit of departed workers in one question: their names must fit into a datagram.
-/// An order to a host is sent within this time or not at all. One that needs a drained host may be valid for less, see HostDuty::not_after.
-inline constexpr Millis cDutyValidMs = 1200;
+/// An order to a host is sent within this time or not at all. One that needs a drained host may be valid for less, see
+/// HostOrder::not_after.
+inline constexpr Millis cHostOrderValidMs = 1200;
 inline constexpr char cWaveKey = 'w';
-inline constexpr char cDutyKey = 'd';
+inline constexpr char cHostOrderKey = 'd';
 
 /// Parameters of the balancer, from the host's configuration.
 inline BalanceTuning BalanceTuningOf(const JobHostConfig &inConfig)
@@ -27,14 +28,14 @@
 }
 
 template <class Hub>
-FleetSeat<Hub>::FleetSeat(Hub &inHub, const SeatContext &inContext, AskOwner inAsk)
+FleetDriver<Hub>::FleetDriver(Hub &inHub, const DriverContext &inContext, AskOwner inAsk)
 	: hub(inHub), context(inContext), ask(std::move(inAsk)), log(inHub.store, CellLog(cFleetCell, 1), inContext.process),
-	  planner(UpkeepTuning{inContext.config.maintenance_ms}), balancer(BalanceTuningOf(inContext.config))
+	  planner(MaintenanceTuning{inContext.config.maintenance_ms}), balancer(BalanceTuningOf(inContext.config))
 {
 }
 
 template <class Hub>
-void FleetSeat<Hub>::Claim(uint64 inHeartbeatNumber, const OnOwnership &inDone)
+void FleetDriver<Hub>::Claim(uint64 inHeartbeatNumber, const OnOwnership &inDone)
 {
 	this->on_ownership = inDone;
 	this->log.Claim(
@@ -70,7 +71,7 @@
 }
 
 template <class Hub>
-void FleetSeat<Hub>::SetCatalogue(const std::shared_ptr<const Catalogue> &inCatalogue)
+void FleetDriver<Hub>::SetCatalogue(const std::shared_ptr<const Catalogue> &inCatalogue)
 {
 	this->catalogue = inCatalogue;
 	this->balancer.SetPools(*inCatalogue);
@@ -91,7 +92,7 @@
 }
 
 template <class Hub>
-PeerAnswer FleetSeat<Hub>::Answer(const PeerQuestion &inQuestion)
+PeerAnswer FleetDriver<Hub>::Answer(const PeerQuestion &inQuestion)
 {
 	const Millis now = NowMillis();
 	PeerAnswer answer;
@@ -102,7 +103,7 @@
 }
 
 template <class Hub>
-void FleetSeat<Hub>::SetWaves(const std::map<int64, UpkeepWave> &inWaves)
+void FleetDriver<Hub>::SetWaves(const std::map<int64, MaintenanceWave> &inWaves)
 {
 	for (const auto &[number, wave] : inWaves)
 		if (!this->planner.HasWave(number))
@@ -110,7 +111,7 @@
 }
 
 template <class Hub>
-void FleetSeat<Hub>::Step()
+void FleetDriver<Hub>::Step()
 {
 	const Millis now = NowMillis();
 	if (!this->held || !this->context.lease.MayAct(now))
@@ -126,7 +127,7 @@
 }
 
 template <class Hub>
-void FleetSeat<Hub>::ListHosts()
+void FleetDriver<Hub>::ListHosts()
 {
 	this->listing = true;
 	this->hub.machines.List(this->Guard(
@@ -145,11 +146,11 @@
 }
 
 template <class Hub>
-void FleetSeat<Hub>::RequestDrains(Millis inNow)
+void FleetDriver<Hub>::RequestDrains(Millis inNow)
 {
-	this->planner.SetTight(this->balancer.Tight(inNow));
+	this->planner.SetPoolsInDeficit(this->balancer.Tight(inNow));
 	this->planner.SetMoving(this->balancer.Moving());
-	std::vector<HostEntry> hosts = this->planner.ToEmpty(inNow);
+	std::vector<HostEntry> hosts = this->planner.HostsToDrain(inNow);
 	// A move with an unknown outcome may still be carried out, so its worker must stay drained until then
 	for (HostEntry &host : this->balancer.InDoubt())
 		hosts.push_back(std::move(host));
@@ -160,20 +161,20 @@
 		PeerQuestion question;
 		question.kind = EQuestion::Empty;
 		question.id = host.worker;
-		question.for_ms = cEmptyForMs;
+		question.for_ms = cDrainGrantMs;
 		this->ask(host.pool, question,
 				  this->Guard(
 					  [this, name = host.name, asked_at = inNow](const std::optional<PeerAnswer> &inAnswer)
 					  {
 						  this->awaiting_drain.erase(name);
 						  if (inAnswer.has_value() && inAnswer->owner && inAnswer->empty)
-							  this->planner.OnEmpty(name, asked_at, NowMillis());
+							  this->planner.OnDrained(name, asked_at, NowMillis());
 					  }));
 	}
 }
 
 template <class Hub>
-void FleetSeat<Hub>::RequestDemands(Millis inNow)
+void FleetDriver<Hub>::RequestDemands(Millis inNow)
 {
 	if (inNow - this->demands_asked_at < cDemandsIntervalMs)
 		return;
@@ -186,7 +187,7 @@
 		question.kind = EQuestion::Demand;
 		question.id = pool;
 		question.count = std::min(spare, cMaxSparedWorkers);
-		question.for_ms = cEmptyForMs;
+		question.for_ms = cDrainGrantMs;
 		question.left = this->RecentlyDeparted(pool, inNow);
 		this->ask(pool, question,
 				  this->Guard(
@@ -200,7 +201,7 @@
 }
 
 template <class Hub>
-std::vector<std::string> FleetSeat<Hub>::RecentlyDeparted(const std::string &inPool, Millis inNow)
+std::vector<std::string> FleetDriver<Hub>::RecentlyDeparted(const std::string &inPool, Millis inNow)
 {
 	std::vector<std::string> workers;
 	std::map<std::string, Millis> &departed_at = this->departed[inPool];
@@ -212,33 +213,33 @@
 }
 
 template <class Hub>
-void FleetSeat<Hub>::SendDuty(const HostDuty &inDuty)
+void FleetDriver<Hub>::SendHostOrder(const HostOrder &inHostOrder)
 {
-	const auto report = [this, duty = inDuty](EDutyResult inResult)
+	const auto report = [this, host_order = inHostOrder](EHostOrderResult inResult)
 	{
-		this->context.metrics.Count(ECounter::Duties, NameOf(cDutyResultNames, inResult));
-		if (inResult == EDutyResult::Done && !duty.worker.empty())
-			this->departed[duty.from][duty.worker] = NowMillis();
-		if (duty.kind == EDuty::Move)
-			this->balancer.OnMove(duty, inResult, NowMillis());
+		this->context.metrics.Count(ECounter::Duties, NameOf(cHostOrderResultNames, inResult));
+		if (inResult == EHostOrderResult::Done && !host_order.worker.empty())
+			this->departed[host_order.from][host_order.worker] = NowMillis();
+		if (host_order.kind == EHostOrder::Move)
+			this->balancer.OnMove(host_order, inResult, NowMillis());
 		else
-			this->planner.OnDuty(duty, inResult, NowMillis());
+			this->planner.OnHostOrderResult(host_order, inResult, NowMillis());
 	};
 	if (!this->held || !this->context.lease.MayAct(NowMillis()))
-		return report(EDutyResult::Refused);
-	++this->duties_in_flight;
-	this->hub.machines.Send(inDuty, this->Guard(
-										[this, report](EDutyResult inResult)
-										{
-											--this->duties_in_flight;
-											if (inResult == EDutyResult::Unknown)
-												this->last_unknown_at = NowMillis();
-											report(inResult);
-										}));
+		return report(EHostOrderResult::Refused);
+	++this->host_orders_in_flight;
+	this->hub.machines.Send(inHostOrder, this->Guard(
+											 [this, report](EHostOrderResult inResult)
+											 {
+												 --this->host_orders_in_flight;
+												 if (inResult == EHostOrderResult::Unknown)
+													 this->last_unknown_at = NowMillis();
+												 report(inResult);
+											 }));
 }
 
 template <class Hub>
-void FleetSeat<Hub>::Write(Millis inNow)
+void FleetDriver<Hub>::Write(Millis inNow)
 {
 	if (this->log.IsBusy())
 		return;
@@ -251,30 +252,31 @@
 		records.push_back({cWaveKey + std::to_string(wave), EncodeValue(done), 0});
 		this->logged_hosts[wave] = std::move(done);
 	}
-	std::vector<HostDuty> duties = this->retiring ? std::vector<HostDuty>() : this->planner.TakeDuties(inNow);
+	std::vector<HostOrder> host_orders = this->retiring ? std::vector<HostOrder>() : this->planner.TakeHostOrders(inNow);
 	// Hosts that a wave has chosen since the last host list must not be moved
 	this->balancer.SetBusy(this->planner.Busy());
 	if (!this->retiring)
-		for (HostDuty &move : this->balancer.TakeMoves(inNow))
-			duties.push_back(std::move(move));
-	for (HostDuty &duty : duties)
+		for (HostOrder &move : this->balancer.TakeMoves(inNow))
+			host_orders.push_back(std::move(move));
+	for (HostOrder &host_order : host_orders)
 	{
-		duty.holder = this->context.config.name;
-		duty.token = this->log.Epoch();
-		const Millis valid_until = duty.not_after > 0 ? std::min(duty.not_after, inNow + cDutyValidMs) : inNow + cDutyValidMs;
-		duty.not_after = std::min(this->context.lease.Until(), valid_until);
-		records.push_back({cDutyKey + duty.host, duty.pool, 0});
+		host_order.holder = this->context.config.name;
+		host_order.token = this->log.Epoch();
+		const Millis valid_until =
+			host_order.not_after > 0 ? std::min(host_order.not_after, inNow + cHostOrderValidMs) : inNow + cHostOrderValidMs;
+		host_order.not_after = std::min(this->context.lease.Until(), valid_until);
+		records.push_back({cHostOrderKey + host_order.host, host_order.pool, 0});
 	}
 	if (records.empty())
 		return;
 	// The platform does not check fencing tokens here: a successful append proves that no other host has claimed the fleet cell
 	this->log.Append(std::move(records), this->Guard(
-											 [this, duties](bool inDone)
+											 [this, host_orders](bool inDone)
 											 {
 												 if (!inDone)
 													 this->held = false;
-												 for (const HostDuty &duty : duties)
-													 this->SendDuty(duty);
+												 for (const HostOrder &host_order : host_orders)
+													 this->SendHostOrder(host_order);
 												 if (inDone)
 													 return;
 												 LogPlain(ELogLevel::Warning, "fleet_lost");
@@ -284,7 +286,7 @@
 }
 
 template <class Hub>
-void FleetSeat<Hub>::WriteStatus(int64 inWave, bool inCompleted)
+void FleetDriver<Hub>::WriteStatus(int64 inWave, bool inCompleted)
 {
 	auto reported = this->reported.find(inWave);
 	const bool up_to_date = reported != this->reported.end() && reported->second == inCompleted;
--- a/Loomreach/Entry/HttpListener.cpp
+++ b/Loomreach/Entry/HttpListener.cpp
@@ -21,7 +21,7 @@
 	if (socket == nullptr)
 		return nullptr;
 	// Accepted connections inherit the keep-alive options
-	CareFor(g_socket_get_fd(socket.get()));
+	SetKeepAliveOptions(g_socket_get_fd(socket.get()));
 	g_socket_set_listen_backlog(socket.get(), cBacklog);
 	if (g_socket_bind(socket.get(), socket_address.get(), TRUE, outError.Out()) == FALSE ||
 		g_socket_listen(socket.get(), outError.Out()) == FALSE)
--- a/Loomreach/Entry/JobCalls.h
+++ b/Loomreach/Entry/JobCalls.h
@@ -21,7 +21,7 @@
 struct JobOutcome
 {
 	EError error = EError::None;
-	int come_back_s = 1; ///< Seconds after which to retry, with an error that may pass.
+	int retry_after_s = 1; ///< Seconds after which to retry, with an error that may pass.
 	std::optional<EJobPhase> phase;
 	std::optional<uint32> waiting;
 	bool close_connection = false; ///< The host is stopping: the caller should reconnect to another host.
--- a/Loomreach/Entry/JobHost.h
+++ b/Loomreach/Entry/JobHost.h
@@ -19,7 +19,7 @@
 {
 
 /// One entry host. `Hub` is the platform: the store (replicated logs), the workers' agents, the machine service, the adviser, the listener
-/// for callers (`Door`), and the decoders of the platform's records.
+/// for callers (`CallerListener`), and the decoders of the platform's records.
 template <class Hub>
 class JobHost final : public JobCalls
 {
@@ -85,7 +85,7 @@
 	void LoadHostPart(const std::shared_ptr<HostsRound> &inRound, uint32 inPart);
 	void ScheduleHostsRead();
 	/// Whether this host reads all heartbeats as often as owners do: it owns a cell or is a candidate successor.
-	bool IsWellInformed(Millis inNow) const { return this->Owned() > 0 || this->owners.IsHeir(inNow); }
+	bool IsWellInformed(Millis inNow) const { return this->Owned() > 0 || this->owners.IsCandidateSuccessor(inNow); }
 	/// Asks a well-informed host which hosts own which cells, unless this host is well informed itself.
 	void AskOwners(Millis inNow);
 	/// Random percentage by which a delay is scaled, so that hosts that started together do not stay in step.
@@ -100,7 +100,7 @@
 	void ReadHostPart(const std::shared_ptr<HostsRound> &inRound, uint32 inPart);
 	void OnHostRecords(const std::vector<LogRecord> &inRecords);
 	void OnHostsRead(bool inAll);
-	uint32 HeartbeatPartitionCount() const { return std::min(cHostParts, this->PartitionCount()); }
+	uint32 HeartbeatPartitionCount() const { return std::min(cHeartbeatPartitions, this->PartitionCount()); }
 	Millis HeartbeatInterval(Millis inNow) const;
 	/// Appends a heartbeat. `inForce`: even while earlier ones have no answer yet.
 	void SendHeartbeat(bool inForce = false);
@@ -111,12 +111,12 @@
 	/// Whether this process has recently not been scheduled in time.
 	bool IsCpuStarved(Millis inNow) const;
 	/// Builds the next heartbeat.
-	HostBeat NewHeartbeat(Millis inNow);
+	HostHeartbeat NewHeartbeat(Millis inNow);
 	/// Tells other hosts by datagram that this host has released its cells, since its heartbeats cannot say so while it does not reach the
 	/// store. `inFleetCell`: the fleet cell, if an order to a host is in flight.
 	void AnnounceRelease(const std::optional<OwnedCell> &inFleetCell);
 	/// Handles a heartbeat or replicated run ends that another host sent by datagram.
-	void OnPeerMessage(EPeerNews inKind, const std::string &inMessage);
+	void OnPeerMessage(EPeerMessage inKind, const std::string &inMessage);
 	void OnEndsUpdate(const std::string &inMessage);
 	/// Submits replicated run ends to the inboxes of cells whose owners have stopped acting.
 	void SubmitOrphanedEnds(Millis inNow);
@@ -132,13 +132,13 @@
 	void RemoveLostHosts(Millis inNow);
 	void Tick();
 	size_t Owned() const;
-	SeatContext DriverContextFor(uint32 inCell);
+	DriverContext DriverContextFor(uint32 inCell);
 	/// Releases a cell. Run ends that only its driver knows are submitted to the inbox.
 	void ReleaseCell(uint32 inCell);
 	void ReleaseAllCells();
 	/// Handles a worker's answer to a poll sent by the owner with this epoch. If that owner's driver no longer exists, the ends that the
 	/// answer lists are submitted to the inbox.
-	void SubmitLateEnds(uint32 inCell, uint64 inEpoch, const std::string &inWorker, const std::vector<EndedRow> &inEnded);
+	void SubmitLateEnds(uint32 inCell, uint64 inEpoch, const std::string &inWorker, const std::vector<EndedRun> &inEnded);
 	/// Whether run ends may still have to be submitted: a poll or a submission is in flight.
 	bool HasEndsToSubmit() const { return this->polls_in_flight > 0 || this->ends_submitter.UnderWay() > 0; }
 	// Callers
@@ -173,23 +173,23 @@
 	uint64 incarnation;
 	Random random; ///< Spreads the reads and questions of hosts that started together.
 	Hub hub;
-	typename Hub::Door door;
+	typename Hub::CallerListener caller_listener;
 	PeerQuery peers;
 	OrderSender<decltype(Hub::workers)> orders;
 	std::shared_ptr<const Catalogue> catalogue;
 	size_t catalogue_bytes = 0; ///< Size of the configuration's record.
-	std::map<int64, UpkeepWave> waves;
+	std::map<int64, MaintenanceWave> waves;
 	ZoneEvacuations evacuations;
 	std::map<std::string, WorkerEntry> workers;
-	std::map<uint32, std::unique_ptr<CellSeat<Hub>>> drivers;
-	std::unique_ptr<FleetSeat<Hub>> fleet_driver;
+	std::map<uint32, std::unique_ptr<CellDriver<Hub>>> drivers;
+	std::unique_ptr<FleetDriver<Hub>> fleet_driver;
 	std::map<uint32, std::unique_ptr<InboxWriter<decltype(Hub::store)>>> writers; ///< Writers of the cells' inboxes, by cell.
-	EndsHandIn<decltype(Hub::store)> ends_submitter;
-	EndReplicas end_replicas;       ///< Run ends replicated for other hosts' cells.
+	EndsSubmitter<decltype(Hub::store)> ends_submitter;
+	RunEndReplicas end_replicas;    ///< Run ends replicated for other hosts' cells.
 	size_t polls_in_flight = 0;     ///< Polls to workers without an answer yet, for cells of this host.
 	std::vector<uint32> lost_cells; ///< Cells to release at the next tick: a driver must not be destroyed within its own callback.
-	std::array<uint64, cHostParts> hosts_next{}; ///< Offsets of the next reads, by partition.
-	uint64 start = 0; ///< Number of this start of the host, see HostBeat; 0: the heartbeats have not been read yet.
+	std::array<uint64, cHeartbeatPartitions> hosts_next{}; ///< Offsets of the next reads, by partition.
+	uint64 start = 0; ///< Number of this start of the host, see HostHeartbeat; 0: the heartbeats have not been read yet.
 	uint32 heartbeats_in_flight = 0;
 	double heartbeat_latency_ms = 0.0;    ///< Decaying mean of the time in which heartbeats are acknowledged.
 	uint32 heartbeat_partition_shift = 0; ///< Partitions to skip because they did not accept a heartbeat.
@@ -207,7 +207,7 @@
 	Millis late_tick_at = std::numeric_limits<Millis>::min() / 2;
 	Millis store_answered_at = -1;    ///< When the store last answered a read or acknowledged a caller's record; -1: never.
 	Millis store_read_latency_ms = 0; ///< Time that the latest read of heartbeats took.
-	TurnedAwayWatch store_isolation;
+	StoreIsolationWatch store_isolation;
 	std::optional<uint32> handover_cell; ///< Cell that is being handed over to balance the load.
 	Millis handover_since = 0;           ///< When that hand-over began.
 	bool store_responsive = true;
--- a/Loomreach/Entry/JobHost.inl
+++ b/Loomreach/Entry/JobHost.inl
@@ -50,7 +50,7 @@
 inline constexpr Millis cCpuStarvedMs = 10000; ///< The host counts as starved for this long after a late tick.
 inline constexpr Millis cProcessPauseMs = 400; ///< A later tick is logged: the process was paused or starved of processor time.
 /// A submission whose outcome is unknown is appended again after this; its id keeps it one job.
-inline constexpr Millis cAppendRetryMs = 60;
+inline constexpr Millis cSubmissionRetryMs = 60;
 inline constexpr Millis cAnswerMarginMs = 150; ///< Callers get their final answer this long before their deadline.
 inline constexpr Millis cMaxAppendTimeoutMs = 700;
 /// Lower bound for the timeout of an append: a late answer serves a caller better than an unknown outcome.
@@ -69,8 +69,8 @@
 inline constexpr Millis cReadsUntilUnresponsive = 2;
 /// Workers whose entries expired while the store was down are listed again within this time (figure given by the users).
 inline constexpr Millis cRelistedMs = 2000;
-/// A planned stop waits this long for appends in flight and for drain grants to expire, which last 1.5 s (cEmptyForMs).
-inline constexpr Millis cStopReleaseMs = cEmptyForMs + 100;
+/// A planned stop waits this long for appends in flight and for drain grants to expire, which last 1.5 s (cDrainGrantMs).
+inline constexpr Millis cStopReleaseMs = cDrainGrantMs + 100;
 /// A stopping host keeps answering this long: the load balancer notices after two failed checks, one second apart.
 inline constexpr Millis cStopServeMs = 3200;
 
@@ -101,12 +101,12 @@
 	: config(std::move(inConfig)), budget(StoreLimits{config.store_reads_per_s, config.store_read_mb_per_s * cKbPerMb}),
 	  lease_tuning(LeaseTuningOf(config)), lease(lease_tuning), owners(config.name, lease_tuning),
 	  incarnation(HashBytes(config.name, static_cast<uint64>(g_get_real_time()) ^ (static_cast<uint64>(g_random_int()) << 32))),
-	  random(incarnation), hub(config), door(*this),
+	  random(incarnation), hub(config), caller_listener(*this),
 	  peers(
 		  config.peers, metrics,
 		  [this](const PeerQuestion &inQuestion, std::function<void(PeerAnswer)> inReply)
 		  { this->OnQuestion(inQuestion, std::move(inReply)); },
-		  [this](EPeerNews inKind, const std::string &inMessage) { this->OnPeerMessage(inKind, inMessage); }),
+		  [this](EPeerMessage inKind, const std::string &inMessage) { this->OnPeerMessage(inKind, inMessage); }),
 	  orders(hub.workers, peers, ForwardTuningOf(config)),
 	  ends_submitter([this](uint32 inCell) -> InboxWriter<decltype(Hub::store)> & { return this->WriterOf(inCell); })
 {
@@ -115,7 +115,8 @@
 template <class Hub>
 bool JobHost<Hub>::Start()
 {
-	if (!this->peers.Open() || !this->door.Open(this->config.callers, this->config.ready, static_cast<uint16>(this->config.metrics_port)))
+	if (!this->peers.Open() ||
+		!this->caller_listener.Open(this->config.callers, this->config.ready, static_cast<uint16>(this->config.metrics_port)))
 		return false;
 	LogEvent(ELogLevel::Info, "started")
 		.Field("host", this->config.name)
@@ -187,14 +188,14 @@
 						  inNow - std::max(this->store_recovered_at, this->started_at) > cHostLostMs;
 	if (!reliable)
 		return;
-	for (const std::string &host : this->owners.SilentFor(cHostLostMs, inNow))
+	for (const std::string &host : this->owners.UnresponsiveFor(cHostLostMs, inNow))
 	{
 		LogEvent(ELogLevel::Info, "host_gone").Field("host", host).Field("silent_for_ms_at_least", cHostLostMs);
 		this->owners.Forget(host);
 		for (uint32 part = 0; part < this->HeartbeatPartitionCount(); ++part)
 		{
 			AppendCall call;
-			call.log = HostsLog(part);
+			call.log = HeartbeatLog(part);
 			call.keyed = true;
 			call.records.push_back({host, "", 0});
 			call.timeout_ms = cHeartbeatTimeoutMs;
@@ -224,7 +225,7 @@
 template <class Hub>
 void JobHost<Hub>::Stop(std::function<void()> inDone)
 {
-	LogEvent(ELogLevel::Info, "stopping").Field("cells", this->Owned()).Field("under_way", this->door.UnderWay());
+	LogEvent(ELogLevel::Info, "stopping").Field("cells", this->Owned()).Field("under_way", this->caller_listener.UnderWay());
 	this->on_stopped = std::move(inDone);
 	this->stopping = true;
 	this->stop_at = NowMillis();
@@ -236,12 +237,12 @@
 	const Millis since = NowMillis() - this->stop_at;
 	if (this->fleet_driver != nullptr)
 		this->fleet_driver->Retire();
-	bool quiet = this->fleet_driver == nullptr || this->fleet_driver->IsQuiet();
+	bool quiet = this->fleet_driver == nullptr || this->fleet_driver->IsReadyToHandOver();
 	for (const auto &[cell, driver] : this->drivers)
 	{
 		// A cell may have been claimed after the stop began
 		driver->Retire();
-		quiet = quiet && driver->IsQuiet();
+		quiet = quiet && driver->IsReadyToHandOver();
 	}
 	// A heartbeat without cells releases them immediately: successors need not wait for the lease to expire
 	if (this->Owned() > 0 && (quiet || since >= cStopReleaseMs))
@@ -250,7 +251,7 @@
 		this->SendHeartbeat(true);
 	}
 	const bool ends_pending = this->HasEndsToSubmit() && since < cStopSubmitEndsMs;
-	if (since < cStopServeMs || ends_pending || this->door.UnderWay() > 0 || this->on_stopped == nullptr)
+	if (since < cStopServeMs || ends_pending || this->caller_listener.UnderWay() > 0 || this->on_stopped == nullptr)
 		return;
 	LogEvent(ELogLevel::Info, "stopped").Field("after_ms", since);
 	const std::function<void()> done = std::exchange(this->on_stopped, nullptr);
--- a/Loomreach/Entry/JobHostCallers.inl
+++ b/Loomreach/Entry/JobHostCallers.inl
@@ -198,10 +198,10 @@
 	// No host is known that reaches the store: the caller finds another way sooner than this host does
 	const bool store_unreachable = this->store_watch.IsSilent(now) && this->helper_search.Known(now).empty();
 	// A record that may have been appended is appended again: its id keeps it one job, and only a confirmed append settles the outcome
-	const bool time_left = now + cAppendRetryMs < inRequest->give_up_at;
+	const bool time_left = now + cSubmissionRetryMs < inRequest->give_up_at;
 	if ((inRequest->maybe_appended || is_cancel) && time_left && !store_unreachable)
 	{
-		return After(cAppendRetryMs, [this, inRequest] { this->AppendToInbox(inRequest); });
+		return After(cSubmissionRetryMs, [this, inRequest] { this->AppendToInbox(inRequest); });
 	}
 	JobOutcome outcome;
 	outcome.error = inRequest->maybe_appended ? EError::VerdictLost : EError::PlatformDown;
@@ -301,7 +301,7 @@
 		answer = this->fleet_driver->Answer(inQuestion);
 	answer.reaches = !this->stopping && !this->store_watch.IsSilent(NowMillis());
 	if (inQuestion.kind == EQuestion::Owners && this->IsWellInformed(NowMillis()))
-		answer.record = EncodeValue(this->owners.OwnersBeats(NowMillis()));
+		answer.record = EncodeValue(this->owners.OwnerHeartbeats(NowMillis()));
 	const std::optional<CellOwner> owner = this->owners.OwnerOf(inQuestion.cell, NowMillis());
 	if (!answer.owner && owner.has_value() && owner->host != this->config.name)
 		answer.owner_address = owner->address;
@@ -367,7 +367,7 @@
 {
 	for (const auto &[cell, driver] : this->drivers)
 	{
-		const CellFigures figures = driver->Figures();
+		const CellCounts figures = driver->Figures();
 		const std::string name = "loomreach_cell" + std::to_string(cell);
 		this->metrics.Gauge(name + "_jobs", static_cast<double>(figures.jobs));
 		this->metrics.Gauge(name + "_active", static_cast<double>(figures.active));
--- a/Loomreach/Entry/JobHostFeeds.inl
+++ b/Loomreach/Entry/JobHostFeeds.inl
@@ -28,7 +28,7 @@
 	// Owners base their decisions on these records, and there are few of them
 	if (this->Owned() > 0)
 		return 0;
-	const Millis spread = this->budget.Spread(this->owners.HostsAtWork(inNow), this->catalogue_bytes);
+	const Millis spread = this->budget.Spread(this->owners.LiveHostCount(inNow), this->catalogue_bytes);
 	// Reading more often than a long poll returns would cost more calls than it saves
 	return spread < cOperatorReadWaitMs ? 0 : std::min(spread, cMaxOperatorReadDelayMs);
 }
@@ -68,7 +68,7 @@
 		return this->OnCatalogue(inRecord);
 	if (Hub::IsZoneOrderKey(inRecord.key))
 		return this->OnZoneOrder(inRecord);
-	const std::optional<UpkeepWave> wave = inRecord.value.empty() ? std::nullopt : Hub::DecodeWave(inRecord.key, inRecord.value);
+	const std::optional<MaintenanceWave> wave = inRecord.value.empty() ? std::nullopt : Hub::DecodeWave(inRecord.key, inRecord.value);
 	if (!wave.has_value())
 		return;
 	this->waves[wave->number] = *wave;
@@ -207,7 +207,7 @@
 	std::optional<WorkerEntry> entry = Hub::DecodeWorker(inRecord.key, inRecord.value);
 	// Entries of two incarnations may be written in any order
 	auto known = this->workers.find(inRecord.key);
-	if (entry.has_value() && known != this->workers.end() && IsBornAfter(known->second.born_ms, entry->born_ms))
+	if (entry.has_value() && known != this->workers.end() && IsStartedAfter(known->second.born_ms, entry->born_ms))
 		return;
 	if (entry.has_value())
 	{
--- a/Loomreach/Entry/JobHostOwnership.inl
+++ b/Loomreach/Entry/JobHostOwnership.inl
@@ -21,7 +21,7 @@
 template <class Hub>
 void JobHost<Hub>::LoadHostPart(const std::shared_ptr<HostsRound> &inRound, uint32 inPart)
 {
-	this->hub.store.Newest(HostsLog(inPart),
+	this->hub.store.Newest(HeartbeatLog(inPart),
 						   [this, round = inRound, part = inPart](const NewestAnswer &inAnswer)
 						   {
 							   round->all = round->all && inAnswer.good;
@@ -34,7 +34,7 @@
 								   return this->hosts_timer.Once(cFreeCellReadMs, [this] { this->LoadHosts(); });
 							   // All heartbeats of earlier starts of this host have been read now
 							   if (this->start == 0)
-								   this->start = this->owners.StartsOf(this->config.name) + 1;
+								   this->start = this->owners.StartCountOf(this->config.name) + 1;
 							   this->OnHostsRead(true);
 							   this->ScheduleHostsRead();
 						   });
@@ -65,11 +65,11 @@
 template <class Hub>
 void JobHost<Hub>::AskOwners(Millis inNow)
 {
-	const Millis interval = std::max(cMinAskOwnersIntervalMs, static_cast<Millis>(this->owners.HostsAtWork(inNow)) * cAskOwnersPerHostMs);
+	const Millis interval = std::max(cMinAskOwnersIntervalMs, static_cast<Millis>(this->owners.LiveHostCount(inNow)) * cAskOwnersPerHostMs);
 	if (inNow - this->owners_asked_at < interval || this->stopping || this->IsWellInformed(inNow))
 		return;
 	this->owners_asked_at = inNow;
-	const std::vector<Address> informed = this->owners.WellInformed(inNow);
+	const std::vector<Address> informed = this->owners.FrequentReaders(inNow);
 	if (informed.empty())
 		return;
 	PeerQuestion question;
@@ -79,10 +79,11 @@
 					{
 						if (!inAnswer.has_value() || inAnswer->record.empty())
 							return;
-						const std::optional<std::vector<HostBeat>> beats = DecodeValue<std::vector<HostBeat>>(inAnswer->record);
-						for (const HostBeat &beat : beats.value_or(std::vector<HostBeat>{}))
-							if (beat.host != this->config.name)
-								this->owners.OnBeat(beat, NowMillis());
+						const std::optional<std::vector<HostHeartbeat>> heartbeats =
+							DecodeValue<std::vector<HostHeartbeat>>(inAnswer->record);
+						for (const HostHeartbeat &heartbeat : heartbeats.value_or(std::vector<HostHeartbeat>{}))
+							if (heartbeat.host != this->config.name)
+								this->owners.OnHeartbeat(heartbeat, NowMillis());
 					});
 }
 
@@ -92,7 +93,7 @@
 	// Candidate successors claim a free cell; other hosts only need to learn the outcome
 	return this->IsWellInformed(inNow)
 			   ? cFreeCellReadMs
-			   : std::max(cFreeCellReadMs, this->budget.RoundGap(this->owners.HostsAtWork(inNow), this->HeartbeatPartitionCount()));
+			   : std::max(cFreeCellReadMs, this->budget.RoundInterval(this->owners.LiveHostCount(inNow), this->HeartbeatPartitionCount()));
 }
 
 template <class Hub>
@@ -112,7 +113,7 @@
 {
 	const Millis sent_at = NowMillis();
 	this->store_watch.OnSent(sent_at);
-	this->hub.store.Read(HostsLog(inPart), true, this->hosts_next[inPart], 0,
+	this->hub.store.Read(HeartbeatLog(inPart), true, this->hosts_next[inPart], 0,
 						 [this, round = inRound, part = inPart, sent_at](const ReadAnswer &inAnswer)
 						 {
 							 round->all = round->all && inAnswer.result == ERead::Done;
@@ -144,9 +145,9 @@
 	this->store_answered_at = now;
 	for (const LogRecord &record : inRecords)
 	{
-		const std::optional<HostBeat> beat = DecodeValue<HostBeat>(record.value);
-		if (beat.has_value())
-			this->owners.OnBeat(*beat, now);
+		const std::optional<HostHeartbeat> heartbeat = DecodeValue<HostHeartbeat>(record.value);
+		if (heartbeat.has_value())
+			this->owners.OnHeartbeat(*heartbeat, now);
 	}
 }
 
@@ -190,7 +191,7 @@
 				  [this](uint32 inCell) { return inCell == cFleetCell ? this->fleet_driver != nullptr : this->drivers.contains(inCell); });
 	for (uint32 cell : cells)
 		this->any_cell_free = this->any_cell_free || this->owners.IsFree(cell, now);
-	const std::vector<uint32> claims = this->owners.ToClaim(cells, now, this->Owned());
+	const std::vector<uint32> claims = this->owners.CellsToClaim(cells, now, this->Owned());
 	if (claims.empty())
 		return;
 	// The own lease must be valid first. Hosts without cells send heartbeats less often than a lease lasts, and a free cell must not wait
@@ -198,12 +199,12 @@
 	if (!this->lease.MayAct(now))
 		return this->SendHeartbeat();
 	LogEvent(ELogLevel::Info, "cells_claimed")
-		.Field("claims", this->owners.ClaimText())
+		.Field("claims", this->owners.ClaimReasons())
 		.Field("owned", this->Owned())
 		.Field("start", this->start);
 	for (uint32 cell : claims)
 	{
-		this->owners.PutOff(cell, now);
+		this->owners.RestartClaimWait(cell, now);
 		if (cell == cFleetCell)
 			this->ClaimFleet();
 		else
@@ -212,7 +213,7 @@
 }
 
 template <class Hub>
-SeatContext JobHost<Hub>::DriverContextFor(uint32 inCell)
+DriverContext JobHost<Hub>::DriverContextFor(uint32 inCell)
 {
 	const auto send = [this, inCell](const Order &inOrder, std::function<void(const OrderAnswer &)> inDone)
 	{
@@ -231,14 +232,14 @@
 	};
 	const auto ask_fleet = [this](PeerQuestion inQuestion, PeerQuery::OnAnswer inDone)
 	{ this->AskCell(cFleetCell, std::move(inQuestion), cAskSharesTimeoutMs, std::move(inDone)); };
-	const auto replicate_ends = [this](const EndsUpdate &inUpdate)
-	{ this->peers.Tell(this->owners.ReplicaHosts(NowMillis()), EPeerNews::Ends, EncodeValue(inUpdate)); };
+	const auto replicate_ends = [this](const RunEndsUpdate &inUpdate)
+	{ this->peers.Tell(this->owners.ReplicaHosts(NowMillis()), EPeerMessage::Ends, EncodeValue(inUpdate)); };
 	return {this->config, this->metrics, this->lease,   this->owners, {this->config.name, this->incarnation, this->start},
 			send,         ask_fleet,     replicate_ends};
 }
 
 template <class Hub>
-void JobHost<Hub>::SubmitLateEnds(uint32 inCell, uint64 inEpoch, const std::string &inWorker, const std::vector<EndedRow> &inEnded)
+void JobHost<Hub>::SubmitLateEnds(uint32 inCell, uint64 inEpoch, const std::string &inWorker, const std::vector<EndedRun> &inEnded)
 {
 	if (inEnded.empty())
 		return;
@@ -253,7 +254,7 @@
 template <class Hub>
 void JobHost<Hub>::OnEndsUpdate(const std::string &inMessage)
 {
-	std::optional<EndsUpdate> update = DecodeValue<EndsUpdate>(inMessage);
+	std::optional<RunEndsUpdate> update = DecodeValue<RunEndsUpdate>(inMessage);
 	if (!update.has_value())
 		return this->metrics.Count(ECounter::PeerRejects, "corrupt");
 	this->end_replicas.OnUpdate(std::move(*update), NowMillis());
@@ -268,7 +269,7 @@
 		const bool is_successor = driver != this->drivers.end() && driver->second->IsHeld() && driver->second->Epoch() > inEpoch;
 		return is_successor || this->owners.IsSuperseded(inCell, inEpoch) || this->owners.IsFree(inCell, inNow);
 	};
-	for (OrphanedEnds &orphan : this->end_replicas.TakeOrphans(has_stopped, inNow))
+	for (OrphanedRunEnds &orphan : this->end_replicas.TakeOrphans(has_stopped, inNow))
 	{
 		LogEvent(ELogLevel::Info, "ends_of_lost_owner")
 			.Field("worker", orphan.report.worker)
@@ -301,10 +302,10 @@
 template <class Hub>
 void JobHost<Hub>::ClaimCell(uint32 inCell)
 {
-	auto driver = std::make_unique<CellSeat<Hub>>(this->hub, this->DriverContextFor(inCell), inCell);
+	auto driver = std::make_unique<CellDriver<Hub>>(this->hub, this->DriverContextFor(inCell), inCell);
 	driver->SetCatalogue(this->catalogue);
 	driver->SetEvacuated(this->evacuations.Zones());
-	CellSeat<Hub> *claimed = driver.get();
+	CellDriver<Hub> *claimed = driver.get();
 	this->drivers[inCell] = std::move(driver);
 	claimed->Claim(this->heartbeat_number,
 				   [this, inCell](bool inHeld)
@@ -321,13 +322,13 @@
 void JobHost<Hub>::ClaimFleet()
 {
 	this->fleet_driver =
-		std::make_unique<FleetSeat<Hub>>(this->hub, this->DriverContextFor(cFleetCell),
-										 [this](const std::string &inPool, PeerQuestion inQuestion, PeerQuery::OnAnswer inDone)
-										 {
-											 const uint32 cell = CellOf(inPool, this->PartitionCount());
-											 inQuestion.cell = cell;
-											 this->AskCell(cell, inQuestion, cAskOwnerTimeoutMs, std::move(inDone));
-										 });
+		std::make_unique<FleetDriver<Hub>>(this->hub, this->DriverContextFor(cFleetCell),
+										   [this](const std::string &inPool, PeerQuestion inQuestion, PeerQuery::OnAnswer inDone)
+										   {
+											   const uint32 cell = CellOf(inPool, this->PartitionCount());
+											   inQuestion.cell = cell;
+											   this->AskCell(cell, inQuestion, cAskOwnerTimeoutMs, std::move(inDone));
+										   });
 	this->fleet_driver->SetCatalogue(this->catalogue);
 	this->fleet_driver->SetEvacuated(this->evacuations.Zones());
 	this->fleet_driver->Claim(this->heartbeat_number,
@@ -368,38 +369,38 @@
 }
 
 template <class Hub>
-HostBeat JobHost<Hub>::NewHeartbeat(Millis inNow)
+HostHeartbeat JobHost<Hub>::NewHeartbeat(Millis inNow)
 {
-	HostBeat beat;
-	beat.host = this->config.name;
-	beat.life = this->incarnation;
-	beat.start = this->start;
-	beat.number = ++this->heartbeat_number;
-	beat.address = this->config.peers;
-	beat.weight = static_cast<uint32>(this->config.processor_milli);
-	beat.claims = !this->stopping;
-	beat.short_of_time = this->IsCpuStarved(inNow);
-	beat.availability_zone = this->config.availability_zone;
-	beat.every_ms = this->HeartbeatInterval(inNow);
-	beat.lease_ms = this->HeartbeatLease(inNow);
+	HostHeartbeat heartbeat;
+	heartbeat.host = this->config.name;
+	heartbeat.life = this->incarnation;
+	heartbeat.start = this->start;
+	heartbeat.number = ++this->heartbeat_number;
+	heartbeat.address = this->config.peers;
+	heartbeat.weight = static_cast<uint32>(this->config.processor_milli);
+	heartbeat.claims = !this->stopping;
+	heartbeat.short_of_processor_time = this->IsCpuStarved(inNow);
+	heartbeat.availability_zone = this->config.availability_zone;
+	heartbeat.every_ms = this->HeartbeatInterval(inNow);
+	heartbeat.lease_ms = this->HeartbeatLease(inNow);
 	// Also during a planned stop: a cell that the heartbeat does not list counts as released, and other hosts claim it
 	for (const auto &[cell, driver] : this->drivers)
-		beat.cells.push_back({cell, driver->Epoch(), driver->IsHeld()});
+		heartbeat.cells.push_back({cell, driver->Epoch(), driver->IsHeld()});
 	if (this->fleet_driver != nullptr)
-		beat.cells.push_back({cFleetCell, this->fleet_driver->Epoch(), this->fleet_driver->IsHeld()});
-	return beat;
+		heartbeat.cells.push_back({cFleetCell, this->fleet_driver->Epoch(), this->fleet_driver->IsHeld()});
+	return heartbeat;
 }
 
 template <class Hub>
-void JobHost<Hub>::OnPeerMessage(EPeerNews inKind, const std::string &inMessage)
+void JobHost<Hub>::OnPeerMessage(EPeerMessage inKind, const std::string &inMessage)
 {
-	if (inKind == EPeerNews::Ends)
+	if (inKind == EPeerMessage::Ends)
 		return this->OnEndsUpdate(inMessage);
-	const std::optional<HostBeat> beat = DecodeValue<HostBeat>(inMessage);
-	if (!beat.has_value() || beat->host == this->config.name)
+	const std::optional<HostHeartbeat> heartbeat = DecodeValue<HostHeartbeat>(inMessage);
+	if (!heartbeat.has_value() || heartbeat->host == this->config.name)
 		return this->metrics.Count(ECounter::PeerRejects, "corrupt");
 	// The lease counted here starts at reception and the owner's own at sending, so the owner's ends first
-	this->owners.OnBeat(*beat, NowMillis());
+	this->owners.OnHeartbeat(*heartbeat, NowMillis());
 }
 
 template <class Hub>
@@ -413,20 +414,20 @@
 						  (this->heartbeats_in_flight < cMaxHeartbeatsInFlight && sent_at - this->heartbeat_sent_at >= wait_ms);
 	if (this->start == 0 || (!may_send && !inForce))
 		return;
-	const HostBeat beat = this->NewHeartbeat(sent_at);
+	const HostHeartbeat heartbeat = this->NewHeartbeat(sent_at);
 	AppendCall call;
 	const uint32 part =
-		this->owners.BeatPart(this->HeartbeatPartitionCount(), this->Owned() > 0, sent_at) + this->heartbeat_partition_shift;
-	call.log = HostsLog(part % this->HeartbeatPartitionCount());
+		this->owners.HeartbeatPartition(this->HeartbeatPartitionCount(), this->Owned() > 0, sent_at) + this->heartbeat_partition_shift;
+	call.log = HeartbeatLog(part % this->HeartbeatPartitionCount());
 	call.keyed = true;
-	call.records.push_back({beat.host, EncodeValue(beat), 0});
+	call.records.push_back({heartbeat.host, EncodeValue(heartbeat), 0});
 	call.timeout_ms = cHeartbeatTimeoutMs;
 	this->heartbeat_sent_at = sent_at;
 	this->heartbeat_delay_percent = this->RandomDelayPercent();
 	++this->heartbeats_in_flight;
 	this->store_watch.OnSent(sent_at);
-	this->lease.OnSent(sent_at, beat.lease_ms);
-	this->hub.store.Append(call, [this, sent_at, lease_ms = beat.lease_ms](const AppendAnswer &inAnswer)
+	this->lease.OnSent(sent_at, heartbeat.lease_ms);
+	this->hub.store.Append(call, [this, sent_at, lease_ms = heartbeat.lease_ms](const AppendAnswer &inAnswer)
 						   { this->OnHeartbeatAnswer(inAnswer, sent_at, lease_ms); });
 }
 
@@ -461,7 +462,7 @@
 	LogEvent(ELogLevel::Warning, "cells_dropped").Field("count", this->Owned()).Field("why", inWhy);
 	// While an order to a host is in flight the next owner must wait: not every platform checks fencing tokens
 	std::optional<OwnedCell> fleet_cell;
-	if (this->fleet_driver != nullptr && this->fleet_driver->HasOrdersUnderWay())
+	if (this->fleet_driver != nullptr && this->fleet_driver->HasOrdersInFlight())
 		fleet_cell = OwnedCell{cFleetCell, this->fleet_driver->Epoch(), this->fleet_driver->IsHeld()};
 	this->ReleaseAllCells();
 	this->lost_cells.clear();
@@ -473,7 +474,7 @@
 {
 	if (!this->handover_cell.has_value())
 	{
-		if (!this->owners.ShouldGiveOn(this->Owned(), inNow) || this->drivers.empty() || !this->drivers.begin()->second->IsHeld())
+		if (!this->owners.ShouldHandOver(this->Owned(), inNow) || this->drivers.empty() || !this->drivers.begin()->second->IsHeld())
 			return;
 		this->handover_cell = this->drivers.begin()->first;
 		this->handover_since = inNow;
@@ -483,7 +484,7 @@
 	}
 	auto driver = this->drivers.find(*this->handover_cell);
 	// As in a planned stop, the successor starts immediately
-	if (driver != this->drivers.end() && !driver->second->IsQuiet() && inNow - this->handover_since < cStopReleaseMs)
+	if (driver != this->drivers.end() && !driver->second->IsReadyToHandOver() && inNow - this->handover_since < cStopReleaseMs)
 		return;
 	this->handover_cell.reset();
 	if (driver == this->drivers.end())
@@ -498,10 +499,10 @@
 	if (this->start == 0)
 		return;
 	// Nothing more is done under these claims, so successors need not wait for a lease counted from when they read of them
-	const HostBeat beat = LetGoBeat(this->NewHeartbeat(NowMillis()), inFleetCell, cOrderInFlightMs);
-	const std::string message = EncodeValue(beat);
-	this->peers.Tell(this->owners.Others(), EPeerNews::Beat, message);
-	After(cReleaseRepeatMs, [this, message] { this->peers.Tell(this->owners.Others(), EPeerNews::Beat, message); });
+	const HostHeartbeat heartbeat = MakeReleaseHeartbeat(this->NewHeartbeat(NowMillis()), inFleetCell, cOrderInFlightMs);
+	const std::string message = EncodeValue(heartbeat);
+	this->peers.Tell(this->owners.Others(), EPeerMessage::Beat, message);
+	After(cReleaseRepeatMs, [this, message] { this->peers.Tell(this->owners.Others(), EPeerMessage::Beat, message); });
 }
 
 } // namespace Loomreach::Jobs
--- a/Loomreach/Entry/LogFollower.cpp
+++ b/Loomreach/Entry/LogFollower.cpp
@@ -35,14 +35,14 @@
 	this->bytes = 0;
 }
 
-std::optional<std::vector<PassedRecord>> RecordTail::From(LogOffset inOffset, LogOffset inNext) const
+std::optional<std::vector<RelayedRecord>> RecordTail::From(LogOffset inOffset, LogOffset inNext) const
 {
 	if (inOffset >= inNext)
-		return std::vector<PassedRecord>();
+		return std::vector<RelayedRecord>();
 	if (this->records.empty() || this->records.front().offset > inOffset)
 		return std::nullopt;
 	const auto first = this->records.begin() + static_cast<std::ptrdiff_t>(inOffset - this->records.front().offset);
-	return std::vector<PassedRecord>(first, this->records.end());
+	return std::vector<RelayedRecord>(first, this->records.end());
 }
 
 LogFollower::LogFollower(PlatformClient &ioPlatform, PeerLink &ioLink, Metrics &ioMetrics, std::vector<Address> inSeeds)
@@ -142,7 +142,7 @@
 		this->FetchStateFromSeeds();
 		return this->poll_timer.Once(cRetryMs, [this] { this->Start(); });
 	}
-	std::vector<PassedRecord> records;
+	std::vector<RelayedRecord> records;
 	for (LogRecord &record : inPage->records)
 		records.push_back({record.offset, std::move(record.bytes)});
 	const LogOffset end = inPage->next;
@@ -155,12 +155,12 @@
 	this->Schedule(this->state.next_offset < end ? 0 : this->interval);
 }
 
-void LogFollower::ApplyRecords(std::vector<PassedRecord> inRecords, std::string_view inSource)
+void LogFollower::ApplyRecords(std::vector<RelayedRecord> inRecords, std::string_view inSource)
 {
 	const double started = NowMillisExact();
-	std::vector<Verdict> outcomes;
+	std::vector<ProposalOutcome> outcomes;
 	uint64 applied = 0;
-	for (PassedRecord &record : inRecords)
+	for (RelayedRecord &record : inRecords)
 	{
 		if (record.offset < this->state.next_offset)
 			continue;
@@ -168,7 +168,7 @@
 		if (record.offset > this->state.next_offset)
 			break;
 		const LogPosition version = this->state.settings_version;
-		std::vector<Verdict> record_outcomes = FoldRecord(this->state, record.offset, record.bytes);
+		std::vector<ProposalOutcome> record_outcomes = ApplyLogRecord(this->state, record.offset, record.bytes);
 		LOOM_INVARIANT(this->state.settings_version >= version, "no accepted settings version goes back");
 		outcomes.insert(outcomes.end(), record_outcomes.begin(), record_outcomes.end());
 		this->tail.Add(record.offset, std::move(record.bytes));
@@ -256,7 +256,7 @@
 
 PeerReply LogFollower::AnswerFetch(const FetchRecords &inRequest) const
 {
-	std::optional<std::vector<PassedRecord>> records = this->tail.From(inRequest.from, this->state.next_offset);
+	std::optional<std::vector<RelayedRecord>> records = this->tail.From(inRequest.from, this->state.next_offset);
 	if (!this->ready || !records.has_value())
 		return RefusedReply{"these records are no longer kept"};
 	return RecordsReply{std::move(*records)};
@@ -274,7 +274,7 @@
 	if (this->snapshot_write_pending || !this->ready)
 		return;
 	this->snapshot_write_pending = true;
-	auto pieces = std::make_shared<std::vector<std::string>>(CutSnapshot(this->state.next_offset, EncodeState(this->state)));
+	auto pieces = std::make_shared<std::vector<std::string>>(SplitSnapshot(this->state.next_offset, EncodeState(this->state)));
 	this->AppendPieces(pieces, 0, this->state.next_offset);
 }
 
--- a/Loomreach/Entry/LogFollower.h
+++ b/Loomreach/Entry/LogFollower.h
@@ -29,10 +29,10 @@
 	/// Removes all records, after the state was replaced as a whole.
 	void Clear();
 	/// The records from an offset on, empty if it is not below `inNext`; nothing when the first of them is no longer kept.
-	std::optional<std::vector<PassedRecord>> From(LogOffset inOffset, LogOffset inNext) const;
+	std::optional<std::vector<RelayedRecord>> From(LogOffset inOffset, LogOffset inNext) const;
 
 private:
-	std::deque<PassedRecord> records;
+	std::deque<RelayedRecord> records;
 	size_t bytes = 0;
 };
 
@@ -69,13 +69,13 @@
 	bool ReachesPlatform(Millis inNow) const;
 
 	/// Called after each change of the state, with the outcomes of the proposals that were applied; empty when a state was adopted.
-	std::function<void(const std::vector<Verdict> &)> on_records_applied;
+	std::function<void(const std::vector<ProposalOutcome> &)> on_records_applied;
 
 private:
 	void ReadSnapshots(LogOffset inFrom, const std::shared_ptr<SnapshotAssembler> &inAssembler);
 	void OnSnapshotsRead(const SnapshotAssembler &inAssembler);
 	void OnPage(Millis inStarted, std::optional<LogPage> inPage);
-	void ApplyRecords(std::vector<PassedRecord> inRecords, std::string_view inSource);
+	void ApplyRecords(std::vector<RelayedRecord> inRecords, std::string_view inSource);
 	void Adopt(FleetState inState, std::string_view inSource);
 	void FetchStateFrom(const Address &inPeer);
 	void FetchStateFromSeeds();
--- a/Loomreach/Entry/OperatorServer.cpp
+++ b/Loomreach/Entry/OperatorServer.cpp
@@ -206,7 +206,7 @@
 	for (size_t i = 0; i < static_cast<size_t>(ESetting::Count); ++i)
 	{
 		const ESetting setting = static_cast<ESetting>(i);
-		const Explained explained = state.settings.Explain(path, setting);
+		const EffectiveSetting explained = state.settings.Explain(path, setting);
 		rows.push_back({{"setting", InfoOf(setting).name},
 						{"value", TextOf(setting, explained.value)},
 						{"from", explained.from.empty() ? "default" : explained.from},
@@ -320,7 +320,7 @@
 	const LogPosition version_before = this->follower.State().settings_version;
 	const SettingsTree settings_before = this->follower.State().settings;
 	this->proposer.Propose(std::move(inBody),
-						   [this, message, version_before, settings_before](const Verdict &inOutcome)
+						   [this, message, version_before, settings_before](const ProposalOutcome &inOutcome)
 						   {
 							   if (inOutcome.Accepted())
 							   {
--- a/Loomreach/Entry/PeerLink.cpp
+++ b/Loomreach/Entry/PeerLink.cpp
@@ -148,7 +148,7 @@
 		auto reader = std::make_unique<FrameReader>();
 		reader->stream = Share(g_io_stream_get_input_stream(G_IO_STREAM(this->connection.get())));
 		reader->cancellable = Share(this->cancellable.get());
-		reader->max_bytes = cMaxReplyBytes + cFrameOverheadBytes;
+		reader->max_bytes = cMaxReplyFrameBytes + cFrameOverheadBytes;
 		reader->done = [self = this->shared_from_this()](std::optional<std::string> inBytes) { self->TakeReply(std::move(inBytes)); };
 		FrameReader::Start(std::move(reader));
 	}
@@ -181,7 +181,7 @@
 	{
 		auto reader = std::make_unique<FrameReader>();
 		reader->stream = Share(g_io_stream_get_input_stream(G_IO_STREAM(this->connection.get())));
-		reader->max_bytes = cMaxAskBytes + cFrameOverheadBytes;
+		reader->max_bytes = cMaxRequestFrameBytes + cFrameOverheadBytes;
 		reader->done = [self = this->shared_from_this()](const std::optional<std::string> &inBytes) { self->Answer(inBytes); };
 		FrameReader::Start(std::move(reader));
 	}
@@ -191,7 +191,7 @@
 		if (!inBytes.has_value() || !*this->alive)
 			return;
 		this->link->metrics.Count(ECounter::PeerBytes, "tcp-in", inBytes->size());
-		const std::optional<AskFrame> frame = this->link->codec.OpenAsk(*inBytes);
+		const std::optional<RequestFrame> frame = this->link->codec.OpenRequest(*inBytes);
 		if (!frame.has_value())
 			return this->link->Reject();
 		auto writer = std::make_unique<FrameWriter>();
@@ -266,11 +266,11 @@
 		if (got < 0)
 			break;
 		self->metrics.Count(ECounter::PeerBytes, "udp-in", static_cast<uint64>(got));
-		std::optional<Digest> heartbeat;
+		std::optional<HeartbeatMessage> heartbeat;
 		if (static_cast<size_t>(got) > cMaxDatagramBytes)
 			heartbeat = Fail(EError::TooLarge, "datagram");
 		else
-			heartbeat = self->codec.OpenDigest(std::string_view(buffer.data(), static_cast<size_t>(got)));
+			heartbeat = self->codec.OpenHeartbeat(std::string_view(buffer.data(), static_cast<size_t>(got)));
 		if (heartbeat.has_value())
 			self->on_heartbeat(std::move(*heartbeat));
 		else
@@ -291,9 +291,9 @@
 	return TRUE;
 }
 
-void PeerLink::SendHeartbeat(const Address &inTo, const Digest &inHeartbeat)
+void PeerLink::SendHeartbeat(const Address &inTo, const HeartbeatMessage &inHeartbeat)
 {
-	const std::string sealed = this->codec.SealDigest(inHeartbeat);
+	const std::string sealed = this->codec.SealHeartbeat(inHeartbeat);
 	if (sealed.size() > cMaxDatagramBytes)
 	{
 		FailFalse(EError::TooLarge, "own heartbeat of " + std::to_string(sealed.size()) + " bytes");
@@ -305,13 +305,13 @@
 		this->metrics.Count(ECounter::PeerBytes, "udp-out", static_cast<uint64>(sent));
 }
 
-void PeerLink::SendRequest(const Address &inTo, PeerAsk inRequest, Millis inTimeout, ReplyCallback inDone)
+void PeerLink::SendRequest(const Address &inTo, PeerRequest inRequest, Millis inTimeout, ReplyCallback inDone)
 {
 	auto request = std::make_shared<OutgoingRequest>();
 	request->link = this;
 	request->alive = this->alive;
 	request->nonce = ++this->nonce;
-	request->sealed = this->codec.SealAsk({request->nonce, std::move(inRequest)});
+	request->sealed = this->codec.SealRequest({request->nonce, std::move(inRequest)});
 	request->done = std::move(inDone);
 	request->client.reset(g_socket_client_new());
 	request->cancellable.reset(g_cancellable_new());
--- a/Loomreach/Entry/PeerLink.h
+++ b/Loomreach/Entry/PeerLink.h
@@ -25,14 +25,14 @@
 	/// Binds both sockets. False, with bad-config, when the address is not available.
 	bool Open();
 	/// Sends a heartbeat. A failure to send is ignored, since any datagram may be lost.
-	void SendHeartbeat(const Address &inTo, const Digest &inHeartbeat);
+	void SendHeartbeat(const Address &inTo, const HeartbeatMessage &inHeartbeat);
 	/// Sends a request; `inDone` is called once, with nothing when no valid reply came in time.
-	void SendRequest(const Address &inTo, PeerAsk inRequest, Millis inTimeout, ReplyCallback inDone);
+	void SendRequest(const Address &inTo, PeerRequest inRequest, Millis inTimeout, ReplyCallback inDone);
 
 	/// Receives the heartbeats of peers. Must be set before Open().
-	std::function<void(Digest)> on_heartbeat;
+	std::function<void(HeartbeatMessage)> on_heartbeat;
 	/// Answers the requests of peers. Must be set before Open().
-	std::function<PeerReply(const PeerAsk &)> on_request;
+	std::function<PeerReply(const PeerRequest &)> on_request;
 
 private:
 	struct OutgoingRequest;
--- a/Loomreach/Entry/PeerQuery.cpp
+++ b/Loomreach/Entry/PeerQuery.cpp
@@ -92,7 +92,7 @@
 {
 	const std::string_view body = std::string_view(inBytes).substr(1);
 	if (inBytes[0] == cHeartbeatMark || inBytes[0] == cEndsMark)
-		return this->message_handler(inBytes[0] == cHeartbeatMark ? EPeerNews::Beat : EPeerNews::Ends, std::string(body));
+		return this->message_handler(inBytes[0] == cHeartbeatMark ? EPeerMessage::Beat : EPeerMessage::Ends, std::string(body));
 	if (inBytes[0] == cAnswerMark)
 	{
 		const std::optional<PeerAnswer> answer = DecodeValue<PeerAnswer>(body);
@@ -199,9 +199,9 @@
 		this->resend_timer.Every(cResendMs / 2, [this] { this->ResendPending(); });
 }
 
-void PeerQuery::Tell(const std::vector<Address> &inTo, EPeerNews inKind, const std::string &inMessage)
+void PeerQuery::Tell(const std::vector<Address> &inTo, EPeerMessage inKind, const std::string &inMessage)
 {
-	const std::string bytes = (inKind == EPeerNews::Beat ? cHeartbeatMark : cEndsMark) + inMessage;
+	const std::string bytes = (inKind == EPeerMessage::Beat ? cHeartbeatMark : cEndsMark) + inMessage;
 	for (const Address &to : inTo)
 		this->SendTo(ToSocketAddress(to).get(), bytes);
 }
--- a/Loomreach/Entry/PeerQuery.h
+++ b/Loomreach/Entry/PeerQuery.h
@@ -88,10 +88,10 @@
 };
 
 /// Messages that hosts send without being asked.
-enum class EPeerNews : uint8
+enum class EPeerMessage : uint8
 {
-	Beat, ///< A heartbeat (HostBeat).
-	Ends  ///< Run ends for replication (EndsUpdate).
+	Beat, ///< A heartbeat (HostHeartbeat).
+	Ends  ///< Run ends for replication (RunEndsUpdate).
 };
 
 /// Asks questions and answers those of other hosts.
@@ -103,7 +103,7 @@
 	using QuestionHandler = std::function<void(const PeerQuestion &, std::function<void(PeerAnswer)>)>;
 
 	/// Handles a message from another host. Messages may be lost, duplicated or delayed.
-	using MessageHandler = std::function<void(EPeerNews inKind, const std::string &inMessage)>;
+	using MessageHandler = std::function<void(EPeerMessage inKind, const std::string &inMessage)>;
 
 	PeerQuery(const Address &inOwn, Metrics &inMetrics, QuestionHandler inQuestionHandler, MessageHandler inMessageHandler);
 	~PeerQuery();
@@ -116,7 +116,7 @@
 	/// above 0: gives up after this if the other host has not reported that it is handling the question.
 	void Ask(const Address &inTo, PeerQuestion inQuestion, Millis inTimeoutMs, OnAnswer inDone, Millis inInProgressMs = 0);
 	/// Sends a message to other hosts, once each.
-	void Tell(const std::vector<Address> &inTo, EPeerNews inKind, const std::string &inMessage);
+	void Tell(const std::vector<Address> &inTo, EPeerMessage inKind, const std::string &inMessage);
 
 private:
 	/// A question without an answer yet.
--- a/Loomreach/Entry/Proposer.cpp
+++ b/Loomreach/Entry/Proposer.cpp
@@ -14,7 +14,7 @@
 {
 }
 
-void Proposer::Complete(Ticket inTicket, const Verdict &inOutcome)
+void Proposer::Complete(Ticket inTicket, const ProposalOutcome &inOutcome)
 {
 	auto found = this->callbacks.find(inTicket);
 	if (found == this->callbacks.end())
@@ -75,9 +75,9 @@
 			{{}, unresolved.kind, 0, EError::VerdictLost, "the state was taken over from a snapshot before the outcome was read"});
 }
 
-void Proposer::OnOutcomes(const std::vector<Verdict> &inOutcomes)
+void Proposer::OnOutcomes(const std::vector<ProposalOutcome> &inOutcomes)
 {
-	for (const Verdict &outcome : inOutcomes)
+	for (const ProposalOutcome &outcome : inOutcomes)
 	{
 		if (outcome.id.incarnation != this->incarnation || outcome.kind == EProposal::Count)
 			continue;
--- a/Loomreach/Entry/Proposer.h
+++ b/Loomreach/Entry/Proposer.h
@@ -15,7 +15,7 @@
 public:
 	/// Called once with the outcome. The error is not-accepted or platform-down when the proposal was not sent, and verdict-lost when it
 	/// stands in the log but its outcome was not read.
-	using Callback = std::function<void(const Verdict &)>;
+	using Callback = std::function<void(const ProposalOutcome &)>;
 
 	Proposer(PlatformClient &ioPlatform, LogFollower &ioFollower, Metrics &ioMetrics, uint64 inIncarnation);
 
@@ -25,7 +25,7 @@
 	/// change.
 	void SendBatch();
 	/// Completes the proposals of this process whose outcomes have been read from the log.
-	void OnOutcomes(const std::vector<Verdict> &inOutcomes);
+	void OnOutcomes(const std::vector<ProposalOutcome> &inOutcomes);
 	/// Completes, with verdict-lost, the proposals that an adopted state already includes: their outcomes will not be read any more.
 	void OnAdopted(const FleetState &inState);
 	/// Sets this process's share of the append rate, appends per second.
@@ -35,7 +35,7 @@
 	const AppendQueue &Queue() const { return this->queue; }
 
 private:
-	void Complete(Ticket inTicket, const Verdict &inOutcome);
+	void Complete(Ticket inTicket, const ProposalOutcome &inOutcome);
 
 	PlatformClient &platform;
 	LogFollower &follower;
--- a/Loomreach/Entry/Relay.cpp
+++ b/Loomreach/Entry/Relay.cpp
@@ -145,7 +145,7 @@
 	{
 		SoupMessageHeaders *headers = soup_message_get_response_headers(this->message.get());
 		if (!this->is_forward && soup_message_headers_get_one(headers, cHeaderLeaving) != nullptr)
-			this->relay->dispatcher.Endpoints().SawLeaving(this->host, NowMillis());
+			this->relay->dispatcher.Endpoints().RecordLeaving(this->host, NowMillis());
 	}
 
 	bool HasNotBegunHeader() const
--- a/Loomreach/Entry/StateReport.cpp
+++ b/Loomreach/Entry/StateReport.cpp
@@ -36,7 +36,7 @@
 	{
 		auto counts = inState.pool_counts.find(path);
 		const PoolCounts hosts = counts == inState.pool_counts.end() ? PoolCounts() : counts->second;
-		const Buffer buffer = ReckonBuffer(inState, pool, {});
+		const Buffer buffer = ComputeBuffer(inState, pool, {});
 		const std::string buffer_purpose =
 			pool.buffer_percent >= 0 ? "the share that the settings state" : "the loss of its largest rack during a wave";
 		auto blocker = inWaveBlockers.find(path);
--- a/Loomreach/Entry/StoreWatch.cpp
+++ b/Loomreach/Entry/StoreWatch.cpp
@@ -33,7 +33,7 @@
 
 bool StoreWatch::IsSilent(Millis inNow) const { return this->unanswered_since >= 0 && inNow - this->unanswered_since > this->Patience(); }
 
-bool TurnedAwayWatch::Note(bool inSilent, bool inOthersReach, Millis inNow)
+bool StoreIsolationWatch::Note(bool inSilent, bool inOthersReach, Millis inNow)
 {
 	if (!inSilent || !inOthersReach)
 	{
--- a/Loomreach/Entry/StoreWatch.h
+++ b/Loomreach/Entry/StoreWatch.h
@@ -35,9 +35,9 @@
 };
 
 /// Detects that the store does not answer this host while it answers others. An owner then releases its cells before its lease is over: it
-/// could not do anything with them, and a successor starts half a second sooner. Together with LetGoBeat this was worth +0.019 (error
-/// 0.012) in 10 pairs of days with faults.
-class TurnedAwayWatch
+/// could not do anything with them, and a successor starts half a second sooner. Together with MakeReleaseHeartbeat this was worth +0.019
+/// (error 0.012) in 10 pairs of days with faults.
+class StoreIsolationWatch
 {
 public:
 	/// Takes the current state: whether the store is unresponsive for this host, and whether other hosts say that they reach it. Returns
--- a/Loomreach/Entry/WorkerPoller.cpp
+++ b/Loomreach/Entry/WorkerPoller.cpp
@@ -30,13 +30,13 @@
 	return order;
 }
 
-void WorkerPoller::PollWorkers(const FleetState &inState, const StewardPicker &inPicker, Millis inNow)
+void WorkerPoller::PollWorkers(const FleetState &inState, const PlannerAssignment &inAssignment, Millis inNow)
 {
 	this->seen.list_is_fresh = this->host_list_read != 0 && inNow - this->host_list_read < cHostListMaxAgeMs;
 	std::set<std::string> assigned;
 	for (const auto &[name, host] : inState.hosts)
 	{
-		if (!inPicker.IsMineIn("host:" + name, host.spec.availability_zone))
+		if (!inAssignment.IsMineIn("host:" + name, host.spec.availability_zone))
 			continue;
 		assigned.insert(name);
 		this->PollOne(inState, host, inNow);
--- a/Loomreach/Entry/WorkerPoller.h
+++ b/Loomreach/Entry/WorkerPoller.h
@@ -20,7 +20,7 @@
 	/// Polls all hosts that are due, and removes what was seen of hosts that are no longer assigned to this entry host. A host is
 	/// due at once when its order has changed; `worker_poll_ms` after its last poll when it is not available, requests to it fail or the
 	/// last order may not have arrived; otherwise after Interval().
-	void PollWorkers(const FleetState &inState, const StewardPicker &inPicker, Millis inNow);
+	void PollWorkers(const FleetState &inState, const PlannerAssignment &inAssignment, Millis inNow);
 	/// Reads the host list from the platform.
 	void ReadHosts(const FleetState &inState);
 	/// Sets the hosts that any entry host has seen to be leaving.
--- a/Loomreach/Fleet/HostLifecycle.cpp
+++ b/Loomreach/Fleet/HostLifecycle.cpp
@@ -12,18 +12,18 @@
 	return {inHost.spec.name, inStep, inHost.generation, inHost.wave, std::move(inWhy), 0};
 }
 
-bool HostKeeper::IsUnresponsive(const HostObservation &inSeen, Millis inFor) const
+bool HostLifecycle::IsUnresponsive(const HostObservation &inSeen, Millis inFor) const
 {
 	const Millis since = inSeen.last_answer.value_or(inSeen.first_polled);
 	return this->now - since >= inFor;
 }
 
-bool HostKeeper::IsLeaving(const Host &inHost, const HostObservation &inSeen) const
+bool HostLifecycle::IsLeaving(const Host &inHost, const HostObservation &inSeen) const
 {
 	return inSeen.leaving || this->seen.leaving.count(inHost.spec.name) != 0;
 }
 
-std::optional<StepHost> HostKeeper::HealthStep(const Host &inHost, const HostObservation &inSeen) const
+std::optional<StepHost> HostLifecycle::HealthStep(const Host &inHost, const HostObservation &inSeen) const
 {
 	if (inHost.phase == EHostPhase::Out)
 		return std::nullopt;
@@ -40,7 +40,7 @@
 		if (inHost.IsAvailable() && this->state.HasRoomInBudget(inHost.pool))
 		{
 			StepHost step = MakeStep(inHost, EHostStep::Drain, "the platform is about to remove the host");
-			step.wave = cPlatformDrain;
+			step.wave = cPlatformDrainWave;
 			return step;
 		}
 		// The platform takes the host regardless of the availability budget, so this is recorded as a failure and not as a planned drain
@@ -50,11 +50,11 @@
 	}
 	const bool answers = inSeen.last_answer.has_value() && !this->IsUnresponsive(inSeen, this->bounds.failed_after / 2);
 	if (answers && inHost.health != EHostHealth::Healthy)
-		return MakeStep(inHost, EHostStep::Healthy, "the host answers");
+		return MakeStep(inHost, EHostStep::Healthy, "answers");
 	return std::nullopt;
 }
 
-std::optional<StepHost> HostKeeper::DrainStep(const Host &inHost, const HostObservation &inSeen, bool inAcknowledged) const
+std::optional<StepHost> HostLifecycle::DrainStep(const Host &inHost, const HostObservation &inSeen, bool inAcknowledged) const
 {
 	auto wave = this->state.waves.find(inHost.wave);
 	const bool in_wave = wave != this->state.waves.end();
@@ -82,7 +82,7 @@
 			step.boot = inSeen.boot;
 			return step;
 		}
-		if (inHost.wave == cPlatformDrain && !this->IsLeaving(inHost, inSeen) &&
+		if (inHost.wave == cPlatformDrainWave && !this->IsLeaving(inHost, inSeen) &&
 			!this->IsUnresponsive(inSeen, this->bounds.failed_after / 2))
 			return MakeStep(inHost, EHostStep::Undrain, "the platform no longer removes the host");
 		return std::nullopt;
@@ -99,7 +99,7 @@
 	return std::nullopt;
 }
 
-std::optional<StepHost> HostKeeper::NextStep(const Host &inHost, const HostObservation &inSeen, bool inAcknowledged) const
+std::optional<StepHost> HostLifecycle::NextStep(const Host &inHost, const HostObservation &inSeen, bool inAcknowledged) const
 {
 	if (std::optional<StepHost> step = this->HealthStep(inHost, inSeen); step.has_value())
 		return step;
@@ -111,7 +111,7 @@
 	return std::nullopt;
 }
 
-void HostKeeper::ReportTasks(const Host &inHost, const HostObservation &inSeen, std::vector<ProposalBody> &outProposals) const
+void HostLifecycle::ReportTasks(const Host &inHost, const HostObservation &inSeen, std::vector<ProposalBody> &outProposals) const
 {
 	for (const TaskReport &task : inSeen.tasks)
 	{
@@ -128,7 +128,7 @@
 	}
 }
 
-std::vector<ProposalBody> HostKeeper::Decide(const Host &inHost, bool inAcknowledged) const
+std::vector<ProposalBody> HostLifecycle::Decide(const Host &inHost, bool inAcknowledged) const
 {
 	std::vector<ProposalBody> proposals;
 	auto observed = this->seen.hosts.find(inHost.spec.name);
@@ -140,7 +140,7 @@
 	return proposals;
 }
 
-std::vector<ProposalBody> HostKeeper::FollowList() const
+std::vector<ProposalBody> HostLifecycle::FollowHostList() const
 {
 	std::vector<ProposalBody> proposals;
 	if (!this->seen.list_is_fresh)
--- a/Loomreach/Fleet/HostLifecycle.h
+++ b/Loomreach/Fleet/HostLifecycle.h
@@ -9,7 +9,7 @@
 {
 
 /// Time limits by which observations are judged, ms.
-struct KeeperBounds
+struct HostLifecycleBounds
 {
 	Millis failed_after = 5000;   ///< A host without an answer for this long counts as failed.
 	Millis quiet_for = 500;       ///< A host must report for this long that nothing is in flight before it counts as drained.
@@ -20,10 +20,10 @@
 constexpr size_t cQuarantineJobs = 3;
 
 /// Decides the next steps of hosts.
-class HostKeeper
+class HostLifecycle
 {
 public:
-	HostKeeper(const FleetState &inState, const Observations &inSeen, KeeperBounds inBounds, Millis inNow)
+	HostLifecycle(const FleetState &inState, const Observations &inSeen, HostLifecycleBounds inBounds, Millis inNow)
 		: state(inState), seen(inSeen), bounds(inBounds), now(inNow)
 	{
 	}
@@ -31,7 +31,7 @@
 	/// Proposals for one host. `inAcknowledged`: every member that routes to it has applied its drain and has nothing in flight to it.
 	std::vector<ProposalBody> Decide(const Host &inHost, bool inAcknowledged) const;
 	/// Proposals that follow the host list: adds new hosts, removes failed ones that have been off the list for `remove_after`.
-	std::vector<ProposalBody> FollowList() const;
+	std::vector<ProposalBody> FollowHostList() const;
 
 private:
 	/// The step to propose now, if any: health first, then drain, then quarantine.
@@ -45,7 +45,7 @@
 
 	const FleetState &state;
 	const Observations &seen;
-	KeeperBounds bounds;
+	HostLifecycleBounds bounds;
 	Millis now;
 };
 
--- a/Loomreach/Fleet/MaintenancePlanner.cpp
+++ b/Loomreach/Fleet/MaintenancePlanner.cpp
@@ -8,7 +8,7 @@
 namespace Loomreach::Jobs
 {
 
-void UpkeepPlanner::AddWave(const UpkeepWave &inWave, const std::set<std::string> &inDone, Millis inNow)
+void MaintenancePlanner::AddWave(const MaintenanceWave &inWave, const std::set<std::string> &inDone, Millis inNow)
 {
 	if (this->waves.contains(inWave.number))
 		return;
@@ -30,7 +30,7 @@
 		.Field("within_ms", inWave.within_ms);
 }
 
-size_t UpkeepPlanner::CountWavesOf(const std::string &inHost) const
+size_t MaintenancePlanner::CountWavesOf(const std::string &inHost) const
 {
 	size_t count = 0;
 	for (const auto &[number, wave] : this->waves)
@@ -38,7 +38,7 @@
 	return count;
 }
 
-void UpkeepPlanner::SetHosts(const std::vector<HostEntry> &inHosts, Millis inNow)
+void MaintenancePlanner::SetHosts(const std::vector<HostEntry> &inHosts, Millis inNow)
 {
 	this->listed = true;
 	this->hosts.clear();
@@ -70,7 +70,7 @@
 		}
 }
 
-uint32 UpkeepPlanner::CountDown(const Wave &inWave) const
+uint32 MaintenancePlanner::CountDown(const Wave &inWave) const
 {
 	uint32 down = 0;
 	for (const auto &[name, item] : inWave.items)
@@ -78,7 +78,7 @@
 	return down;
 }
 
-bool UpkeepPlanner::IsBehindSchedule(const Wave &inWave, Millis inNow) const
+bool MaintenancePlanner::IsBehindSchedule(const Wave &inWave, Millis inNow) const
 {
 	int64 left = 0;
 	for (const auto &[name, item] : inWave.items)
@@ -87,7 +87,7 @@
 	return inNow + rounds * this->tuning.per_host_ms + this->tuning.reserve_ms >= inWave.begun_at + inWave.asked.within_ms;
 }
 
-std::vector<HostEntry> UpkeepPlanner::ToEmpty(Millis inNow)
+std::vector<HostEntry> MaintenancePlanner::HostsToDrain(Millis inNow)
 {
 	std::vector<HostEntry> wanted;
 	for (auto &[number, wave] : this->waves)
@@ -128,7 +128,7 @@
 	return wanted;
 }
 
-void UpkeepPlanner::OnEmpty(const std::string &inHost, Millis inAskedAt, Millis)
+void MaintenancePlanner::OnDrained(const std::string &inHost, Millis inAskedAt, Millis)
 {
 	for (auto &[number, wave] : this->waves)
 	{
@@ -142,7 +142,7 @@
 	}
 }
 
-bool UpkeepPlanner::ShouldResend(const std::string &inHost, const Item &inItem, Millis inNow) const
+bool MaintenancePlanner::ShouldResend(const std::string &inHost, const Item &inItem, Millis inNow) const
 {
 	const bool due = inItem.step == EMaintenanceStep::Ordered && !inItem.sent && inNow - inItem.since > this->tuning.resend_after_ms;
 	auto host = this->hosts.find(inHost);
@@ -152,9 +152,9 @@
 	return due && (!up || inNow < inItem.empty_until);
 }
 
-std::vector<HostDuty> UpkeepPlanner::TakeDuties(Millis inNow)
+std::vector<HostOrder> MaintenancePlanner::TakeHostOrders(Millis inNow)
 {
-	std::vector<HostDuty> orders;
+	std::vector<HostOrder> orders;
 	for (auto &[number, wave] : this->waves)
 	{
 		uint32 down = this->CountDown(wave);
@@ -168,12 +168,12 @@
 			item.step = EMaintenanceStep::Ordered;
 			item.since = inNow;
 			item.sent = true;
-			HostDuty order;
-			order.kind = EDuty::Maintain;
+			HostOrder order;
+			order.kind = EHostOrder::Maintain;
 			order.host = name;
 			order.wave = number;
 			if (item.asked_at >= 0 && inNow < item.empty_until)
-				order.not_after = item.asked_at + cEmptyForMs - cDutyWayMs;
+				order.not_after = item.asked_at + cDrainGrantMs - cHostOrderTransitMs;
 			auto host = this->hosts.find(name);
 			if (host != this->hosts.end())
 			{
@@ -186,7 +186,7 @@
 	return orders;
 }
 
-void UpkeepPlanner::OnDuty(const HostDuty &inOrder, EDutyResult inResult, Millis inNow)
+void MaintenancePlanner::OnHostOrderResult(const HostOrder &inOrder, EHostOrderResult inResult, Millis inNow)
 {
 	auto wave = this->waves.find(inOrder.wave);
 	if (wave == this->waves.end())
@@ -201,26 +201,26 @@
 		.Field("host", inOrder.host)
 		.Field("wave", inOrder.wave)
 		.Field("token", inOrder.token)
-		.Field("result", NameOf(cDutyResultNames, inResult));
+		.Field("result", NameOf(cHostOrderResultNames, inResult));
 	switch (inResult)
 	{
-	case EDutyResult::Done: item.step = EMaintenanceStep::Down; break;
-	case EDutyResult::NotOfWave:
-	case EDutyResult::Impossible: item.step = EMaintenanceStep::Done; break;
-	case EDutyResult::Busy:
-	case EDutyResult::Refused:
-	case EDutyResult::StaleToken:
+	case EHostOrderResult::Done: item.step = EMaintenanceStep::Down; break;
+	case EHostOrderResult::NotOfWave:
+	case EHostOrderResult::Impossible: item.step = EMaintenanceStep::Done; break;
+	case EHostOrderResult::Busy:
+	case EHostOrderResult::Refused:
+	case EHostOrderResult::StaleToken:
 		// This order was not carried out, but an earlier one with an unknown outcome may still be
 		if (item.uncertain_since >= 0)
 			break;
 		item.step = EMaintenanceStep::Waiting;
 		item.empty_until = 0;
 		break;
-	case EDutyResult::Unknown: item.uncertain_since = inNow; break;
+	case EHostOrderResult::Unknown: item.uncertain_since = inNow; break;
 	}
 }
 
-std::set<std::string> UpkeepPlanner::DoneOf(int64 inWave) const
+std::set<std::string> MaintenancePlanner::DoneOf(int64 inWave) const
 {
 	std::set<std::string> done;
 	auto wave = this->waves.find(inWave);
@@ -232,7 +232,7 @@
 	return done;
 }
 
-bool UpkeepPlanner::IsCompleted(int64 inWave) const
+bool MaintenancePlanner::IsCompleted(int64 inWave) const
 {
 	auto wave = this->waves.find(inWave);
 	if (wave == this->waves.end() || !this->listed)
@@ -247,7 +247,7 @@
 	return true;
 }
 
-std::vector<int64> UpkeepPlanner::Waves() const
+std::vector<int64> MaintenancePlanner::Waves() const
 {
 	std::vector<int64> numbers;
 	for (const auto &[number, wave] : this->waves)
@@ -255,7 +255,7 @@
 	return numbers;
 }
 
-std::set<std::string> UpkeepPlanner::Busy() const
+std::set<std::string> MaintenancePlanner::Busy() const
 {
 	std::set<std::string> names;
 	for (const auto &[number, wave] : this->waves)
@@ -265,7 +265,7 @@
 	return names;
 }
 
-bool UpkeepPlanner::IsBusy() const
+bool MaintenancePlanner::IsBusy() const
 {
 	for (const auto &[number, wave] : this->waves)
 		if (!this->IsCompleted(number))
--- a/Loomreach/Fleet/MaintenancePlanner.h
+++ b/Loomreach/Fleet/MaintenancePlanner.h
@@ -36,22 +36,22 @@
 };
 
 /// Kind of an order to a host.
-enum class EDuty : uint8
+enum class EHostOrder : uint8
 {
 	Move,
 	Maintain
 };
 
 /// Length of a drain grant: the owner of a pool keeps a worker empty for this long after each question, ms.
-inline constexpr Millis cEmptyForMs = 1500;
+inline constexpr Millis cDrainGrantMs = 1500;
 /// An order must be sent this much before the grant ends, ms: the platform takes 5 to 60 ms to answer, and a lost packet must be
 /// repeated.
-inline constexpr Millis cDutyWayMs = 300;
+inline constexpr Millis cHostOrderTransitMs = 300;
 
 /// One order to a host.
-struct HostDuty
+struct HostOrder
 {
-	EDuty kind = EDuty::Maintain;
+	EHostOrder kind = EHostOrder::Maintain;
 	std::string host;
 	std::string from;   ///< Its pool on the host list.
 	std::string worker; ///< Incarnation of the worker on it, which ends when the order is carried out.
@@ -64,7 +64,7 @@
 };
 
 /// Outcome of an order to a host.
-enum class EDutyResult : uint8
+enum class EHostOrderResult : uint8
 {
 	Done,
 	StaleToken,
@@ -76,18 +76,18 @@
 };
 
 /// Names of the outcomes in logs and answers.
-inline constexpr std::array cDutyResultNames = {
-	EnumName<EDutyResult>{EDutyResult::Done, "done"},
-	EnumName<EDutyResult>{EDutyResult::StaleToken, "stale-token"},
-	EnumName<EDutyResult>{EDutyResult::Busy, "busy"},
-	EnumName<EDutyResult>{EDutyResult::NotOfWave, "not-of-wave"},
-	EnumName<EDutyResult>{EDutyResult::Impossible, "impossible"},
-	EnumName<EDutyResult>{EDutyResult::Refused, "refused"},
-	EnumName<EDutyResult>{EDutyResult::Unknown, "unknown"},
+inline constexpr std::array cHostOrderResultNames = {
+	EnumName<EHostOrderResult>{EHostOrderResult::Done, "done"},
+	EnumName<EHostOrderResult>{EHostOrderResult::StaleToken, "stale-token"},
+	EnumName<EHostOrderResult>{EHostOrderResult::Busy, "busy"},
+	EnumName<EHostOrderResult>{EHostOrderResult::NotOfWave, "not-of-wave"},
+	EnumName<EHostOrderResult>{EHostOrderResult::Impossible, "impossible"},
+	EnumName<EHostOrderResult>{EHostOrderResult::Refused, "refused"},
+	EnumName<EHostOrderResult>{EHostOrderResult::Unknown, "unknown"},
 };
 
 /// A maintenance wave as the operator requests it.
-struct UpkeepWave
+struct MaintenanceWave
 {
 	int64 number = 0;
 	std::vector<std::string> hosts;
@@ -96,7 +96,7 @@
 };
 
 /// Times of the planner, ms.
-struct UpkeepTuning
+struct MaintenanceTuning
 {
 	Millis down_ms = 2000;  ///< Length of the maintenance of a host. Setting.
 	Millis settle_ms = 600; ///< A host counts as down this much longer than that, because the list lags.
@@ -119,30 +119,30 @@
 };
 
 /// Plans the waves; see the head of the file.
-class UpkeepPlanner
+class MaintenancePlanner
 {
 public:
-	explicit UpkeepPlanner(const UpkeepTuning &inTuning) : tuning(inTuning) {}
+	explicit MaintenancePlanner(const MaintenanceTuning &inTuning) : tuning(inTuning) {}
 
 	/// Adds a wave. `inDone`: hosts of it that are done according to the log.
-	void AddWave(const UpkeepWave &inWave, const std::set<std::string> &inDone, Millis inNow);
+	void AddWave(const MaintenanceWave &inWave, const std::set<std::string> &inDone, Millis inNow);
 	bool HasWave(int64 inNumber) const { return this->waves.contains(inNumber); }
 	/// Sets the host list.
 	void SetHosts(const std::vector<HostEntry> &inHosts, Millis inNow);
 	/// Hosts that the owners of their pools should be asked to drain now.
-	std::vector<HostEntry> ToEmpty(Millis inNow);
+	std::vector<HostEntry> HostsToDrain(Millis inNow);
 	/// Sets the hosts that were ordered to move and may not have arrived yet, whatever the list shows: they are left alone.
 	void SetMoving(std::set<std::string> inHosts) { this->moving = std::move(inHosts); }
 	/// Sets the pools that lack hosts: theirs go down only when a wave would otherwise be late.
-	void SetTight(std::set<std::string> inPools) { this->pools_in_deficit = std::move(inPools); }
+	void SetPoolsInDeficit(std::set<std::string> inPools) { this->pools_in_deficit = std::move(inPools); }
 	/// Sets the spare pools: nothing runs on their hosts.
 	void SetSpare(std::set<std::string> inPools) { this->spare = std::move(inPools); }
 	/// Call when the owner of a pool, asked at `inAskedAt`, has answered that the host is empty.
-	void OnEmpty(const std::string &inHost, Millis inAskedAt, Millis inNow);
+	void OnDrained(const std::string &inHost, Millis inAskedAt, Millis inNow);
 	/// Orders to send now. Each is returned once.
-	std::vector<HostDuty> TakeDuties(Millis inNow);
+	std::vector<HostOrder> TakeHostOrders(Millis inNow);
 	/// Call with the outcome of an order.
-	void OnDuty(const HostDuty &inOrder, EDutyResult inResult, Millis inNow);
+	void OnHostOrderResult(const HostOrder &inOrder, EHostOrderResult inResult, Millis inNow);
 	/// Hosts of a wave that are done, or down for it.
 	std::set<std::string> DoneOf(int64 inWave) const;
 	/// Whether all hosts of a wave are done or have been removed.
@@ -170,7 +170,7 @@
 	/// A wave and its progress.
 	struct Wave
 	{
-		UpkeepWave asked;
+		MaintenanceWave asked;
 		Millis begun_at = 0;
 		std::map<std::string, Item> items;
 	};
@@ -184,7 +184,7 @@
 	/// Whether the rest of the wave would be late unless hosts of pools that lack hosts go down as well.
 	bool IsBehindSchedule(const Wave &inWave, Millis inNow) const;
 
-	UpkeepTuning tuning;
+	MaintenanceTuning tuning;
 	std::map<int64, Wave> waves;
 	std::map<std::string, HostEntry> hosts;
 	/// Whether nothing runs on the host.
--- a/Loomreach/Fleet/PoolBalancer.cpp
+++ b/Loomreach/Fleet/PoolBalancer.cpp
@@ -168,14 +168,14 @@
 Millis PoolBalancer::DrainGrantEnd(const std::string &inPool) const
 {
 	auto found = this->demands.find(inPool);
-	return found == this->demands.end() ? 0 : found->second.asked_at + cEmptyForMs - cDutyWayMs;
+	return found == this->demands.end() ? 0 : found->second.asked_at + cDrainGrantMs - cHostOrderTransitMs;
 }
 
 void PoolBalancer::OrderMove(const HostEntry &inHost, const std::string &inTo, Millis inNow, Millis inNotAfter,
-							 std::vector<HostDuty> &outOrders)
+							 std::vector<HostOrder> &outOrders)
 {
-	HostDuty order;
-	order.kind = EDuty::Move;
+	HostOrder order;
+	order.kind = EHostOrder::Move;
 	order.host = inHost.name;
 	order.from = inHost.pool;
 	order.worker = inHost.worker;
@@ -186,7 +186,7 @@
 	outOrders.push_back(std::move(order));
 }
 
-void PoolBalancer::FillDeficits(std::map<std::string, int64> &ioDeficits, Millis inNow, std::vector<HostDuty> &outOrders)
+void PoolBalancer::FillDeficits(std::map<std::string, int64> &ioDeficits, Millis inNow, std::vector<HostOrder> &outOrders)
 {
 	// One host at a time, to the pool with the largest deficit
 	for (;;)
@@ -216,9 +216,9 @@
 	}
 }
 
-std::vector<HostDuty> PoolBalancer::TakeMoves(Millis inNow)
+std::vector<HostOrder> PoolBalancer::TakeMoves(Millis inNow)
 {
-	std::vector<HostDuty> orders;
+	std::vector<HostOrder> orders;
 	this->LogSizes(inNow);
 	std::map<std::string, int64> in_time = this->Deficits(EDemandScope::InTime, inNow);
 	this->FillDeficits(in_time, inNow, orders);
@@ -255,17 +255,17 @@
 	return in_doubt;
 }
 
-void PoolBalancer::OnMove(const HostDuty &inOrder, EDutyResult inResult, Millis inNow)
+void PoolBalancer::OnMove(const HostOrder &inOrder, EHostOrderResult inResult, Millis inNow)
 {
 	LogEvent(ELogLevel::Info, "host_moved")
 		.Field("host", inOrder.host)
 		.Field("to", inOrder.pool)
 		.Field("token", inOrder.token)
-		.Field("result", NameOf(cDutyResultNames, inResult));
+		.Field("result", NameOf(cHostOrderResultNames, inResult));
 	auto host = this->hosts.find(inOrder.host);
-	if (inResult == EDutyResult::Impossible && host != this->hosts.end())
+	if (inResult == EHostOrderResult::Impossible && host != this->hosts.end())
 		this->incompatible.insert({host->second.kind, inOrder.pool});
-	const bool under_way = inResult == EDutyResult::Done || inResult == EDutyResult::Unknown;
+	const bool under_way = inResult == EHostOrderResult::Done || inResult == EHostOrderResult::Unknown;
 	if (!under_way)
 	{
 		this->moves.erase(inOrder.host);
@@ -274,7 +274,7 @@
 	Move &move = this->moves[inOrder.host];
 	move.to = inOrder.pool;
 	move.since = inNow;
-	move.done = inResult == EDutyResult::Done;
+	move.done = inResult == EHostOrderResult::Done;
 }
 
 } // namespace Loomreach::Jobs
--- a/Loomreach/Fleet/PoolBalancer.h
+++ b/Loomreach/Fleet/PoolBalancer.h
@@ -47,9 +47,9 @@
 	/// Pools that cannot spare a host.
 	std::set<std::string> Tight(Millis inNow) const;
 	/// Orders of moves to send now.
-	std::vector<HostDuty> TakeMoves(Millis inNow);
+	std::vector<HostOrder> TakeMoves(Millis inNow);
 	/// Call with the outcome of an ordered move.
-	void OnMove(const HostDuty &inOrder, EDutyResult inResult, Millis inNow);
+	void OnMove(const HostOrder &inOrder, EHostOrderResult inResult, Millis inNow);
 	/// Hosts whose ordered move has an unknown outcome and may still happen: their workers are to stay drained.
 	std::vector<HostEntry> InDoubt() const;
 
@@ -88,9 +88,9 @@
 	/// Logs the sizes that have changed, to explain moves of hosts.
 	void LogSizes(Millis inNow);
 	/// Orders moves to the pools that lack hosts, from spare pools first, then from pools with too many.
-	void FillDeficits(std::map<std::string, int64> &ioDeficits, Millis inNow, std::vector<HostDuty> &outOrders);
+	void FillDeficits(std::map<std::string, int64> &ioDeficits, Millis inNow, std::vector<HostOrder> &outOrders);
 	/// Orders a move. `inNotAfter`: end of the drain grant; 0: none is needed.
-	void OrderMove(const HostEntry &inHost, const std::string &inTo, Millis inNow, Millis inNotAfter, std::vector<HostDuty> &outOrders);
+	void OrderMove(const HostEntry &inHost, const std::string &inTo, Millis inNow, Millis inNotAfter, std::vector<HostOrder> &outOrders);
 	/// End of the drain grants that the owner of a pool has given; 0: none.
 	Millis DrainGrantEnd(const std::string &inPool) const;
 	bool IsSpare(const std::string &inPool) const;
--- a/Loomreach/Fleet/TeamShares.cpp
+++ b/Loomreach/Fleet/TeamShares.cpp
@@ -15,7 +15,7 @@
 static int64 UsedPerMille(const Resources &inUsed, const Resources &inLimit)
 {
 	const Resources shares =
-		EachOf(inUsed, inLimit, [](int64 inX, int64 inMost) { return inMost == 0 ? int64{0} : inX * int64{1000} / inMost; });
+		ForEachResource(inUsed, inLimit, [](int64 inX, int64 inMost) { return inMost == 0 ? int64{0} : inX * int64{1000} / inMost; });
 	return std::max({shares.cpu_milli, shares.memory_mb, shares.accelerators});
 }
 
@@ -42,7 +42,7 @@
 bool TeamShares::KnowsAllGrants(Millis inNow) const
 {
 	// By then, a cell that has not asked holds nothing any more, and the runs that it started have ended
-	if (inNow - this->began_at >= cShareGoodMs + this->runs_ended_ms)
+	if (inNow - this->began_at >= cShareValidMs + this->runs_ended_ms)
 		return true;
 	const auto has_asked = [this](uint32 inCell)
 	{
@@ -87,9 +87,10 @@
 	// Resources without demand are granted in advance, so that new work need not wait for an answer: the score was 0.344 with and 0.313
 	// without it (mean of five scenarios with faults, one run each)
 	const auto cells = static_cast<int64>(std::max<size_t>(this->cells.size(), 1));
-	const Resources in_advance = EachOf(spare, demand, [cells](int64 inSpare, int64) { return std::max<int64>(inSpare, 0) / cells; });
+	const Resources in_advance =
+		ForEachResource(spare, demand, [cells](int64 inSpare, int64) { return std::max<int64>(inSpare, 0) / cells; });
 	demand.Add(in_advance);
-	return GreatestOf(LeastOf(demand, LeastOf(free, left)), Resources{});
+	return MaxOf(MinOf(demand, MinOf(free, left)), Resources{});
 }
 
 ShareAnswer TeamShares::OnQuestion(const ShareQuestion &inQuestion, Millis inNow)
@@ -106,10 +107,10 @@
 	{
 		KnownTeam &known_team = teams[claim.team];
 		known_team.claim = claim;
-		known_team.may_hold = GreatestOf(claim.used, claim.held);
+		known_team.may_hold = MaxOf(claim.used, claim.held);
 		// The answer to the first copy of the question may still be in flight
 		if (auto earlier = known.teams.find(claim.team); repeated && earlier != known.teams.end())
-			known_team.may_hold = GreatestOf(known_team.may_hold, earlier->second.may_hold);
+			known_team.may_hold = MaxOf(known_team.may_hold, earlier->second.may_hold);
 	}
 	const bool asked_this_owner = inQuestion.fleet_epoch == this->epoch;
 	known = {inQuestion.epoch, inQuestion.number, inNow, asked_this_owner, std::move(teams)};
@@ -123,8 +124,8 @@
 			continue;
 		Resources share = this->LimitOf(inQuestion.cell, known_team.claim, *limit, inNow);
 		if (!knows_all || !asked_this_owner)
-			share = LeastOf(share, known_team.claim.held);
-		known_team.may_hold = GreatestOf(known_team.may_hold, share);
+			share = MinOf(share, known_team.claim.held);
+		known_team.may_hold = MaxOf(known_team.may_hold, share);
 		answer.shares.push_back({team, share});
 	}
 	return answer;
--- a/Loomreach/Fleet/WavePlanner.cpp
+++ b/Loomreach/Fleet/WavePlanner.cpp
@@ -35,7 +35,7 @@
 	return false;
 }
 
-Buffer ReckonBuffer(const FleetState &inState, const PoolSpec &inPool, const std::set<std::string> &inExcluded)
+Buffer ComputeBuffer(const FleetState &inState, const PoolSpec &inPool, const std::set<std::string> &inExcluded)
 {
 	Buffer buffer;
 	std::map<std::string, int64> rack_service_cpu;
--- a/Loomreach/Fleet/WavePlanner.h
+++ b/Loomreach/Fleet/WavePlanner.h
@@ -70,7 +70,7 @@
 };
 
 /// Computes the spare capacity of a pool as if the hosts in `inExcluded` were unavailable and their service load still had to be placed.
-Buffer ReckonBuffer(const FleetState &inState, const PoolSpec &inPool, const std::set<std::string> &inExcluded);
+Buffer ComputeBuffer(const FleetState &inState, const PoolSpec &inPool, const std::set<std::string> &inExcluded);
 
 /// Whether a running or paused wave has yet to take the host out.
 bool IsPendingInWave(const FleetState &inState, const std::string &inHost);
--- a/Loomreach/Fleet/WavePlanner.inl
+++ b/Loomreach/Fleet/WavePlanner.inl
@@ -139,7 +139,7 @@
 template <WavePolicy P>
 bool BasicWavePlanner<P>::KeepsBuffer(const PoolSpec &inPool, const std::set<std::string> &inUnavailable, bool inAnyOut) const
 {
-	const Buffer buffer = ReckonBuffer(this->state, inPool, inUnavailable);
+	const Buffer buffer = ComputeBuffer(this->state, inPool, inUnavailable);
 	return buffer.Spare() >= (inAnyOut ? buffer.wanted : 0);
 }
 
--- a/Loomreach/Forward/OrderSender.h
+++ b/Loomreach/Forward/OrderSender.h
@@ -25,7 +25,7 @@
 	/// Sends an order. `inOrder.not_after` is the end of the ownership of this host.
 	void Send(const Order &inOrder, OnAnswer inDone);
 	/// Sends an order on behalf of another host. `inReply` is called once.
-	void SendFor(const PeerQuestion &inQuestion, uint64 inOwnLife, std::function<void(PeerAnswer)> inReply);
+	void SendFor(const PeerQuestion &inQuestion, uint64 inOwnIncarnation, std::function<void(PeerAnswer)> inReply);
 
 private:
 	/// Hands the order to a forwarder, and sends it directly if that does not work out.
--- a/Loomreach/Forward/OrderSender.inl
+++ b/Loomreach/Forward/OrderSender.inl
@@ -86,11 +86,11 @@
 }
 
 template <class Agent>
-void OrderSender<Agent>::SendFor(const PeerQuestion &inQuestion, uint64 inOwnLife, std::function<void(PeerAnswer)> inReply)
+void OrderSender<Agent>::SendFor(const PeerQuestion &inQuestion, uint64 inOwnIncarnation, std::function<void(PeerAnswer)> inReply)
 {
 	const std::optional<Order> order = DecodeValue<Order>(inQuestion.record);
 	// Refused: meant for an earlier process at this address, damaged, or expired
-	if (!order.has_value() || inQuestion.life != inOwnLife || NowMillis() >= order->not_after)
+	if (!order.has_value() || inQuestion.life != inOwnIncarnation || NowMillis() >= order->not_after)
 	{
 		PeerAnswer refusal;
 		refusal.not_entered = true;
--- a/Loomreach/Job/JobSpec.h
+++ b/Loomreach/Job/JobSpec.h
@@ -53,13 +53,13 @@
 	bool lasting = false;      ///< Long-running: tasks run until the job is cancelled.
 	/// Best-effort: tasks use processor time that others leave idle; only their memory and accelerators are reserved.
 	bool fills = false;
-	std::string needs_label;    ///< Label that the worker must have; empty: any worker.
-	std::string data_rack;      ///< Rack of the data; tasks are slower on other racks. Empty: none.
-	std::string image;          ///< Tasks of the same image behave alike.
-	uint32 max_per_worker = 0;  ///< Maximum number of tasks of the step on one worker; 0: no limit.
-	uint32 may_miss = 0;        ///< Maximum number of long-running tasks that the system itself may make unavailable at the same time.
-	bool limits_misses = false; ///< Whether `may_miss` was set.
-	Millis target_ms = 0;       ///< Target for the tail latency of the task's own answers; 0: none.
+	std::string needs_label;         ///< Label that the worker must have; empty: any worker.
+	std::string data_rack;           ///< Rack of the data; tasks are slower on other racks. Empty: none.
+	std::string image;               ///< Tasks of the same image behave alike.
+	uint32 max_per_worker = 0;       ///< Maximum number of tasks of the step on one worker; 0: no limit.
+	uint32 may_miss = 0;             ///< Maximum number of long-running tasks that the system itself may make unavailable at the same time.
+	bool limits_unavailable = false; ///< Whether `may_miss` was set.
+	Millis target_ms = 0;            ///< Target for the tail latency of the task's own answers; 0: none.
 
 	/// Resources that one task reserves on its worker. Best-effort tasks reserve no processor time: they use what others leave idle.
 	Resources Room() const
@@ -75,7 +75,7 @@
 	{
 		ioArchive(this->count, this->need, this->estimate_ms, this->after, this->checkpoints, this->gang, this->one_rack, this->may_copy,
 				  this->lasting, this->fills, this->needs_label, this->data_rack, this->image, this->max_per_worker, this->may_miss,
-				  this->limits_misses, this->target_ms);
+				  this->limits_unavailable, this->target_ms);
 	}
 };
 
--- a/Loomreach/Member/PeerMessages.cpp
+++ b/Loomreach/Member/PeerMessages.cpp
@@ -12,7 +12,7 @@
 namespace Loomreach
 {
 
-static constexpr uint8 cDigestVersion = 1;
+static constexpr uint8 cHeartbeatVersion = 1;
 static constexpr uint8 cFrameVersion = 1;
 static constexpr size_t cAuthenticationCodeBytes = 16;
 static constexpr size_t cSha256Bytes = 32;
@@ -66,24 +66,24 @@
 	return DecodeValue<T>(*bytes);
 }
 
-std::string PeerCodec::SealDigest(const Digest &inHeartbeat) const
+std::string PeerCodec::SealHeartbeat(const HeartbeatMessage &inHeartbeat) const
 {
-	return this->Seal(SealEnvelope(EEnvelope::Datagram, cDigestVersion, EncodeValue(inHeartbeat)));
+	return this->Seal(SealEnvelope(EEnvelope::Datagram, cHeartbeatVersion, EncodeValue(inHeartbeat)));
 }
 
-std::optional<Digest> PeerCodec::OpenDigest(std::string_view inBytes) const
+std::optional<HeartbeatMessage> PeerCodec::OpenHeartbeat(std::string_view inBytes) const
 {
-	return Open<Digest>(this->CheckAuthentication(inBytes), EEnvelope::Datagram, cDigestVersion, cMaxDatagramBytes);
+	return Open<HeartbeatMessage>(this->CheckAuthentication(inBytes), EEnvelope::Datagram, cHeartbeatVersion, cMaxDatagramBytes);
 }
 
-std::string PeerCodec::SealAsk(const AskFrame &inFrame) const
+std::string PeerCodec::SealRequest(const RequestFrame &inFrame) const
 {
 	return this->Seal(SealEnvelope(EEnvelope::Frame, cFrameVersion, EncodeValue(inFrame)));
 }
 
-std::optional<AskFrame> PeerCodec::OpenAsk(std::string_view inBytes) const
+std::optional<RequestFrame> PeerCodec::OpenRequest(std::string_view inBytes) const
 {
-	return Open<AskFrame>(this->CheckAuthentication(inBytes), EEnvelope::Frame, cFrameVersion, cMaxAskBytes);
+	return Open<RequestFrame>(this->CheckAuthentication(inBytes), EEnvelope::Frame, cFrameVersion, cMaxRequestFrameBytes);
 }
 
 std::string PeerCodec::SealReply(const ReplyFrame &inFrame) const
@@ -93,7 +93,7 @@
 
 std::optional<ReplyFrame> PeerCodec::OpenReply(std::string_view inBytes) const
 {
-	return Open<ReplyFrame>(this->CheckAuthentication(inBytes), EEnvelope::Frame, cFrameVersion, cMaxReplyBytes);
+	return Open<ReplyFrame>(this->CheckAuthentication(inBytes), EEnvelope::Frame, cFrameVersion, cMaxReplyFrameBytes);
 }
 
 std::string PeerCodec::Tag(std::string_view inText) const
--- a/Loomreach/Member/PeerMessages.h
+++ b/Loomreach/Member/PeerMessages.h
@@ -36,7 +36,7 @@
 };
 
 /// Heartbeat message: identity and log offset of an entry host, and state that changes from second to second.
-struct Digest
+struct HeartbeatMessage
 {
 	std::string name;
 	uint64 incarnation = 0;
@@ -83,7 +83,7 @@
 };
 
 /// Requests that an id be bound to the sender.
-struct AskClaim
+struct ClaimRequest
 {
 	std::string id;
 	uint32 range = 0;
@@ -98,7 +98,7 @@
 };
 
 /// Requests a holder's claims of some ranges.
-struct AskHandOver
+struct HandOverRequest
 {
 	uint64 view = 0;
 	std::vector<uint32> ranges;
@@ -110,10 +110,10 @@
 	}
 };
 
-using PeerAsk = std::variant<FetchRecords, FetchState, AskClaim, AskHandOver>;
+using PeerRequest = std::variant<FetchRecords, FetchState, ClaimRequest, HandOverRequest>;
 
 /// A log record relayed by a peer.
-struct PassedRecord
+struct RelayedRecord
 {
 	LogOffset offset = 0;
 	std::string bytes;
@@ -128,7 +128,7 @@
 /// Consecutive records from the requested offset on.
 struct RecordsReply
 {
-	std::vector<PassedRecord> records;
+	std::vector<RelayedRecord> records;
 
 	template <class Archive>
 	void serialize(Archive &ioArchive)
@@ -189,10 +189,10 @@
 using PeerReply = std::variant<RecordsReply, StateReply, ClaimReply, HandOverReply, RefusedReply>;
 
 /// A request with a nonce that its reply repeats.
-struct AskFrame
+struct RequestFrame
 {
 	uint64 nonce = 0;
-	PeerAsk ask;
+	PeerRequest ask;
 
 	template <class Archive>
 	void serialize(Archive &ioArchive)
@@ -215,8 +215,8 @@
 };
 
 constexpr size_t cMaxDatagramBytes = 1400;
-constexpr size_t cMaxAskBytes = 64U << 10;
-constexpr size_t cMaxReplyBytes = 64U << 20;
+constexpr size_t cMaxRequestFrameBytes = 64U << 10;
+constexpr size_t cMaxReplyFrameBytes = 64U << 20;
 
 /// 32-bit hash of a job's path, as used in `ServiceDemand`.
 uint32 ServiceHash(std::string_view inJob);
@@ -228,10 +228,10 @@
 public:
 	explicit PeerCodec(std::string inKey) : key(std::move(inKey)) {}
 
-	std::string SealDigest(const Digest &inHeartbeat) const;
-	std::optional<Digest> OpenDigest(std::string_view inBytes) const;
-	std::string SealAsk(const AskFrame &inFrame) const;
-	std::optional<AskFrame> OpenAsk(std::string_view inBytes) const;
+	std::string SealHeartbeat(const HeartbeatMessage &inHeartbeat) const;
+	std::optional<HeartbeatMessage> OpenHeartbeat(std::string_view inBytes) const;
+	std::string SealRequest(const RequestFrame &inFrame) const;
+	std::optional<RequestFrame> OpenRequest(std::string_view inBytes) const;
 	std::string SealReply(const ReplyFrame &inFrame) const;
 	std::optional<ReplyFrame> OpenReply(std::string_view inBytes) const;
 	/// Returns a shortened authentication code of a text in hex, used in issued ids.
--- a/Loomreach/Member/PeerTracker.cpp
+++ b/Loomreach/Member/PeerTracker.cpp
@@ -13,7 +13,7 @@
 /// heartbeat messages, and a late one must not make the zone unresponsive.
 static constexpr Millis cLogHeartbeatTimeoutFactor = 3;
 
-bool PeerTracker::Hear(Digest inHeartbeat, Millis inNow)
+bool PeerTracker::Hear(HeartbeatMessage inHeartbeat, Millis inNow)
 {
 	auto known = this->incarnations.find(inHeartbeat.incarnation);
 	if (known != this->incarnations.end() && inHeartbeat.sequence <= known->second.sequence)
@@ -21,7 +21,7 @@
 	auto peer = this->peers.find(inHeartbeat.name);
 	// While another incarnation of the same name is live, datagrams of an incarnation known before are late or replayed
 	const bool is_new_incarnation = known == this->incarnations.end();
-	const bool other_is_live = peer != this->peers.end() && peer->second.digest.incarnation != inHeartbeat.incarnation &&
+	const bool other_is_live = peer != this->peers.end() && peer->second.heartbeat.incarnation != inHeartbeat.incarnation &&
 							   inNow - peer->second.heard < this->suspect_after;
 	if (!is_new_incarnation && other_is_live)
 		return FailFalse(EError::Replayed, "datagram of an earlier incarnation of " + inHeartbeat.name);
@@ -56,7 +56,7 @@
 	}
 }
 
-bool PeerTracker::IsZoneAliveByLog(const std::string &inZone, Millis inNow) const
+bool PeerTracker::HasRecentLogHeartbeat(const std::string &inZone, Millis inNow) const
 {
 	auto heartbeat = this->log_heartbeats.find(inZone);
 	return heartbeat != this->log_heartbeats.end() && inNow - heartbeat->second.heard < cLogHeartbeatTimeoutFactor * this->suspect_after;
@@ -85,15 +85,15 @@
 	const Peer *peer = this->Find(inName);
 	auto remote_offset = this->remote_offsets.find(inName);
 	const LogOffset reported = remote_offset == this->remote_offsets.end() ? 0 : remote_offset->second;
-	return std::max(reported, peer == nullptr ? 0 : peer->digest.next_offset);
+	return std::max(reported, peer == nullptr ? 0 : peer->heartbeat.next_offset);
 }
 
 std::vector<ZoneMember> PeerTracker::ZoneMembers(Millis inNow) const
 {
 	std::vector<ZoneMember> members;
 	for (const auto &[name, peer] : this->peers)
-		if (peer.digest.availability_zone == this->zone && inNow - peer.heard < this->suspect_after)
-			members.push_back({name, peer.digest.next_offset});
+		if (peer.heartbeat.availability_zone == this->zone && inNow - peer.heard < this->suspect_after)
+			members.push_back({name, peer.heartbeat.next_offset});
 	return members;
 }
 
@@ -107,7 +107,7 @@
 {
 	std::optional<Millis> heard;
 	for (const auto &[name, peer] : this->peers)
-		if (peer.digest.availability_zone == inZone && (!heard.has_value() || peer.heard > *heard))
+		if (peer.heartbeat.availability_zone == inZone && (!heard.has_value() || peer.heard > *heard))
 			heard = peer.heard;
 	return heard;
 }
@@ -121,33 +121,33 @@
 	return heard;
 }
 
-const Digest *PeerTracker::LiveDigestOf(const std::string &inZone, Millis inNow) const
+const HeartbeatMessage *PeerTracker::LatestHeartbeatOf(const std::string &inZone, Millis inNow) const
 {
 	const Peer *latest = nullptr;
 	for (const auto &[name, peer] : this->peers)
-		if (peer.digest.availability_zone == inZone && inNow - peer.heard < this->remote_suspect_after &&
+		if (peer.heartbeat.availability_zone == inZone && inNow - peer.heard < this->remote_suspect_after &&
 			(latest == nullptr || peer.heard > latest->heard))
 			latest = &peer;
-	return latest == nullptr ? nullptr : &latest->digest;
+	return latest == nullptr ? nullptr : &latest->heartbeat;
 }
 
 bool PeerTracker::IsHeard(const Member &inMember, Millis inNow) const
 {
 	if (inMember.availability_zone == this->zone)
 		return this->IsLive(inMember.name, inNow);
-	return this->LiveDigestOf(inMember.availability_zone, inNow) != nullptr;
+	return this->LatestHeartbeatOf(inMember.availability_zone, inNow) != nullptr;
 }
 
 bool PeerTracker::ZoneReachesPlatform(Millis inNow) const
 {
 	for (const auto &[name, peer] : this->peers)
-		if (peer.digest.availability_zone == this->zone && peer.digest.reaches_platform && inNow - peer.heard < this->suspect_after)
+		if (peer.heartbeat.availability_zone == this->zone && peer.heartbeat.reaches_platform && inNow - peer.heard < this->suspect_after)
 			return true;
 	return false;
 }
 
-StewardPicker::StewardPicker(const View &inView, const PeerTracker &inTracker, const std::string &inSelf, bool inSelfReachesPlatform,
-							 bool inSelfStopping, Millis inNow)
+PlannerAssignment::PlannerAssignment(const View &inView, const PeerTracker &inTracker, const std::string &inSelf,
+									 bool inSelfReachesPlatform, bool inSelfStopping, Millis inNow)
 	: self(inSelf)
 {
 	auto own = inView.members.find(inSelf);
@@ -166,7 +166,8 @@
 		}
 		const bool is_self = name == inSelf;
 		const Peer *peer = is_self || !inTracker.IsLive(name, inNow) ? nullptr : inTracker.Find(name);
-		const bool reaches = is_self ? this->is_candidate : peer != nullptr && peer->digest.reaches_platform && !peer->digest.stopping;
+		const bool reaches =
+			is_self ? this->is_candidate : peer != nullptr && peer->heartbeat.reaches_platform && !peer->heartbeat.stopping;
 		if (!reaches)
 			continue;
 		eligible.insert(this->self_zone);
@@ -174,8 +175,8 @@
 	}
 	for (const std::string &zone : this->unresponsive_zones)
 	{
-		const Digest *latest = inTracker.LiveDigestOf(zone, inNow);
-		const bool by_log = inTracker.IsZoneAliveByLog(zone, inNow);
+		const HeartbeatMessage *latest = inTracker.LatestHeartbeatOf(zone, inNow);
+		const bool by_log = inTracker.HasRecentLogHeartbeat(zone, inNow);
 		if (latest != nullptr || by_log)
 			heard.insert(zone);
 		if (by_log || (latest != nullptr && latest->zone_reaches_platform))
@@ -186,7 +187,7 @@
 	this->zones.assign(eligible.begin(), eligible.end());
 }
 
-bool StewardPicker::IsMineIn(std::string_view inKey, const std::string &inZone) const
+bool PlannerAssignment::IsMineIn(std::string_view inKey, const std::string &inZone) const
 {
 	if (!this->is_candidate)
 		return false;
@@ -195,6 +196,9 @@
 	return zone == this->self_zone && RendezvousOwner(inKey, this->zone_members) == this->self;
 }
 
-bool StewardPicker::IsMine(std::string_view inKey) const { return this->IsMineIn(inKey, std::string(RendezvousOwner(inKey, this->zones))); }
+bool PlannerAssignment::IsMine(std::string_view inKey) const
+{
+	return this->IsMineIn(inKey, std::string(RendezvousOwner(inKey, this->zones)));
+}
 
 } // namespace Loomreach
--- a/Loomreach/Member/PeerTracker.h
+++ b/Loomreach/Member/PeerTracker.h
@@ -12,7 +12,7 @@
 /// Last heartbeat message of a peer, and when it was received.
 struct Peer
 {
-	Digest digest;
+	HeartbeatMessage heartbeat;
 	Millis heard = 0;
 };
 
@@ -29,17 +29,17 @@
 
 	/// Processes a heartbeat message. Fails with replayed if it is not newer than the last one of its incarnation, or if the incarnation
 	/// has been replaced by a live one of the same name.
-	bool Hear(Digest inHeartbeat, Millis inNow);
+	bool Hear(HeartbeatMessage inHeartbeat, Millis inNow);
 	/// Processes the log heartbeats of zones.
 	void HearLog(const FleetState &inState, Millis inNow);
 	/// Whether a zone has written a recent log heartbeat: it reaches the platform even if it is not heard over UDP.
-	bool IsZoneAliveByLog(const std::string &inZone, Millis inNow) const;
+	bool HasRecentLogHeartbeat(const std::string &inZone, Millis inNow) const;
 	/// Returns the peer, or nullptr if it has never been heard.
 	const Peer *Find(const std::string &inName) const;
 	/// Whether a peer was heard within the suspicion time of the own zone.
 	bool IsLive(const std::string &inName, Millis inNow) const;
 	/// Returns the latest heartbeat message from a zone, or nullptr if it is older than the zone's suspicion time.
-	const Digest *LiveDigestOf(const std::string &inZone, Millis inNow) const;
+	const HeartbeatMessage *LatestHeartbeatOf(const std::string &inZone, Millis inNow) const;
 	/// Whether a member of the view is considered live: in the own zone by its own heartbeat messages, in another zone by those of any
 	/// member of that zone.
 	bool IsHeard(const Member &inMember, Millis inNow) const;
@@ -86,19 +86,19 @@
 
 /// Determines the assigned planner of a key: the one entry host that plans for a pool, a host or the membership, by rendezvous hashing.
 /// Every entry host decides this alone. If two decide differently, both plan, and the second proposal is rejected when it is applied.
-class StewardPicker
+class PlannerAssignment
 {
 public:
 	/// `inSelfStopping`: a planned stop has begun, so this entry host is assigned nothing.
-	StewardPicker(const View &inView, const PeerTracker &inTracker, const std::string &inSelf, bool inSelfReachesPlatform,
-				  bool inSelfStopping, Millis inNow);
+	PlannerAssignment(const View &inView, const PeerTracker &inTracker, const std::string &inSelf, bool inSelfReachesPlatform,
+					  bool inSelfStopping, Millis inNow);
 	/// Whether this entry host is the assigned planner of a key, chosen from all availability zones.
 	bool IsMine(std::string_view inKey) const;
 	/// Whether this entry host is the assigned planner of a key that belongs to an availability zone. If that zone has no eligible member,
 	/// the planner is chosen from the other zones.
 	bool IsMineIn(std::string_view inKey, const std::string &inZone) const;
 	/// Availability zones of the view from which no recent heartbeat was received, by message or by log.
-	const std::set<std::string> &SilentZones() const { return this->unresponsive_zones; }
+	const std::set<std::string> &UnresponsiveZones() const { return this->unresponsive_zones; }
 
 private:
 	std::string self;
--- a/Loomreach/Member/ViewPlanner.cpp
+++ b/Loomreach/Member/ViewPlanner.cpp
@@ -17,7 +17,7 @@
 	const Peer *peer = inInputs.tracker.Find(inMember.name);
 	const std::optional<Millis> own_last = inInputs.tracker.IncarnationLastHeard(inMember.incarnation);
 	const bool is_replaced =
-		peer != nullptr && peer->digest.incarnation != inMember.incarnation && inInputs.tracker.IsLive(inMember.name, inInputs.now);
+		peer != nullptr && peer->heartbeat.incarnation != inMember.incarnation && inInputs.tracker.IsLive(inMember.name, inInputs.now);
 	if (is_replaced && own_last.has_value() && inInputs.now - *own_last >= inInputs.suspect_after)
 		return true;
 	const bool same_zone = inMember.availability_zone == inInputs.self.availability_zone;
@@ -46,7 +46,7 @@
 	return false;
 }
 
-bool NeedsLogBeat(const View &inView, const PeerTracker &inTracker, const std::string &inOwnZone, Millis inSilence, Millis inNow)
+bool NeedsLogHeartbeat(const View &inView, const PeerTracker &inTracker, const std::string &inOwnZone, Millis inSilence, Millis inNow)
 {
 	std::set<std::string> zones;
 	for (const auto &[name, member] : inView.members)
--- a/Loomreach/Member/ViewPlanner.h
+++ b/Loomreach/Member/ViewPlanner.h
@@ -41,7 +41,7 @@
 
 /// Whether this entry host's zone should write a log heartbeat: some other zone of the view has not been heard over UDP for `inSilence` ms,
 /// and so may not hear this one either.
-bool NeedsLogBeat(const View &inView, const PeerTracker &inTracker, const std::string &inOwnZone, Millis inSilence, Millis inNow);
+bool NeedsLogHeartbeat(const View &inView, const PeerTracker &inTracker, const std::string &inOwnZone, Millis inSilence, Millis inNow);
 
 /// Returns the change of the view that this entry host should propose, or nothing.
 std::optional<ChangeView> PlanView(const ViewInputs &inInputs);
--- a/Loomreach/Ownership/CellNames.h
+++ b/Loomreach/Ownership/CellNames.h
@@ -38,9 +38,9 @@
 /// (users' figure): six owners in one partition would wait for each other longer than a lease lasts, two do not. The last partition is
 /// for hosts without cells, so that owners do not queue behind them. Every host reads all partitions, so more of them would cost more
 /// reads.
-inline constexpr uint32 cHostParts = 4;
+inline constexpr uint32 cHeartbeatPartitions = 4;
 
 /// One partition of the log of host heartbeats.
-inline LogName HostsLog(uint32 inPart) { return {"keyed.hosts", inPart}; }
+inline LogName HeartbeatLog(uint32 inPart) { return {"keyed.hosts", inPart}; }
 
 } // namespace Loomreach::Jobs
--- a/Loomreach/Ownership/OwnedLog.h
+++ b/Loomreach/Ownership/OwnedLog.h
@@ -39,9 +39,9 @@
 
 	OwnedLog(Log &inLog, LogName inName, HostProcess inProcess);
 
-	/// Reads the log and claims it. `inBeatNumber`: number of the newest heartbeat of this host. `inDone` gets the records that the log
-	/// held.
-	void Claim(uint64 inBeatNumber, const ClaimCheck &inClaimCheck, const OnClaimed &inDone);
+	/// Reads the log and claims it. `inHeartbeatNumber`: number of the newest heartbeat of this host. `inDone` gets the records that the
+	/// log held.
+	void Claim(uint64 inHeartbeatNumber, const ClaimCheck &inClaimCheck, const OnClaimed &inDone);
 	/// Appends, and repeats the append until its outcome is certain. `inDone(false)`: the log has another owner.
 	void Append(const std::vector<LogRecord> &inRecords, const OnAppended &inDone);
 	bool IsBusy() const { return this->busy; }
@@ -63,7 +63,7 @@
 	Log &log;
 	LogName name;
 	HostProcess process; ///< This process.
-	uint64 beat_number = 0;
+	uint64 heartbeat_number = 0;
 	ClaimCheck claim_check;
 	OnClaimed on_claimed;
 	Records records;
--- a/Loomreach/Ownership/OwnedLog.inl
+++ b/Loomreach/Ownership/OwnedLog.inl
@@ -44,9 +44,9 @@
 }
 
 template <JobLog Log>
-void OwnedLog<Log>::Claim(uint64 inBeatNumber, const ClaimCheck &inClaimCheck, const OnClaimed &inDone)
+void OwnedLog<Log>::Claim(uint64 inHeartbeatNumber, const ClaimCheck &inClaimCheck, const OnClaimed &inDone)
 {
-	this->beat_number = inBeatNumber;
+	this->heartbeat_number = inHeartbeatNumber;
 	this->claim_check = inClaimCheck;
 	this->on_claimed = inDone;
 	this->records.clear();
@@ -94,7 +94,7 @@
 	AppendCall call;
 	call.log = this->name;
 	call.keyed = true;
-	call.records.push_back({std::string(cClaimKey), EncodeValue(ClaimRecord{this->process, this->epoch, this->beat_number}), 0});
+	call.records.push_back({std::string(cClaimKey), EncodeValue(ClaimRecord{this->process, this->epoch, this->heartbeat_number}), 0});
 	call.at = this->end;
 	call.producer = Producer{"owner", this->epoch, 0};
 	call.timeout_ms = cAppendTimeoutMs;
--- a/Loomreach/Ownership/OwnerTable.cpp
+++ b/Loomreach/Ownership/OwnerTable.cpp
@@ -15,31 +15,31 @@
 /// Number of hosts that keep a replica: one may be lost together with the owner, or a datagram be lost.
 static constexpr size_t cReplicas = 2;
 
-HostBeat LetGoBeat(HostBeat inBeat, const std::optional<OwnedCell> &inFleet, Millis inOrderMs)
+HostHeartbeat MakeReleaseHeartbeat(HostHeartbeat inHeartbeat, const std::optional<OwnedCell> &inFleet, Millis inOrderMs)
 {
-	inBeat.claims = false;
-	inBeat.cells.clear();
+	inHeartbeat.claims = false;
+	inHeartbeat.cells.clear();
 	if (!inFleet.has_value())
-		return inBeat;
-	inBeat.cells.push_back(*inFleet);
-	inBeat.lease_ms = inOrderMs;
-	return inBeat;
+		return inHeartbeat;
+	inHeartbeat.cells.push_back(*inFleet);
+	inHeartbeat.lease_ms = inOrderMs;
+	return inHeartbeat;
 }
 
-void OwnerTable::OnBeat(const HostBeat &inBeat, Millis inNow)
+void OwnerTable::OnHeartbeat(const HostHeartbeat &inHeartbeat, Millis inNow)
 {
-	HeardHost &heard = this->hosts[inBeat.host];
-	const bool same = heard.beat.life == inBeat.life && heard.beat.number >= inBeat.number;
-	const bool older = heard.beat.life != inBeat.life && heard.beat.start > inBeat.start;
-	if (!heard.beat.host.empty() && (same || older))
+	HeardHost &heard = this->hosts[inHeartbeat.host];
+	const bool same = heard.heartbeat.life == inHeartbeat.life && heard.heartbeat.number >= inHeartbeat.number;
+	const bool older = heard.heartbeat.life != inHeartbeat.life && heard.heartbeat.start > inHeartbeat.start;
+	if (!heard.heartbeat.host.empty() && (same || older))
 		return;
-	const bool unchanged = heard.beat.host == inBeat.host && heard.beat.cells.size() == inBeat.cells.size() &&
-						   heard.beat.claims == inBeat.claims && heard.beat.weight == inBeat.weight;
+	const bool unchanged = heard.heartbeat.host == inHeartbeat.host && heard.heartbeat.cells.size() == inHeartbeat.cells.size() &&
+						   heard.heartbeat.claims == inHeartbeat.claims && heard.heartbeat.weight == inHeartbeat.weight;
 	if (!unchanged)
 		this->successors_at = cNeverComputed;
-	heard.beat = inBeat;
+	heard.heartbeat = inHeartbeat;
 	heard.at = inNow;
-	for (const OwnedCell &cell : inBeat.cells)
+	for (const OwnedCell &cell : inHeartbeat.cells)
 		if (cell.held)
 			this->ever_owned.insert(cell.cell);
 }
@@ -55,7 +55,7 @@
 bool OwnerTable::IsSuperseded(uint32 inCell, uint64 inEpoch) const
 {
 	for (const auto &[name, heard] : this->hosts)
-		for (const OwnedCell &cell : heard.beat.cells)
+		for (const OwnedCell &cell : heard.heartbeat.cells)
 			if (name != this->self && cell.cell == inCell && cell.held && cell.epoch > inEpoch)
 				return true;
 	return false;
@@ -65,9 +65,9 @@
 {
 	std::optional<CellOwner> best;
 	for (const auto &[name, heard] : this->hosts)
-		for (const OwnedCell &cell : heard.beat.cells)
+		for (const OwnedCell &cell : heard.heartbeat.cells)
 			if (cell.cell == inCell && cell.held && (!best.has_value() || cell.epoch > best->epoch))
-				best = CellOwner{name, heard.beat.address, cell.epoch};
+				best = CellOwner{name, heard.heartbeat.address, cell.epoch};
 	return best;
 }
 
@@ -84,8 +84,8 @@
 	const std::optional<CellOwner> owner = this->LastOwnerOf(inCell);
 	std::vector<std::tuple<bool, Millis, Address>> order;
 	for (const auto &[name, heard] : this->hosts)
-		if (name != this->self && heard.beat.claims)
-			order.emplace_back(!owner.has_value() || owner->host != name, -heard.at, heard.beat.address);
+		if (name != this->self && heard.heartbeat.claims)
+			order.emplace_back(!owner.has_value() || owner->host != name, -heard.at, heard.heartbeat.address);
 	std::sort(order.begin(), order.end());
 	std::vector<Address> helpers;
 	helpers.reserve(order.size());
@@ -98,8 +98,8 @@
 {
 	std::vector<Address> others;
 	for (const auto &[name, heard] : this->hosts)
-		if (name != this->self && heard.beat.address.port != 0)
-			others.push_back(heard.beat.address);
+		if (name != this->self && heard.heartbeat.address.port != 0)
+			others.push_back(heard.heartbeat.address);
 	return others;
 }
 
@@ -108,20 +108,21 @@
 	std::vector<IdleHost> idle;
 	for (const auto &[name, heard] : this->hosts)
 	{
-		const HostBeat &beat = heard.beat;
-		if (name != this->self && beat.claims && beat.cells.empty() && !beat.short_of_time && this->IsLive(heard, inNow))
-			idle.push_back({beat.availability_zone, beat.address, beat.life});
+		const HostHeartbeat &heartbeat = heard.heartbeat;
+		if (name != this->self && heartbeat.claims && heartbeat.cells.empty() && !heartbeat.short_of_processor_time &&
+			this->IsLive(heard, inNow))
+			idle.push_back({heartbeat.availability_zone, heartbeat.address, heartbeat.life});
 	}
 	return idle;
 }
 
-uint64 OwnerTable::StartsOf(const std::string &inHost) const
+uint64 OwnerTable::StartCountOf(const std::string &inHost) const
 {
 	auto heard = this->hosts.find(inHost);
-	return heard == this->hosts.end() ? 0 : heard->second.beat.start;
+	return heard == this->hosts.end() ? 0 : heard->second.heartbeat.start;
 }
 
-uint32 OwnerTable::BeatPart(uint32 inPartitions, bool inOwner, Millis inNow) const
+uint32 OwnerTable::HeartbeatPartition(uint32 inPartitions, bool inOwner, Millis inNow) const
 {
 	if (inPartitions < 2)
 		return inPartitions - 1;
@@ -129,7 +130,7 @@
 	uint32 before = 0;
 	for (const auto &[name, heard] : this->hosts)
 	{
-		const bool owns = !heard.beat.cells.empty() && this->IsLive(heard, inNow);
+		const bool owns = !heard.heartbeat.cells.empty() && this->IsLive(heard, inNow);
 		owners += owns ? 1 : 0;
 		before += owns && name < this->self ? 1 : 0;
 	}
@@ -143,19 +144,19 @@
 
 bool OwnerTable::IsLive(const HeardHost &inHeard, Millis inNow) const
 {
-	return inNow - inHeard.at <= std::max(this->LeaseOf(inHeard), cHeartbeatsUntilUnresponsive * inHeard.beat.every_ms);
+	return inNow - inHeard.at <= std::max(this->LeaseOf(inHeard), cHeartbeatsUntilUnresponsive * inHeard.heartbeat.every_ms);
 }
 
-std::vector<std::string> OwnerTable::SilentFor(Millis inMillis, Millis inNow) const
+std::vector<std::string> OwnerTable::UnresponsiveFor(Millis inMillis, Millis inNow) const
 {
 	std::vector<std::string> silent;
 	for (const auto &[name, heard] : this->hosts)
-		if (name != this->self && inNow - heard.at > std::max(inMillis, cHeartbeatsUntilUnresponsive * heard.beat.every_ms))
+		if (name != this->self && inNow - heard.at > std::max(inMillis, cHeartbeatsUntilUnresponsive * heard.heartbeat.every_ms))
 			silent.push_back(name);
 	return silent;
 }
 
-size_t OwnerTable::HostsAtWork(Millis inNow) const
+size_t OwnerTable::LiveHostCount(Millis inNow) const
 {
 	size_t count = 0;
 	for (const auto &[name, heard] : this->hosts)
@@ -172,11 +173,11 @@
 	std::map<std::string_view, uint32> in_zone;
 	for (const auto &[name, heard] : this->hosts)
 	{
-		if (!heard.beat.claims || !this->IsLive(heard, inNow))
+		if (!heard.heartbeat.claims || !this->IsLive(heard, inNow))
 			continue;
-		const double load = static_cast<double>(heard.beat.cells.size() + 1) / std::max<uint32>(heard.beat.weight, 1);
-		order.emplace_back(load, name, heard.beat.availability_zone);
-		in_zone[heard.beat.availability_zone] = 0;
+		const double load = static_cast<double>(heard.heartbeat.cells.size() + 1) / std::max<uint32>(heard.heartbeat.weight, 1);
+		order.emplace_back(load, name, heard.heartbeat.availability_zone);
+		in_zone[heard.heartbeat.availability_zone] = 0;
 	}
 	std::sort(order.begin(), order.end());
 	this->candidate_successors.clear();
@@ -190,29 +191,29 @@
 	return this->candidate_successors;
 }
 
-bool OwnerTable::IsHeir(Millis inNow) const
+bool OwnerTable::IsCandidateSuccessor(Millis inNow) const
 {
 	return !this->hosts.contains(this->self) || this->CandidateSuccessors(inNow).contains(this->self);
 }
 
-std::vector<HostBeat> OwnerTable::OwnersBeats(Millis inNow) const
+std::vector<HostHeartbeat> OwnerTable::OwnerHeartbeats(Millis inNow) const
 {
-	std::vector<HostBeat> beats;
+	std::vector<HostHeartbeat> heartbeats;
 	for (const auto &[name, heard] : this->hosts)
-		if (!heard.beat.cells.empty() && this->IsLive(heard, inNow))
-			beats.push_back(heard.beat);
-	return beats;
+		if (!heard.heartbeat.cells.empty() && this->IsLive(heard, inNow))
+			heartbeats.push_back(heard.heartbeat);
+	return heartbeats;
 }
 
-std::vector<Address> OwnerTable::WellInformed(Millis inNow) const
+std::vector<Address> OwnerTable::FrequentReaders(Millis inNow) const
 {
 	const std::set<std::string> &first = this->CandidateSuccessors(inNow);
 	std::vector<Address> informed;
 	for (const auto &[name, heard] : this->hosts)
 	{
-		const bool reads_often = first.contains(name) || (!heard.beat.cells.empty() && this->IsLive(heard, inNow));
+		const bool reads_often = first.contains(name) || (!heard.heartbeat.cells.empty() && this->IsLive(heard, inNow));
 		if (reads_often && name != this->self)
-			informed.push_back(heard.beat.address);
+			informed.push_back(heard.heartbeat.address);
 	}
 	return informed;
 }
@@ -221,51 +222,51 @@
 {
 	const std::set<std::string> &first = this->CandidateSuccessors(inNow);
 	// Each owner ranks the hosts in an order of its own, which spreads the replicas over them
-	std::map<uint64, const HostBeat *, std::greater<>> order;
+	std::map<uint64, const HostHeartbeat *, std::greater<>> order;
 	for (const auto &[name, heard] : this->hosts)
 	{
-		const bool informed = first.contains(name) || !heard.beat.cells.empty();
-		if (name != this->self && informed && heard.beat.address.port != 0 && this->IsLive(heard, inNow))
-			order.emplace(RendezvousWeight(this->self, name), &heard.beat);
+		const bool informed = first.contains(name) || !heard.heartbeat.cells.empty();
+		if (name != this->self && informed && heard.heartbeat.address.port != 0 && this->IsLive(heard, inNow))
+			order.emplace(RendezvousWeight(this->self, name), &heard.heartbeat);
 	}
 	std::set<std::string_view> zones;
 	auto own = this->hosts.find(this->self);
 	if (own != this->hosts.end())
-		zones.insert(own->second.beat.availability_zone);
+		zones.insert(own->second.heartbeat.availability_zone);
 	std::vector<Address> addresses;
 	// The second pass takes further hosts of the same zones where no other zones are left
 	for (const bool new_zones : {true, false})
-		for (auto &[weight, beat] : order)
+		for (auto &[weight, heartbeat] : order)
 		{
-			if (beat == nullptr || addresses.size() >= cReplicas || (new_zones && !zones.insert(beat->availability_zone).second))
+			if (heartbeat == nullptr || addresses.size() >= cReplicas || (new_zones && !zones.insert(heartbeat->availability_zone).second))
 				continue;
-			addresses.push_back(beat->address);
-			beat = nullptr;
+			addresses.push_back(heartbeat->address);
+			heartbeat = nullptr;
 		}
 	return addresses;
 }
 
 Millis OwnerTable::IdleInterval(Millis inNow) const
 {
-	if (this->IsHeir(inNow))
+	if (this->IsCandidateSuccessor(inNow))
 		return this->tuning.beat_ms;
 	// There is no upper bound: with twice the hosts, each of which reads all the others, the total would be four times as large
-	return std::max(this->tuning.beat_ms, static_cast<Millis>(this->HostsAtWork(inNow)) * this->tuning.idle_interval_per_host_ms);
+	return std::max(this->tuning.beat_ms, static_cast<Millis>(this->LiveHostCount(inNow)) * this->tuning.idle_interval_per_host_ms);
 }
 
 Millis OwnerTable::ReadInterval(bool inOwner, Millis inNow) const
 {
-	if (inOwner || this->IsHeir(inNow))
+	if (inOwner || this->IsCandidateSuccessor(inNow))
 		return this->tuning.min_read_interval_ms;
 	return std::max(this->tuning.min_read_interval_ms,
-					static_cast<Millis>(this->HostsAtWork(inNow)) * this->tuning.read_interval_per_host_ms);
+					static_cast<Millis>(this->LiveHostCount(inNow)) * this->tuning.read_interval_per_host_ms);
 }
 
 uint64 OwnerTable::HighestHeardEpoch(uint32 inCell) const
 {
 	uint64 heard_epoch = 0;
 	for (const auto &[name, heard] : this->hosts)
-		for (const OwnedCell &cell : heard.beat.cells)
+		for (const OwnedCell &cell : heard.heartbeat.cells)
 			if (cell.cell == inCell && cell.held)
 				heard_epoch = std::max(heard_epoch, cell.epoch);
 	return heard_epoch;
@@ -277,7 +278,7 @@
 	auto seen = this->claims.find(inCell);
 	const uint64 newest = std::max(heard_epoch, seen == this->claims.end() ? 0 : seen->second.claim.epoch);
 	for (const auto &[name, heard] : this->hosts)
-		for (const OwnedCell &cell : heard.beat.cells)
+		for (const OwnedCell &cell : heard.heartbeat.cells)
 		{
 			// A host that claimed after it had waited for its lease. An entry without an epoch yet is only about to claim
 			const bool superseded = cell.epoch != 0 && cell.epoch < newest;
@@ -297,12 +298,12 @@
 	auto found = this->hosts.find(claim.by.host);
 	if (found != this->hosts.end())
 	{
-		const HostBeat &newest = found->second.beat;
+		const HostHeartbeat &newest = found->second.heartbeat;
 		// A later process of the host is running: the claimer has ended
 		if (newest.start > claim.by.start)
 			return false;
 		// Sent after the claim and without the cell: the cell was released
-		if (newest.life == claim.by.life && newest.number > claim.beat_number)
+		if (newest.life == claim.by.life && newest.number > claim.heartbeat_number)
 			return false;
 	}
 	// A claim that no heartbeat has listed yet may have been made just now
@@ -311,7 +312,7 @@
 
 bool OwnerTable::IsFirstStart() const
 {
-	return std::all_of(this->hosts.begin(), this->hosts.end(), [](const auto &inHost) { return inHost.second.beat.start <= 1; });
+	return std::all_of(this->hosts.begin(), this->hosts.end(), [](const auto &inHost) { return inHost.second.heartbeat.start <= 1; });
 }
 
 std::map<std::string, OwnerTable::Claimer> OwnerTable::Claimers(Millis inNow, size_t inOwn) const
@@ -319,12 +320,12 @@
 	std::map<std::string, Claimer> claimers;
 	for (const auto &[name, heard] : this->hosts)
 	{
-		if (!heard.beat.claims || !this->IsLive(heard, inNow))
+		if (!heard.heartbeat.claims || !this->IsLive(heard, inNow))
 			continue;
-		const uint64 cells = name == this->self ? inOwn : heard.beat.cells.size();
+		const uint64 cells = name == this->self ? inOwn : heard.heartbeat.cells.size();
 		// A host that ran out of processor time would do so again with the cell that it has just lost
-		const uint64 more = heard.beat.short_of_time ? 1 : 0;
-		claimers[name] = {cells + more, std::max<uint32>(heard.beat.weight, 1), heard.beat.availability_zone};
+		const uint64 more = heard.heartbeat.short_of_processor_time ? 1 : 0;
+		claimers[name] = {cells + more, std::max<uint32>(heard.heartbeat.weight, 1), heard.heartbeat.availability_zone};
 	}
 	return claimers;
 }
@@ -333,7 +334,7 @@
 /// at least three cells to one with none, and never back.
 static constexpr double cHandOverLoadRatio = 0.5;
 
-bool OwnerTable::ShouldGiveOn(size_t inOwn, Millis inNow)
+bool OwnerTable::ShouldHandOver(size_t inOwn, Millis inNow)
 {
 	const std::map<std::string, Claimer> claimers = this->Claimers(inNow, inOwn);
 	auto own = claimers.find(this->self);
@@ -352,7 +353,7 @@
 	return overloaded && inNow - this->overloaded_since >= this->tuning.hand_over_after_ms;
 }
 
-std::vector<uint32> OwnerTable::ToClaim(const std::set<uint32> &inCells, Millis inNow, size_t inOwn)
+std::vector<uint32> OwnerTable::CellsToClaim(const std::set<uint32> &inCells, Millis inNow, size_t inOwn)
 {
 	// Cells of each live host, and those that it would gain from the free cells
 	std::map<std::string, Claimer> claimers = this->Claimers(inNow, inOwn);
--- a/Loomreach/Ownership/OwnerTable.h
+++ b/Loomreach/Ownership/OwnerTable.h
@@ -49,17 +49,17 @@
 };
 
 /// One heartbeat of an entry host.
-struct HostBeat
+struct HostHeartbeat
 {
 	std::string host;
 	uint64 life = 0; ///< Incarnation: differs for each process of the host.
 	/// Start count of the host, which orders its processes: their heartbeats are in several partitions and read in any order.
 	uint64 start = 0;
-	uint64 number = 0;          ///< Sequence number within the incarnation.
-	Address address;            ///< For questions from other entry hosts.
-	uint32 weight = 1;          ///< Processor capacity of the host, thousandths of a core: larger hosts take more cells.
-	bool claims = true;         ///< Whether the host takes cells; false while it stops.
-	bool short_of_time = false; ///< Whether it ran out of processor time recently: it then counts as owner of one cell more.
+	uint64 number = 0;                    ///< Sequence number within the incarnation.
+	Address address;                      ///< For questions from other entry hosts.
+	uint32 weight = 1;                    ///< Processor capacity of the host, thousandths of a core: larger hosts take more cells.
+	bool claims = true;                   ///< Whether the host takes cells; false while it stops.
+	bool short_of_processor_time = false; ///< Whether it ran out of processor time recently: it then counts as owner of one cell more.
 	std::string availability_zone;
 	Millis every_ms = 0; ///< Time until its next heartbeat is due.
 	Millis lease_ms = 0; ///< Lease that this heartbeat renews; 0: the longest.
@@ -68,15 +68,15 @@
 	template <class Archive>
 	void serialize(Archive &ioArchive)
 	{
-		ioArchive(this->host, this->life, this->start, this->number, this->address, this->weight, this->claims, this->short_of_time,
-				  this->availability_zone, this->every_ms, this->lease_ms, this->cells);
+		ioArchive(this->host, this->life, this->start, this->number, this->address, this->weight, this->claims,
+				  this->short_of_processor_time, this->availability_zone, this->every_ms, this->lease_ms, this->cells);
 	}
 };
 
 /// Heartbeat of a host that cannot reach the store and has released its cells. It does not claim: as long as its last heartbeat makes it
 /// appear live, the others would wait 350 ms for its turn (three owners that the store refused at the same time left their cells without
 /// an owner for 0.6 to 1.4 s). `inFleet`: the fleet cell, while an order to a host may be in flight; it becomes free after `inOrderMs`.
-HostBeat LetGoBeat(HostBeat inBeat, const std::optional<OwnedCell> &inFleet, Millis inOrderMs);
+HostHeartbeat MakeReleaseHeartbeat(HostHeartbeat inHeartbeat, const std::optional<OwnedCell> &inFleet, Millis inOrderMs);
 
 /// Identifies one process of an entry host.
 struct HostProcess
@@ -98,12 +98,12 @@
 	HostProcess by;
 	uint64 epoch = 0;
 	/// Number of the newest heartbeat of the host when it began to claim: every later one lists the cell until the host releases it.
-	uint64 beat_number = 0;
+	uint64 heartbeat_number = 0;
 
 	template <class Archive>
 	void serialize(Archive &ioArchive)
 	{
-		ioArchive(this->by, this->epoch, this->beat_number);
+		ioArchive(this->by, this->epoch, this->heartbeat_number);
 	}
 };
 
@@ -132,7 +132,7 @@
 	OwnerTable(std::string inHost, const LeaseTuning &inTuning) : self(std::move(inHost)), tuning(inTuning) {}
 
 	/// Records a heartbeat that was read.
-	void OnBeat(const HostBeat &inBeat, Millis inNow);
+	void OnHeartbeat(const HostHeartbeat &inHeartbeat, Millis inNow);
 	/// Records a claim that was read in the cell's own log.
 	void OnClaimSeen(uint32 inCell, const ClaimRecord &inClaim, Millis inNow);
 	/// Whether another host is known to own the cell with an epoch higher than `inEpoch`.
@@ -149,26 +149,26 @@
 	/// Addresses of all other hosts ever heard of.
 	std::vector<Address> Others() const;
 	/// Other hosts that have not been heard for `inMillis`, nor for three of their own heartbeat intervals.
-	std::vector<std::string> SilentFor(Millis inMillis, Millis inNow) const;
+	std::vector<std::string> UnresponsiveFor(Millis inMillis, Millis inNow) const;
 	/// Call when the heartbeats of a host have been removed from the log: it counts as unknown until its next heartbeat.
 	void Forget(const std::string &inHost) { this->hosts.erase(inHost); }
 	/// Number of hosts known to be live, including this one.
-	size_t HostsAtWork(Millis inNow) const;
+	size_t LiveHostCount(Millis inNow) const;
 	/// Start count of a host in its newest heartbeat; 0 if it is unknown.
-	uint64 StartsOf(const std::string &inHost) const;
+	uint64 StartCountOf(const std::string &inHost) const;
 	/// Partition for the heartbeats of this host: the last for hosts without cells, the others shared evenly by the owners that are
 	/// known.
-	uint32 BeatPart(uint32 inPartitions, bool inOwner, Millis inNow) const;
+	uint32 HeartbeatPartition(uint32 inPartitions, bool inOwner, Millis inNow) const;
 	/// Heartbeat interval of a host without cells. Grows with the number of hosts, to stay within the rates of the store.
 	Millis IdleInterval(Millis inNow) const;
 	/// Interval at which a host reads the heartbeats of the others.
 	Millis ReadInterval(bool inOwner, Millis inNow) const;
 	/// Whether this host is a candidate successor: one of the first to take over a cell.
-	bool IsHeir(Millis inNow) const;
+	bool IsCandidateSuccessor(Millis inNow) const;
 	/// Newest heartbeats of the live hosts that own cells.
-	std::vector<HostBeat> OwnersBeats(Millis inNow) const;
+	std::vector<HostHeartbeat> OwnerHeartbeats(Millis inNow) const;
 	/// Other hosts that read all heartbeats often: owners and candidate successors.
-	std::vector<Address> WellInformed(Millis inNow) const;
+	std::vector<Address> FrequentReaders(Millis inNow) const;
 	/// Other hosts to keep replicas of what this host knows and no log contains yet: owners or candidate successors, in different zones
 	/// where possible.
 	std::vector<Address> ReplicaHosts(Millis inNow) const;
@@ -178,24 +178,24 @@
 	/// this one, relative to size. Otherwise small hosts that took cells while the large ones were unavailable would keep them for good:
 	/// one with 10 Mbit/s held a busy cell for 34 s, during which its jobs took 14 s and more and its long-running tasks made no
 	/// progress.
-	bool ShouldGiveOn(size_t inOwn, Millis inNow);
+	bool ShouldHandOver(size_t inOwn, Millis inNow);
 
 	/// Of the given cells, those to claim now. Every host computes the same ranking of hosts for a cell from the same heartbeats: the
 	/// fewest cells relative to size first; among equals candidate successors, then hosts in zones with the fewest cells. The first
 	/// claims immediately, each next one a little later.
 	/// `inOwn`: cells that this host owns or is claiming now; its own heartbeat in the log may not list them yet.
-	std::vector<uint32> ToClaim(const std::set<uint32> &inCells, Millis inNow, size_t inOwn = 0);
-	/// Why the last ToClaim chose its cells, for the log.
-	std::string_view ClaimText() const { return this->claim_reasons; }
+	std::vector<uint32> CellsToClaim(const std::set<uint32> &inCells, Millis inNow, size_t inOwn = 0);
+	/// Why the last CellsToClaim chose its cells, for the log.
+	std::string_view ClaimReasons() const { return this->claim_reasons; }
 	/// Restarts the wait for a cell after a lost claim.
-	void PutOff(uint32 inCell, Millis inNow) { this->free_since[inCell] = inNow; }
+	void RestartClaimWait(uint32 inCell, Millis inNow) { this->free_since[inCell] = inNow; }
 
 private:
 	static constexpr Millis cNeverComputed = std::numeric_limits<Millis>::min() / 2;
 	/// The newest heartbeat of a host, and when it was first read.
 	struct HeardHost
 	{
-		HostBeat beat;
+		HostHeartbeat heartbeat;
 		Millis at = 0;
 	};
 	/// A claim, and when it was first read.
@@ -205,7 +205,10 @@
 		Millis at = 0;
 	};
 	/// How long a challenger waits after it first read this heartbeat.
-	Millis LeaseOf(const HeardHost &inHeard) const { return inHeard.beat.lease_ms > 0 ? inHeard.beat.lease_ms : this->tuning.lease_ms; }
+	Millis LeaseOf(const HeardHost &inHeard) const
+	{
+		return inHeard.heartbeat.lease_ms > 0 ? inHeard.heartbeat.lease_ms : this->tuning.lease_ms;
+	}
 	bool IsLive(const HeardHost &inHeard, Millis inNow) const;
 	/// A host that takes cells, as ranked for claims.
 	struct Claimer
--- a/Loomreach/Ownership/StoreBudget.cpp
+++ b/Loomreach/Ownership/StoreBudget.cpp
@@ -18,7 +18,7 @@
 	return inAmount * cMillisPerSecond / allowed;
 }
 
-Millis StoreBudget::RoundGap(size_t inHosts, uint32 inCalls) const
+Millis StoreBudget::RoundInterval(size_t inHosts, uint32 inCalls) const
 {
 	return TimeFor(static_cast<int64>(inHosts) * inCalls, this->limits.reads_per_s, cSharePercent);
 }
--- a/Loomreach/Ownership/StoreBudget.h
+++ b/Loomreach/Ownership/StoreBudget.h
@@ -24,7 +24,7 @@
 	explicit StoreBudget(const StoreLimits &inLimits) : limits(inLimits) {}
 
 	/// Time between two rounds of `inCalls` reads, made by each of `inHosts` hosts, ms.
-	Millis RoundGap(size_t inHosts, uint32 inCalls) const;
+	Millis RoundInterval(size_t inHosts, uint32 inCalls) const;
 	/// Time over which `inHosts` hosts should spread their reads of the same `inBytes`, ms.
 	Millis Spread(size_t inHosts, size_t inBytes) const;
 
--- a/Loomreach/Platform/HttpClient.cpp
+++ b/Loomreach/Platform/HttpClient.cpp
@@ -283,7 +283,7 @@
 	const curl_socket_t opened = socket(inAddress->family, inAddress->socktype | SOCK_CLOEXEC, inAddress->protocol);
 	if (opened < 0)
 		return CURL_SOCKET_BAD;
-	CareFor(opened);
+	SetKeepAliveOptions(opened);
 	const linger at_once{1, 0};
 	if (pending->client->on_close == EClose::Discard)
 		setsockopt(opened, SOL_SOCKET, SO_LINGER, &at_once, sizeof at_once);
--- a/Loomreach/Platform/HttpClient.h
+++ b/Loomreach/Platform/HttpClient.h
@@ -9,9 +9,9 @@
 // the answers that arrived meanwhile, and decide without them. Here the sockets are read first, and only calls still unanswered time out.
 //
 // A connection may become unresponsive for good, without a reset, while new ones work. Once an answer over a kept connection is overdue
-// (see PeerTrust), the idle connections to that address are shut down, which libcurl notices before it uses one, and waiting calls
-// (long-polling reads and polls of workers) are sent again over new connections. The overdue call itself keeps its timeout: it may still be
-// answered, and a change is not sent twice merely because it is slow.
+// (see ResponseTimeTracker), the idle connections to that address are shut down, which libcurl notices before it uses one, and waiting
+// calls (long-polling reads and polls of workers) are sent again over new connections. The overdue call itself keeps its timeout: it may
+// still be answered, and a change is not sent twice merely because it is slow.
 
 #pragma once
 
@@ -82,7 +82,7 @@
 	struct Peer
 	{
 		std::string address;
-		PeerTrust response_times;
+		ResponseTimeTracker response_times;
 		std::set<curl_socket_t> idle_sockets; ///< Kept connections that no call uses.
 	};
 	/// Peer of an open socket, and the call that uses it, if any.
--- a/Loomreach/Platform/KeepAlive.cpp
+++ b/Loomreach/Platform/KeepAlive.cpp
@@ -20,7 +20,7 @@
 /// lost packet, 200 ms and 600 ms after it.
 static constexpr unsigned cMaxUnacknowledgedMs = 1000;
 
-void CareFor(int inSocket)
+void SetKeepAliveOptions(int inSocket)
 {
 	const int yes = 1;
 	setsockopt(inSocket, SOL_SOCKET, SO_KEEPALIVE, &yes, sizeof yes);
--- a/Loomreach/Platform/KeepAlive.h
+++ b/Loomreach/Platform/KeepAlive.h
@@ -10,6 +10,6 @@
 {
 
 /// Makes the system probe the connection when it is idle, and close it when sent data or probes stay unacknowledged.
-void CareFor(int inSocket);
+void SetKeepAliveOptions(int inSocket);
 
 } // namespace Loomreach
--- a/Loomreach/Platform/ResponseTimeTracker.cpp
+++ b/Loomreach/Platform/ResponseTimeTracker.cpp
@@ -16,42 +16,42 @@
 static constexpr double cSlowerWeight = 0.5;         ///< Weight of a slower answer in the average: it must adapt to a slow server soon.
 static constexpr double cFasterWeight = 0.1;         ///< Weight of a faster answer.
 
-Millis PeerTrust::AnswerTimeout() const
+Millis ResponseTimeTracker::AnswerTimeout() const
 {
 	return std::max(cMinAnswerTimeoutMs, static_cast<Millis>(this->typical_ms * cAnswerTimeoutFactor));
 }
 
-void PeerTrust::OnSent(Key inCall, Millis inWaitMs, Millis inNow)
+void ResponseTimeTracker::OnSent(Key inCall, Millis inWaitMs, Millis inNow)
 {
 	this->OnOver(inCall);
 	this->expected.emplace_back(inNow + inWaitMs + this->AnswerTimeout(), inCall);
 }
 
-void PeerTrust::OnAnswered(Millis inTookMs)
+void ResponseTimeTracker::OnAnswered(Millis inTookMs)
 {
 	const double difference = static_cast<double>(inTookMs) - this->typical_ms;
 	this->typical_ms += difference * (difference > 0 ? cSlowerWeight : cFasterWeight);
 }
 
-void PeerTrust::OnOver(Key inCall)
+void ResponseTimeTracker::OnOver(Key inCall)
 {
 	std::erase_if(this->expected, [inCall](const auto &inExpected) { return inExpected.second == inCall; });
 }
 
-void PeerTrust::OnGivenUp()
+void ResponseTimeTracker::OnGivenUp()
 {
 	this->expected.clear();
 	const double increased = std::min(static_cast<double>(this->AnswerTimeout()) * cBackoff, static_cast<double>(cMaxBackoffMs));
 	this->typical_ms = std::max(this->typical_ms, increased / cAnswerTimeoutFactor);
 }
 
-bool PeerTrust::IsExpected(Key inCall) const
+bool ResponseTimeTracker::IsExpected(Key inCall) const
 {
 	return std::any_of(this->expected.begin(), this->expected.end(),
 					   [inCall](const auto &inExpected) { return inExpected.second == inCall; });
 }
 
-std::optional<Millis> PeerTrust::OverdueAt() const
+std::optional<Millis> ResponseTimeTracker::OverdueAt() const
 {
 	std::optional<Millis> first;
 	for (const auto &[at, call] : this->expected)
--- a/Loomreach/Platform/ResponseTimeTracker.h
+++ b/Loomreach/Platform/ResponseTimeTracker.h
@@ -12,7 +12,7 @@
 {
 
 /// Response times of one address, and the answers that are expected from it.
-class PeerTrust
+class ResponseTimeTracker
 {
 public:
 	/// Identifies a call in flight.
--- a/Loomreach/Request/EndpointTable.cpp
+++ b/Loomreach/Request/EndpointTable.cpp
@@ -175,7 +175,7 @@
 		this->endpoints.erase(inHost);
 }
 
-void EndpointTable::SawLeaving(const std::string &inHost, Millis inNow)
+void EndpointTable::RecordLeaving(const std::string &inHost, Millis inNow)
 {
 	if (Endpoint *endpoint = this->Find(inHost); endpoint != nullptr)
 		endpoint->leaving_until = inNow + cLeavingRememberedMs;
--- a/Loomreach/Request/EndpointTable.h
+++ b/Loomreach/Request/EndpointTable.h
@@ -62,7 +62,7 @@
 	/// Records the end of an attempt. The endpoint may have been removed from the table meanwhile.
 	void Ended(const std::string &inHost, bool inLong, EAttempt inResult, Millis inNow);
 	/// Records that the endpoint has answered that it is leaving.
-	void SawLeaving(const std::string &inHost, Millis inNow);
+	void RecordLeaving(const std::string &inHost, Millis inNow);
 	/// The endpoint of a host, or nullptr.
 	Endpoint *Find(const std::string &inHost);
 	/// All endpoints by host.
--- a/Loomreach/Request/IdWindow.cpp
+++ b/Loomreach/Request/IdWindow.cpp
@@ -14,7 +14,7 @@
 
 std::string IdWindow::IssuedKey(uint64 inSequence) { return std::string(cIssuedPrefix) + std::to_string(inSequence); }
 
-IdVerdict IdWindow::Begin(Record &ioRecord)
+IdUseResult IdWindow::Begin(Record &ioRecord)
 {
 	if (ioRecord.answer.has_value())
 		return {EIdUse::Answered, &*ioRecord.answer};
@@ -24,14 +24,14 @@
 	return {EIdUse::MayRun, nullptr};
 }
 
-IdVerdict IdWindow::BeginIssued(uint64 inSequence)
+IdUseResult IdWindow::BeginIssued(uint64 inSequence)
 {
 	if (inSequence == 0 || inSequence > this->last_issued || inSequence <= this->forgotten_up_to)
 		return {EIdUse::Forgotten, nullptr};
-	const IdVerdict verdict = this->Begin(this->issued[inSequence]);
+	const IdUseResult outcome = this->Begin(this->issued[inSequence]);
 	if (this->issued.size() > cMaxIds)
 		this->ForgetOldest();
-	return verdict;
+	return outcome;
 }
 
 void IdWindow::ForgetOldest()
@@ -44,7 +44,7 @@
 	this->issued.erase(oldest);
 }
 
-IdVerdict IdWindow::BeginOwn(const std::string &inId)
+IdUseResult IdWindow::BeginOwn(const std::string &inId)
 {
 	auto found = this->own.find(inId);
 	if (found == this->own.end())
--- a/Loomreach/Request/IdWindow.h
+++ b/Loomreach/Request/IdWindow.h
@@ -26,7 +26,7 @@
 };
 
 /// The result for one id.
-struct IdVerdict
+struct IdUseResult
 {
 	EIdUse use = EIdUse::Forgotten;
 	const KeptAnswer *answer = nullptr; ///< With Answered: the answer, valid until the next call.
@@ -43,9 +43,9 @@
 	/// The next sequence number to issue.
 	uint64 Issue() { return ++this->last_issued; }
 	/// Takes an issued id to run its request. MayRun marks it as begun.
-	IdVerdict BeginIssued(uint64 inSequence);
+	IdUseResult BeginIssued(uint64 inSequence);
 	/// Takes an id that a caller chose and this host has claimed, to run its request. MayRun marks it as begun.
-	IdVerdict BeginOwn(const std::string &inId);
+	IdUseResult BeginOwn(const std::string &inId);
 	/// Whether there is a record of an id that a caller chose.
 	bool KnowsOwn(const std::string &inId) const { return this->own.count(inId) != 0; }
 	/// Adds a record of an id that a caller chose and that is about to be claimed. False, with the error not-accepted, when the table is
@@ -66,7 +66,7 @@
 		std::optional<KeptAnswer> answer;
 	};
 
-	IdVerdict Begin(Record &ioRecord);
+	IdUseResult Begin(Record &ioRecord);
 	Record *FindKey(const std::string &inKey);
 	void ForgetOldest();
 
--- a/Loomreach/Request/ShareUpdate.cpp
+++ b/Loomreach/Request/ShareUpdate.cpp
@@ -8,10 +8,10 @@
 namespace Loomreach
 {
 
-std::unordered_map<uint32, uint32> DemandByService(const Digest &inDigest)
+std::unordered_map<uint32, uint32> DemandByService(const HeartbeatMessage &inHeartbeat)
 {
 	std::unordered_map<uint32, uint32> table;
-	for (const ServiceDemand &entry : inDigest.demands)
+	for (const ServiceDemand &entry : inHeartbeat.demands)
 		table[entry.service] = entry.requests;
 	return table;
 }
--- a/Loomreach/Request/ShareUpdate.h
+++ b/Loomreach/Request/ShareUpdate.h
@@ -18,7 +18,7 @@
 };
 
 /// The demands in a heartbeat message, by service.
-std::unordered_map<uint32, uint32> DemandByService(const Digest &inDigest);
+std::unordered_map<uint32, uint32> DemandByService(const HeartbeatMessage &inHeartbeat);
 
 /// Computes the limits of all endpoints in the own zone, and of those elsewhere that have requests in flight, with the policy in use.
 void UpdateLimits(Dispatcher &ioDispatcher, const std::string &inOwnZone, std::span<const MemberDemand> inMembers);
--- a/Loomreach/Request/SlotShare.h
+++ b/Loomreach/Request/SlotShare.h
@@ -41,7 +41,7 @@
 };
 
 /// Every entry host may use all slots, and the worker refuses requests for which it has none.
-struct EndpointRefusal
+struct UnlimitedSlotShare
 {
 	static uint32 Limit(const ShareInput &inInput) { return inInput.slots; }
 };
--- a/Loomreach/Schedule/Cell.cpp
+++ b/Loomreach/Schedule/Cell.cpp
@@ -170,7 +170,7 @@
 			it = this->jobs.erase(it);
 			continue;
 		}
-		TakeCases(job.crashes, std::exchange(job.crash_cases, {}));
+		MergeCrashCases(job.crashes, std::exchange(job.crash_cases, {}));
 		job.logged_phase = job.record.phase;
 		job.appending_phase = job.logged_phase;
 		job.arrived_at = inNow;
@@ -409,7 +409,7 @@
 		.Field("lasting", job.spec.steps[0].lasting ? 1 : 0)
 		.Field("fills", job.spec.steps.back().fills ? 1 : 0)
 		.Field("target_ms", job.spec.steps[0].target_ms)
-		.Field("may_miss", job.spec.steps[0].limits_misses ? static_cast<int64>(job.spec.steps[0].may_miss) : -1)
+		.Field("may_miss", job.spec.steps[0].limits_unavailable ? static_cast<int64>(job.spec.steps[0].may_miss) : -1)
 		.Field("offset", inOffset)
 		.Field("age_ms", inWallNow - job.spec.accepted_wall_ms);
 }
@@ -472,7 +472,7 @@
 		if (job.crashes_logged)
 		{
 			outBatch.push_back({cCrashKey + id, EncodeValue(job.crashes)});
-			outBatch.push_back({cCrashCaseKey + id, EncodeValue(CasesOf(job.crashes))});
+			outBatch.push_back({cCrashCaseKey + id, EncodeValue(ExtractCrashCases(job.crashes))});
 		}
 		outBatch.push_back({cStateKey + id, EncodeValue(job.record)});
 		bytes += outBatch.back().value.size();
@@ -572,7 +572,7 @@
 
 void Cell::OnEndsLogged(CellWorker &ioWorker)
 {
-	std::vector<EndedRow> &previous = ioWorker.previous_ends.rows;
+	std::vector<EndedRun> &previous = ioWorker.previous_ends.rows;
 	previous.erase(previous.begin(),
 				   previous.begin() + static_cast<std::ptrdiff_t>(std::exchange(ioWorker.previous_ends.appending_count, 0)));
 	if (ioWorker.appending_seq <= ioWorker.logged_seq)
@@ -580,7 +580,7 @@
 	ioWorker.ends_logged_at = this->now;
 	this->run_events.Logged(ioWorker.entry.id, ioWorker.logged_seq + 1, ioWorker.appending_seq);
 	ioWorker.logged_seq = ioWorker.appending_seq;
-	std::erase_if(ioWorker.unlogged_ends, [&ioWorker](const EndedRow &inRow) { return inRow.number <= ioWorker.logged_seq; });
+	std::erase_if(ioWorker.unlogged_ends, [&ioWorker](const EndedRun &inRow) { return inRow.number <= ioWorker.logged_seq; });
 }
 
 void Cell::OnAppended(Millis inNow)
@@ -658,9 +658,9 @@
 	return true;
 }
 
-CellFigures Cell::Figures() const
+CellCounts Cell::Figures() const
 {
-	CellFigures figures;
+	CellCounts figures;
 	figures.jobs = this->jobs.size();
 	figures.active = this->active.size();
 	for (const auto &[id, worker] : this->workers)
--- a/Loomreach/Schedule/Cell.h
+++ b/Loomreach/Schedule/Cell.h
@@ -36,7 +36,7 @@
 };
 
 /// Counts of a cell for metrics.
-struct CellFigures
+struct CellCounts
 {
 	size_t jobs = 0;
 	size_t active = 0;
@@ -74,7 +74,7 @@
 	/// Ends that workers have reported and the log lacks. When this owner is lost, only its successor can record them.
 	std::vector<EndReport> UnloggedEnds() const;
 	/// Next update for the hosts that replicate this cell's ends. Call after answers and appends, before waiting, until it returns nothing.
-	std::optional<EndsUpdate> TakeEndsUpdate(Millis inNow) { return this->replicator.Take(inNow); }
+	std::optional<RunEndsUpdate> TakeEndsUpdate(Millis inNow) { return this->replicator.Take(inNow); }
 	/// Inbox records before this position have been removed unread.
 	void SkipInbox(uint64 inFirst) { this->inbox_next = std::max(this->inbox_next, inFirst); }
 	/// Position from which to read the inbox.
@@ -116,7 +116,7 @@
 	void Retire() { this->retiring = true; }
 	/// Whether a successor may take over at once: all reported ends are in the log, and no drain grant is in force.
 	bool CanHandOver(Millis inNow) const;
-	CellFigures Figures() const;
+	CellCounts Figures() const;
 	/// Whether the last planning pass found too little capacity for some task.
 	bool IsShort() const { return !this->capacity_rejects.empty(); }
 	/// Whether the next append has something to write.
@@ -286,13 +286,13 @@
 	/// Whether other workers were lost at the same time for a reason that is no task's fault: in the same rack, or without a recent start.
 	bool IsChanceCrash(const CellWorker &inWorker) const;
 	/// What is known of another suspect of a crash.
-	ERival JudgeSuspect(const CrashRival &inRival);
+	ESuspectState JudgeSuspect(const CrashSuspect &inSuspect);
 	/// Current weight of a task's crashes.
-	CrashWeight WeightOf(const TaskCrashes &inCrashes);
+	CrashSummary WeightOf(const TaskCrashes &inCrashes);
 	/// Whether any task of a unit has survived its start or is done.
 	bool HasSurvivedStart(const CellJob &inJob, uint64 inUnit) const;
 	/// Units of the runs other than `inRun` that may have crashed a worker. Tasks of its own unit count as the same suspect.
-	std::vector<CrashRival> OtherSuspects(const std::vector<RunId> &inSuspects, const RunId &inRun);
+	std::vector<CrashSuspect> OtherSuspects(const std::vector<RunId> &inSuspects, const RunId &inRun);
 	/// Fails the job of a task that crashes its workers.
 	void FailCrashingJob(CellJob &ioJob, TaskCrashes &ioCrashes, Millis inNow);
 	/// Delays a task until the other suspects are decided on, at most for a fixed time.
@@ -311,7 +311,7 @@
 	bool NeedsTrial(const TaskId &inTask);
 
 	// CellEnds.cpp
-	void OnEnded(CellWorker &ioWorker, const EndedRow &inRow, Millis inNow);
+	void OnEnded(CellWorker &ioWorker, const EndedRun &inRow, Millis inNow);
 	void RecordProgress(CellWorker &ioWorker, const RunId &inRun, const Run &inProgress, Millis inNow);
 	/// Learns from the run time of a complete run.
 	void LearnRun(CellWorker &ioWorker, CellJob &ioJob, const TaskId &inTask, Millis inDuration, Millis inNow);
@@ -326,11 +326,11 @@
 	void IngestEnds(const EndReport &inReport, Millis inNow);
 	void LogEnd(const CellWorker &inWorker, const RunId &inId, const Run &inRun, ERunEnd inEnd, std::string_view inWhy, uint64 inNumber);
 	/// Applies ends from any source. Only polls of the current incarnation determine which ends the worker may drop.
-	void ApplyEnds(CellWorker &ioWorker, const std::vector<EndedRow> &inEnded, Millis inNow);
+	void ApplyEnds(CellWorker &ioWorker, const std::vector<EndedRun> &inEnded, Millis inNow);
 	/// Applies ends from a poll, which no other host knows yet, and replicates them.
-	void ApplyPolledEnds(CellWorker &ioWorker, const std::vector<EndedRow> &inEnded, Millis inNow);
-	void LogUnmatched(const EndedRow &inRow);
-	void LogUnknownRun(const CellWorker &inWorker, const RunningRow &inRow, Millis inSentAt);
+	void ApplyPolledEnds(CellWorker &ioWorker, const std::vector<EndedRun> &inEnded, Millis inNow);
+	void LogUnmatched(const EndedRun &inRow);
+	void LogUnknownRun(const CellWorker &inWorker, const RunningRun &inRow, Millis inSentAt);
 	void FinishTask(CellJob &ioJob, const TaskId &inTask);
 	void CountFailure(CellJob &ioJob, const TaskId &inTask, uint32 inRun);
 	void CloseIfEnded(CellJob &ioJob);
@@ -345,8 +345,8 @@
 	WorkerLeases leases;
 	uint64 epoch = 0;
 	uint64 incarnations_begun = 0; ///< Incarnations of workers that replaced a known one.
-	CellTrail run_events;
-	EndReplicator replicator;
+	RunEventLog run_events;
+	RunEndReplicator replicator;
 	std::shared_ptr<const Catalogue> catalogue;
 	std::map<std::string, CellJob> jobs;
 	std::set<std::string> active; ///< Jobs whose phase is not final.
@@ -360,7 +360,7 @@
 	std::map<std::string, CellWorker> workers;
 	std::set<std::string> evacuated_zones;    ///< See SetEvacuated.
 	std::vector<std::string> removed_workers; ///< Workers whose records are to be removed from the log.
-	TeamUse teams;                            ///< Invariant: includes every run of the workers.
+	TeamUsage teams;                          ///< Invariant: includes every run of the workers.
 	std::set<std::string> teams_at_limit;     ///< Teams whose limit stopped a task in the last planning pass.
 	std::string planned_text;                 ///< Runs planned for the current unit, for the log line: task.run@worker.
 	Millis planned_answer_age = 0;            ///< Age of the oldest answer of their workers.
--- a/Loomreach/Schedule/CellCrashes.cpp
+++ b/Loomreach/Schedule/CellCrashes.cpp
@@ -318,38 +318,38 @@
 	return false;
 }
 
-ERival Cell::JudgeSuspect(const CrashRival &inRival)
+ESuspectState Cell::JudgeSuspect(const CrashSuspect &inSuspect)
 {
-	const CellJob *job = this->FindJob(inRival.job);
-	if (job == nullptr || inRival.unit >= job->record.steps.size())
-		return ERival::Open;
+	const CellJob *job = this->FindJob(inSuspect.job);
+	if (job == nullptr || inSuspect.unit >= job->record.steps.size())
+		return ESuspectState::Open;
 	const bool proved =
 		std::any_of(job->crashes.begin(), job->crashes.end(),
-					[&inRival](const auto &inCounted) { return inCounted.first.first == inRival.unit && inCounted.second.proved; });
+					[&inSuspect](const auto &inCounted) { return inCounted.first.first == inSuspect.unit && inCounted.second.proved; });
 	if (proved)
-		return ERival::Proved;
-	return this->HasSurvivedStart(*job, inRival.unit) ? ERival::Cleared : ERival::Open;
+		return ESuspectState::Proved;
+	return this->HasSurvivedStart(*job, inSuspect.unit) ? ESuspectState::Cleared : ESuspectState::Open;
 }
 
-CrashWeight Cell::WeightOf(const TaskCrashes &inCrashes)
+CrashSummary Cell::WeightOf(const TaskCrashes &inCrashes)
 {
-	return WeighCrashes(inCrashes, [this](const CrashRival &inRival) { return this->JudgeSuspect(inRival); });
+	return SummarizeCrashes(inCrashes, [this](const CrashSuspect &inSuspect) { return this->JudgeSuspect(inSuspect); });
 }
 
-std::vector<CrashRival> Cell::OtherSuspects(const std::vector<RunId> &inSuspects, const RunId &inRun)
+std::vector<CrashSuspect> Cell::OtherSuspects(const std::vector<RunId> &inSuspects, const RunId &inRun)
 {
-	std::vector<CrashRival> rivals;
+	std::vector<CrashSuspect> suspects;
 	const auto unit_of = [this](const TaskId &inTask) -> uint64 { return this->FindJob(inTask.job)->Unit(inTask.round, inTask.step); };
 	for (const RunId &other : inSuspects)
 	{
 		if (this->OpenJobOf(other.task) == nullptr)
 			continue;
-		CrashRival rival{other.task.job, unit_of(other.task)};
-		const bool is_own = rival.job == inRun.task.job && rival.unit == unit_of(inRun.task);
-		if (!is_own && std::find(rivals.begin(), rivals.end(), rival) == rivals.end())
-			rivals.push_back(std::move(rival));
+		CrashSuspect suspect{other.task.job, unit_of(other.task)};
+		const bool is_own = suspect.job == inRun.task.job && suspect.unit == unit_of(inRun.task);
+		if (!is_own && std::find(suspects.begin(), suspects.end(), suspect) == suspects.end())
+			suspects.push_back(std::move(suspect));
 	}
-	return rivals;
+	return suspects;
 }
 
 bool Cell::CountCrash(CellWorker &ioWorker, const RunId &inRun, const std::vector<RunId> &inSuspects, bool inChance, Millis inNow)
@@ -366,22 +366,22 @@
 	crashes.at_once += at_once ? 1 : 0;
 	crashes.cases.push_back({!tells_nothing, at_once, inChance, this->OtherSuspects(inSuspects, inRun)});
 	this->MarkChanged(job);
-	const CrashWeight weight = this->WeightOf(crashes);
+	const CrashSummary weight = this->WeightOf(crashes);
 	const bool only_suspect = inSuspects.size() == 1;
 	// Recent crashes without a recent start suggest that this one is random as well
-	CrashDoubts doubts;
-	doubts.workers_crash =
+	ChanceIndicators indicators;
+	indicators.workers_crash =
 		std::any_of(this->recent_losses.begin(), this->recent_losses.end(), [](const WorkerLoss &inLost) { return !inLost.just_started; });
-	doubts.unit_is_sound = this->HasSurvivedStart(job, job.Unit(inRun.task.round, inRun.task.step));
-	const bool proved = only_suspect && at_once && IsCrasherProved(weight, doubts);
+	indicators.unit_is_sound = this->HasSurvivedStart(job, job.Unit(inRun.task.round, inRun.task.step));
+	const bool proved = only_suspect && at_once && IsCrashCauseProved(weight, indicators);
 	// The proof may depend on other suspects whose trial runs are outstanding
-	CrashWeight cleared = weight;
+	CrashSummary cleared = weight;
 	cleared.sole = cleared.at_once;
-	if (only_suspect && at_once && !proved && IsCrasherProved(cleared, doubts))
+	if (only_suspect && at_once && !proved && IsCrashCauseProved(cleared, indicators))
 		this->AwaitOtherSuspects(job, inRun.task, inNow);
 	const bool exceeds_limit = weight.clear >= cMinClearCrashes && weight.Total() >= cMaxCrashes;
 	// The limit that the users set applies to all crashes, explained or not
-	const bool given_up = proved || exceeds_limit || IsMoreThanBorne(crashes);
+	const bool given_up = proved || exceeds_limit || ExceedsCrashLimit(crashes);
 	LogEvent(ELogLevel::Warning, "task_blamed")
 		.Field("request", inRun.task.job)
 		.Field("task", TaskText(inRun.task))
@@ -398,11 +398,11 @@
 		.Field("trial", NameOf(cTrialNames, run.trial))
 		.Field("alone", only_suspect ? 1 : 0)
 		.Field("chance", inChance ? 1 : 0)
-		.Field("rivals", crashes.cases.back().rivals.size())
+		.Field("rivals", crashes.cases.back().suspects.size())
 		.Field("sole", weight.sole)
 		.Field("explained", weight.explained)
-		.Field("workers_crash", doubts.workers_crash ? 1 : 0)
-		.Field("unit_is_sound", doubts.unit_is_sound ? 1 : 0)
+		.Field("workers_crash", indicators.workers_crash ? 1 : 0)
+		.Field("unit_is_sound", indicators.unit_is_sound ? 1 : 0)
 		.Field("outcome", given_up ? "given up" : (WarrantsTrial(crashes) ? "starts on trial" : "counted"))
 		.Field("cell", this->run_events.Cell())
 		.Field("epoch", this->epoch);
@@ -435,11 +435,11 @@
 		}
 		VolatileTaskState &state = *this->FindVolatileState(task);
 		TaskCrashes &crashes = job->crashes[Cell::CrashKey(*job, task)];
-		const CrashWeight weight = this->WeightOf(crashes);
-		CrashDoubts doubts;
-		doubts.unit_is_sound = this->HasSurvivedStart(*job, job->Unit(task.round, task.step));
-		const bool proved = IsCrasherProved(weight, doubts);
-		const bool decided = proved || weight.explained > 0 || doubts.unit_is_sound || inNow >= state.not_before;
+		const CrashSummary weight = this->WeightOf(crashes);
+		ChanceIndicators indicators;
+		indicators.unit_is_sound = this->HasSurvivedStart(*job, job->Unit(task.round, task.step));
+		const bool proved = IsCrashCauseProved(weight, indicators);
+		const bool decided = proved || weight.explained > 0 || indicators.unit_is_sound || inNow >= state.not_before;
 		if (!decided)
 		{
 			++it;
@@ -453,7 +453,7 @@
 			.Field("at_once", weight.at_once)
 			.Field("sole", weight.sole)
 			.Field("explained", weight.explained)
-			.Field("unit_is_sound", doubts.unit_is_sound ? 1 : 0)
+			.Field("unit_is_sound", indicators.unit_is_sound ? 1 : 0)
 			.Field("outcome", proved ? "given up" : "starts on trial")
 			.Field("cell", this->run_events.Cell())
 			.Field("epoch", this->epoch);
--- a/Loomreach/Schedule/CellDemand.cpp
+++ b/Loomreach/Schedule/CellDemand.cpp
@@ -45,8 +45,9 @@
 		for (Resources &sum : sums)
 		{
 			if (limit != nullptr)
-				sum = EachOf(sum, EachOf(left, *limit, [](int64 inLeft, int64 inLimit) { return inLimit == 0 ? INT64_MAX : inLeft; }),
-							 [](int64 inX, int64 inMost) { return std::min(inX, inMost); });
+				sum = ForEachResource(
+					sum, ForEachResource(left, *limit, [](int64 inLeft, int64 inLimit) { return inLimit == 0 ? INT64_MAX : inLeft; }),
+					[](int64 inX, int64 inMost) { return std::min(inX, inMost); });
 			left.Subtract(sum);
 		}
 		outInTime.Add(sums[0]);
--- a/Loomreach/Schedule/CellDrains.cpp
+++ b/Loomreach/Schedule/CellDrains.cpp
@@ -84,7 +84,7 @@
 		}
 		unavailable += is_up ? 0 : 1;
 	}
-	return step.limits_misses ? unavailable < step.may_miss : unavailable == 0;
+	return step.limits_unavailable ? unavailable < step.may_miss : unavailable == 0;
 }
 
 bool Cell::IsStopLimited(const CellWorker &inWorker, const RunId &inRun) const
@@ -93,7 +93,7 @@
 	if (inWorker.entry.draining || job == this->jobs.end() || IsFinal(job->second.record.phase))
 		return false;
 	const StepSpec &step = job->second.spec.steps[inRun.task.step];
-	return step.lasting && step.limits_misses;
+	return step.lasting && step.limits_unavailable;
 }
 
 bool Cell::MayStopUnconfirmed(const CellWorker &inWorker, const RunId &inId, const Run &inRun, Millis inNow) const
--- a/Loomreach/Schedule/CellEnds.cpp
+++ b/Loomreach/Schedule/CellEnds.cpp
@@ -20,7 +20,7 @@
 
 static constexpr uint32 cTasksForSpread = 3; ///< With fewer tasks, the spread within a step means little.
 
-void Cell::OnEnded(CellWorker &ioWorker, const EndedRow &inRow, Millis inNow)
+void Cell::OnEnded(CellWorker &ioWorker, const EndedRun &inRow, Millis inNow)
 {
 	const RunId id{inRow.task, inRow.run};
 	if (ioWorker.runs.contains(id))
@@ -48,7 +48,7 @@
 	std::vector<EndReport> reports;
 	for (const auto &[id, worker] : this->workers)
 	{
-		std::vector<EndedRow> rows = worker.previous_ends.rows;
+		std::vector<EndedRun> rows = worker.previous_ends.rows;
 		rows.insert(rows.end(), worker.unlogged_ends.begin(), worker.unlogged_ends.end());
 		if (!rows.empty())
 			reports.push_back({id, this->epoch, std::move(rows)});
@@ -74,21 +74,21 @@
 	this->ApplyEnds(worker, inReport.ended, inNow);
 }
 
-void Cell::ApplyEnds(CellWorker &ioWorker, const std::vector<EndedRow> &inEnded, Millis inNow)
+void Cell::ApplyEnds(CellWorker &ioWorker, const std::vector<EndedRun> &inEnded, Millis inNow)
 {
-	for (const EndedRow &row : inEnded)
+	for (const EndedRun &row : inEnded)
 		this->OnEnded(ioWorker, row, inNow);
 	this->run_events.FlushUnmatched(ioWorker.entry.id, 0);
 }
 
-void Cell::ApplyPolledEnds(CellWorker &ioWorker, const std::vector<EndedRow> &inEnded, Millis inNow)
+void Cell::ApplyPolledEnds(CellWorker &ioWorker, const std::vector<EndedRun> &inEnded, Millis inNow)
 {
-	for (const EndedRow &row : inEnded)
+	for (const EndedRun &row : inEnded)
 		this->replicator.Note(ioWorker.entry.id, row);
 	this->ApplyEnds(ioWorker, inEnded, inNow);
 }
 
-void Cell::LogUnmatched(const EndedRow &inRow)
+void Cell::LogUnmatched(const EndedRun &inRow)
 {
 	const CellJob *job = this->FindJob(inRow.task.job);
 	const TaskRecord *task = this->FindTask(inRow.task);
@@ -96,7 +96,7 @@
 							   task != nullptr && task->done);
 }
 
-void Cell::LogUnknownRun(const CellWorker &inWorker, const RunningRow &inRow, Millis inSentAt)
+void Cell::LogUnknownRun(const CellWorker &inWorker, const RunningRun &inRow, Millis inSentAt)
 {
 	const CellJob *job = this->FindJob(inRow.task.job);
 	const TaskRecord *task = this->FindTask(inRow.task);
@@ -211,7 +211,7 @@
 	const auto expected = static_cast<double>(this->SlownessBaselineMs(ioJob, unit));
 	this->UpdateSlowness(ioWorker, static_cast<double>(inDuration) / expected, cEndWeight, inNow);
 	this->run_times.Learn(ioJob.spec, ioJob.StepOf(unit), inDuration);
-	StepSeen &seen = ioJob.seen[unit];
+	StepRunTimes &seen = ioJob.seen[unit];
 	seen.Add(inDuration);
 	if (seen.Count() == ioJob.record.steps[unit].tasks.size() && seen.Count() >= cTasksForSpread)
 		this->run_times.LearnSpread(ioJob.spec, seen.Spread());
--- a/Loomreach/Schedule/CellIncarnations.cpp
+++ b/Loomreach/Schedule/CellIncarnations.cpp
@@ -48,9 +48,9 @@
 
 bool Cell::UpdateIncarnation(CellWorker &ioWorker, const WorkerEntry &inEntry, Millis inNow)
 {
-	if (IsBornAfter(ioWorker.born_ms, inEntry.born_ms))
+	if (IsStartedAfter(ioWorker.born_ms, inEntry.born_ms))
 		return false;
-	const bool is_later = IsBornAfter(inEntry.born_ms, ioWorker.born_ms);
+	const bool is_later = IsStartedAfter(inEntry.born_ms, ioWorker.born_ms);
 	if (is_later && !ioWorker.ended)
 	{
 		this->SuspectRestart(ioWorker, "the worker list shows a later life", inNow);
@@ -58,7 +58,7 @@
 	}
 	if (is_later)
 		this->BeginIncarnation(ioWorker, inEntry.born_ms, {}, inNow, inNow);
-	if (ioWorker.born_ms == cBirthUnknown)
+	if (ioWorker.born_ms == cStartTimeUnknown)
 		ioWorker.born_ms = inEntry.born_ms;
 	ioWorker.leave_announced = ioWorker.leave_announced || inEntry.draining;
 	// The list entry is some time old, so the worker's clock is at least at this value
@@ -76,12 +76,12 @@
 	const bool answered = inAnswer.result != EOrderResult::Unknown && inAnswer.result != EOrderResult::NotSent;
 	if (!answered || inAnswer.result == EOrderResult::OtherLife)
 		return false;
-	if (IsBornAfter(inAnswer.born_ms, ioWorker.born_ms))
+	if (IsStartedAfter(inAnswer.born_ms, ioWorker.born_ms))
 	{
 		this->BeginIncarnation(ioWorker, inAnswer.born_ms, inAnswer, inSentAt, inNow);
 		return true;
 	}
-	if (IsBornAfter(ioWorker.born_ms, inAnswer.born_ms))
+	if (IsStartedAfter(ioWorker.born_ms, inAnswer.born_ms))
 		return true;
 	const bool polled = inOrder.kind == EOrder::Hold && inAnswer.result == EOrderResult::Done;
 	if (polled)
@@ -89,7 +89,7 @@
 		ioWorker.restart_suspected = false;
 		ioWorker.born_ms = std::max(ioWorker.born_ms, inAnswer.born_ms);
 	}
-	else if (ioWorker.born_ms != cBirthUnknown && inAnswer.clock_ms >= 0 && ioWorker.clock_ms >= 0 &&
+	else if (ioWorker.born_ms != cStartTimeUnknown && inAnswer.clock_ms >= 0 && ioWorker.clock_ms >= 0 &&
 			 !ioWorker.FitsClock(inAnswer.clock_ms, inSentAt, inNow))
 	{
 		this->AssumeMaxLease(ioWorker, inNow);
@@ -115,7 +115,7 @@
 	this->VerifyRuns(ioWorker, inNow);
 	this->DropAdvice(ioWorker.entry.id);
 	// Only this owner knows the previous incarnation's ends that are not in the log yet
-	std::vector<EndedRow> &previous = ioWorker.previous_ends.rows;
+	std::vector<EndedRun> &previous = ioWorker.previous_ends.rows;
 	previous.insert(previous.end(), ioWorker.unlogged_ends.begin(), ioWorker.unlogged_ends.end());
 	WorkerIncarnation &incarnation = ioWorker;
 	incarnation = WorkerIncarnation{};
@@ -231,7 +231,7 @@
 	++crashes.beside;
 	this->MarkChanged(*job);
 	// Blamed before, so it was on a trial run there
-	if (crashes.blamed > 0 && IsMoreThanBorne(crashes))
+	if (crashes.blamed > 0 && ExceedsCrashLimit(crashes))
 		this->FailCrashingJob(*job, crashes, this->now);
 }
 
@@ -249,7 +249,7 @@
 {
 	std::string ends;
 	size_t count = 0;
-	for (const EndedRow &row : inAnswer.ended)
+	for (const EndedRun &row : inAnswer.ended)
 	{
 		if (row.number > inWorker.acked_seq)
 			break;
--- a/Loomreach/Schedule/CellOrders.cpp
+++ b/Loomreach/Schedule/CellOrders.cpp
@@ -379,7 +379,7 @@
 		return this->ApplyPolledEnds(ioWorker, inAnswer.ended, inNow);
 	this->LogRelistedEnds(ioWorker, inAnswer);
 	ioWorker.acked_seq = std::max(ioWorker.acked_seq, inOrder.last_seen);
-	for (const EndedRow &row : inAnswer.ended)
+	for (const EndedRun &row : inAnswer.ended)
 	{
 		if (row.number <= ioWorker.recorded_seq)
 			continue;
@@ -392,7 +392,7 @@
 	this->run_events.FlushUnmatched(ioWorker.entry.id, inNow - inSentAt);
 	std::set<RunId> listed;
 	std::vector<RunId> unwanted;
-	for (const RunningRow &row : inAnswer.running)
+	for (const RunningRun &row : inAnswer.running)
 	{
 		const RunId id{row.task, row.run};
 		listed.insert(id);
--- a/Loomreach/Schedule/CellPlan.cpp
+++ b/Loomreach/Schedule/CellPlan.cpp
@@ -315,7 +315,7 @@
 	if (inWorker.restart_suspected || inWorker.unsized_runs > 0 || this->IsEvacuated(inWorker))
 		return false;
 	// The listed capacity, kind and rack belong to a previous incarnation
-	if (IsBornAfter(inWorker.born_ms, inWorker.entry.born_ms))
+	if (IsStartedAfter(inWorker.born_ms, inWorker.entry.born_ms))
 		return false;
 	if (inNow < inWorker.backoff_until || inNow < inWorker.drain_until || inNow < inWorker.quarantine_until ||
 		inNow < inWorker.removed_until)
@@ -482,7 +482,7 @@
 Millis Cell::ExpectedRunMs(const CellJob &inJob, size_t inUnit) const
 {
 	const Millis before = this->run_times.Expect(inJob.spec, inJob.StepOf(inUnit));
-	const StepSeen &seen = inJob.seen[inUnit];
+	const StepRunTimes &seen = inJob.seen[inUnit];
 	if (seen.Count() == 0)
 		return before;
 	// Tasks of one step are alike, so observed run times outweigh the prior estimate
@@ -498,7 +498,7 @@
 Millis Cell::StepDuration(const CellJob &inJob, size_t inUnit) const
 {
 	const size_t tasks = inJob.record.steps[inUnit].tasks.size();
-	const StepSeen &seen = inJob.seen[inUnit];
+	const StepRunTimes &seen = inJob.seen[inUnit];
 	if (seen.Count() == tasks)
 		return seen.Longest();
 	return std::max(seen.Longest(), this->run_times.Longest(inJob.spec, this->ExpectedRunMs(inJob, inUnit), tasks));
