--- a/Loomreach/Schedule/CellTypes.h
+++ b/Loomreach/Schedule/CellTypes.h
@@ -126,7 +126,7 @@
 	Millis next_stop_at = 0;
 	int64 percent = 0;
 	Millis progress_at = 0;       ///< When `percent` was reported.
-	int64 figure = 0;             ///< As in RunningRow.
+	int64 figure = 0;             ///< As in RunningRun.
 	int64 throttle_percent = 100; ///< Share of full speed that it was last told to work at.
 	bool throttle_in_flight = false;
 	std::string ticket;
@@ -150,8 +150,8 @@
 /// State of one incarnation of a worker. The next one, which may have the same id, starts with none of it.
 struct WorkerIncarnation
 {
-	int64 born_ms = cBirthUnknown; ///< Identifies the incarnation together with the worker's id.
-	uint64 incarnation_number = 0; ///< Part of the token of its orders; higher than for every earlier incarnation.
+	int64 born_ms = cStartTimeUnknown; ///< Identifies the incarnation together with the worker's id.
+	uint64 incarnation_number = 0;     ///< Part of the token of its orders; higher than for every earlier incarnation.
 	/// Something suggests that another incarnation has begun. The next poll decides; until then nothing is started.
 	bool restart_suspected = false;
 	bool leave_announced = false;    ///< The worker has announced that it leaves.
@@ -179,7 +179,7 @@
 	uint64 logged_seq = 0;               ///< Up to here: in the log, so the worker may drop them.
 	uint64 sent_ack_seq = 0;             ///< Up to here: acknowledged to the worker by a poll.
 	uint64 acked_seq = 0;                ///< Up to here: acknowledged by a poll that the worker answered.
-	std::vector<EndedRow> unlogged_ends; ///< Invariant: the polled ends after `logged_seq` up to `recorded_seq`, in order.
+	std::vector<EndedRun> unlogged_ends; ///< Invariant: the polled ends after `logged_seq` up to `recorded_seq`, in order.
 	Millis ends_logged_at = 0;           ///< When `logged_seq` last rose.
 	Millis backoff_until = 0;            ///< It refused an order; nothing new until then.
 	Millis quarantine_until = 0;
@@ -199,7 +199,7 @@
 /// Ends of a worker's previous incarnations that are not in the log yet.
 struct PreviousIncarnationEnds
 {
-	std::vector<EndedRow> rows;
+	std::vector<EndedRun> rows;
 	size_t series_count = 0;    ///< This many are in the current series of appends.
 	size_t appending_count = 0; ///< This many are in the log once the append in flight completes.
 };
@@ -217,13 +217,13 @@
 	Millis assumed_present_until = 0;
 	/// Its location is in the log or in the append in flight. A successor also polls workers with a logged location that the list lacks.
 	bool location_logged = false;
-	int64 logged_started_ms = cBirthUnknown; ///< Incarnation that the log names, likewise.
-	std::map<RunId, Run> runs;               ///< Invariant: exactly the runs that the task records place here.
-	Resources used;                          ///< Sum of the runs' reserved resources.
-	uint32 open_trials = 0;                  ///< Trial runs that currently forbid other starts.
-	uint32 unsized_runs = 0;                 ///< Runs whose reserved resources are unknown.
-	Millis lease_expires_at = 0;             ///< On the owner's clock; everything dispatched has lapsed by then unless extended.
-	Millis last_unanswered_at = -cNeverMs;   ///< When an order last got no answer; it may still be carried out.
+	int64 logged_started_ms = cStartTimeUnknown; ///< Incarnation that the log names, likewise.
+	std::map<RunId, Run> runs;                   ///< Invariant: exactly the runs that the task records place here.
+	Resources used;                              ///< Sum of the runs' reserved resources.
+	uint32 open_trials = 0;                      ///< Trial runs that currently forbid other starts.
+	uint32 unsized_runs = 0;                     ///< Runs whose reserved resources are unknown.
+	Millis lease_expires_at = 0;                 ///< On the owner's clock; everything dispatched has lapsed by then unless extended.
+	Millis last_unanswered_at = -cNeverMs;       ///< When an order last got no answer; it may still be carried out.
 	PreviousIncarnationEnds previous_ends;
 	Millis drain_until = 0;        ///< Being drained for maintenance; nothing new until then.
 	Millis drain_grant_until = 0;  ///< It was reported empty, so its host may be moved or taken down until then.
@@ -296,7 +296,7 @@
 	JobSpec spec;
 	JobRecord record;
 	std::vector<std::vector<VolatileTaskState>> volatile_state; ///< By unit and task.
-	std::vector<StepSeen> seen;                                 ///< By unit.
+	std::vector<StepRunTimes> seen;                             ///< By unit.
 	CrashCounts crashes;                                        ///< In the log whenever `record` is.
 	CrashCasesByTask crash_cases;                               ///< As restored; merged into `crashes` when the cell begins.
 	bool crashes_logged = false;                                ///< Crash records are in the log or in the append in flight.
@@ -327,7 +327,7 @@
 {
 	std::string worker;
 	uint64 epoch = 0; ///< Of the owner that polled the worker.
-	std::vector<EndedRow> ended;
+	std::vector<EndedRun> ended;
 
 	template <class Archive>
 	void serialize(Archive &ioArchive)
--- a/Loomreach/Schedule/CrashEvidence.cpp
+++ b/Loomreach/Schedule/CrashEvidence.cpp
@@ -15,11 +15,11 @@
 /// After a task has crashed three workers it may be started at most twice more.
 static constexpr uint32 cMaxCrashes = 5;
 
-bool IsMoreThanBorne(const TaskCrashes &inCrashes) { return inCrashes.Total() >= cMaxCrashes; }
+bool ExceedsCrashLimit(const TaskCrashes &inCrashes) { return inCrashes.Total() >= cMaxCrashes; }
 
-CrashWeight WeighCrashes(const TaskCrashes &inCrashes, const RivalJudge &inJudge)
+CrashSummary SummarizeCrashes(const TaskCrashes &inCrashes, const SuspectStateLookup &inJudge)
 {
-	CrashWeight weight;
+	CrashSummary weight;
 	weight.blamed = inCrashes.blamed;
 	weight.at_once = inCrashes.at_once;
 	weight.beside = inCrashes.beside;
@@ -27,11 +27,11 @@
 	{
 		bool is_sole = true;
 		bool is_explained = false;
-		for (const CrashRival &rival : crash.rivals)
+		for (const CrashSuspect &suspect : crash.suspects)
 		{
-			const ERival state = inJudge(rival);
-			is_sole = is_sole && state == ERival::Cleared;
-			is_explained = is_explained || state == ERival::Proved;
+			const ESuspectState state = inJudge(suspect);
+			is_sole = is_sole && state == ESuspectState::Cleared;
+			is_explained = is_explained || state == ESuspectState::Proved;
 		}
 		if (!is_explained)
 		{
@@ -46,9 +46,9 @@
 	return weight;
 }
 
-bool IsCrasherProved(const CrashWeight &inWeight, const CrashDoubts &inDoubts)
+bool IsCrashCauseProved(const CrashSummary &inWeight, const ChanceIndicators &inIndicators)
 {
-	const bool in_doubt = inDoubts.workers_crash || inDoubts.unit_is_sound || inWeight.sole < cProvingCrashes;
+	const bool in_doubt = inIndicators.workers_crash || inIndicators.unit_is_sound || inWeight.sole < cProvingCrashes;
 	return inWeight.at_once >= (in_doubt ? cProvingCrashesInDoubt : cProvingCrashes);
 }
 
--- a/Loomreach/Schedule/CrashEvidence.h
+++ b/Loomreach/Schedule/CrashEvidence.h
@@ -13,7 +13,7 @@
 {
 
 /// What is known by now about another suspect of a crash.
-enum class ERival : uint8
+enum class ESuspectState : uint8
 {
 	Open,    ///< Undecided.
 	Cleared, ///< A task of it has run past its start or has finished its work.
@@ -21,10 +21,10 @@
 };
 
 /// Looks up the state of another suspect.
-using RivalJudge = std::function<ERival(const CrashRival &)>;
+using SuspectStateLookup = std::function<ESuspectState(const CrashSuspect &)>;
 
 /// Counts of a task's crashes, without those that another suspect is proved to have caused.
-struct CrashWeight
+struct CrashSummary
 {
 	uint32 blamed = 0;    ///< The task may have caused the crash.
 	uint32 at_once = 0;   ///< Of `blamed`: right after the start of the task's run.
@@ -37,19 +37,19 @@
 };
 
 /// Counts a task's crashes by what is known of the other suspects.
-CrashWeight WeighCrashes(const TaskCrashes &inCrashes, const RivalJudge &inJudge);
+CrashSummary SummarizeCrashes(const TaskCrashes &inCrashes, const SuspectStateLookup &inJudge);
 
 /// Reasons to take a crash for coincidence although the only suspect had just started.
-struct CrashDoubts
+struct ChanceIndicators
 {
 	bool workers_crash = false; ///< Workers on which nothing had just started have crashed recently.
 	bool unit_is_sound = false; ///< Another task of the same step, which runs the same program, has run past its start.
 };
 
-/// Whether these crashes prove that a task crashes its workers. `inDoubts`: as of the last of them.
-bool IsCrasherProved(const CrashWeight &inWeight, const CrashDoubts &inDoubts);
+/// Whether these crashes prove that a task crashes its workers. `inIndicators`: as of the last of them.
+bool IsCrashCauseProved(const CrashSummary &inWeight, const ChanceIndicators &inIndicators);
 
 /// Whether a task was running at so many crashes that it may not be started again, whatever caused them.
-bool IsMoreThanBorne(const TaskCrashes &inCrashes);
+bool ExceedsCrashLimit(const TaskCrashes &inCrashes);
 
 } // namespace Loomreach::Jobs
--- a/Loomreach/Schedule/RunEndReplicas.cpp
+++ b/Loomreach/Schedule/RunEndReplicas.cpp
@@ -14,13 +14,13 @@
 /// Limit of stored updates; beyond it the oldest is dropped.
 static constexpr size_t cMaxUpdates = 2000;
 
-void EndReplicas::OnUpdate(EndsUpdate inUpdate, Millis inNow)
+void RunEndReplicas::OnUpdate(RunEndsUpdate inUpdate, Millis inNow)
 {
 	// The owner has logged these since
 	std::erase_if(this->updates,
 				  [&inUpdate](const StoredUpdate &inStored)
 				  {
-					  const EndsUpdate &older = inStored.update;
+					  const RunEndsUpdate &older = inStored.update;
 					  return older.cell == inUpdate.cell && older.epoch == inUpdate.epoch && older.serial <= inUpdate.logged;
 				  });
 	if (inUpdate.serial == 0 || inUpdate.reports.empty())
@@ -36,15 +36,15 @@
 	this->updates.push_back({std::move(inUpdate), inNow});
 }
 
-std::vector<OrphanedEnds> EndReplicas::TakeOrphans(const IsGone &inIsGone, Millis inNow)
+std::vector<OrphanedRunEnds> RunEndReplicas::TakeOrphans(const IsGone &inIsGone, Millis inNow)
 {
 	while (!this->updates.empty() && inNow - this->updates.front().received_at > cRetentionMs)
 		this->updates.pop_front();
-	std::vector<OrphanedEnds> orphans;
+	std::vector<OrphanedRunEnds> orphans;
 	std::map<std::pair<uint32, uint64>, bool> stopped;
 	for (StoredUpdate &replica : this->updates)
 	{
-		const EndsUpdate &update = replica.update;
+		const RunEndsUpdate &update = replica.update;
 		const auto [found, is_new] = stopped.try_emplace({update.cell, update.epoch}, false);
 		if (is_new)
 			found->second = inIsGone(update.cell, update.epoch);
--- a/Loomreach/Schedule/RunEndReplicas.h
+++ b/Loomreach/Schedule/RunEndReplicas.h
@@ -9,23 +9,23 @@
 {
 
 /// Run ends whose owner can no longer log or submit them.
-struct OrphanedEnds
+struct OrphanedRunEnds
 {
 	uint32 cell = 0;
 	EndReport report;
 };
 
-/// The receiving side. EndReplicator is the sending side, at the owner.
-class EndReplicas
+/// The receiving side. RunEndReplicator is the sending side, at the owner.
+class RunEndReplicas
 {
 public:
 	/// Whether the owner of a cell with this epoch has certainly stopped acting.
 	using IsGone = std::function<bool(uint32 inCell, uint64 inEpoch)>;
 
 	/// Stores an update, and drops those whose run ends the owner has logged.
-	void OnUpdate(EndsUpdate inUpdate, Millis inNow);
+	void OnUpdate(RunEndsUpdate inUpdate, Millis inNow);
 	/// Removes and returns the run ends of owners that have stopped.
-	std::vector<OrphanedEnds> TakeOrphans(const IsGone &inIsGone, Millis inNow);
+	std::vector<OrphanedRunEnds> TakeOrphans(const IsGone &inIsGone, Millis inNow);
 	/// Number of stored updates.
 	size_t Size() const { return this->updates.size(); }
 
@@ -33,7 +33,7 @@
 	/// An update and its time of arrival.
 	struct StoredUpdate
 	{
-		EndsUpdate update;
+		RunEndsUpdate update;
 		Millis received_at = 0;
 	};
 
--- a/Loomreach/Schedule/RunEndReplicator.cpp
+++ b/Loomreach/Schedule/RunEndReplicator.cpp
@@ -12,13 +12,13 @@
 /// The position that the log has reached is sent with the next run ends, or alone after this time.
 static constexpr Millis cLoggedUpdateMs = 1000;
 
-void EndReplicator::Begin(uint32 inCell, uint64 inEpoch)
+void RunEndReplicator::Begin(uint32 inCell, uint64 inEpoch)
 {
 	this->cell = inCell;
 	this->epoch = inEpoch;
 }
 
-void EndReplicator::Note(const std::string &inWorker, const EndedRow &inRow)
+void RunEndReplicator::Note(const std::string &inWorker, const EndedRun &inRow)
 {
 	// Ends of other kinds may be lost: the task is started again in any case
 	if (inRow.end != ERunEnd::Done && inRow.end != ERunEnd::Failed)
@@ -29,12 +29,12 @@
 	this->pending.back().ended.push_back(inRow);
 }
 
-std::optional<EndsUpdate> EndReplicator::Take(Millis inNow)
+std::optional<RunEndsUpdate> RunEndReplicator::Take(Millis inNow)
 {
 	const bool sends_logged = this->logged > this->logged_sent && inNow - this->sent_at >= cLoggedUpdateMs;
 	if (this->pending.empty() && !sends_logged)
 		return std::nullopt;
-	EndsUpdate update{this->cell, this->epoch, 0, this->logged, {}};
+	RunEndsUpdate update{this->cell, this->epoch, 0, this->logged, {}};
 	size_t end_count = 0;
 	size_t report_count = 0;
 	while (report_count < this->pending.size() && (report_count == 0 || end_count + this->pending[report_count].ended.size() <= cMaxEnds))
@@ -49,7 +49,7 @@
 	return update;
 }
 
-void EndReplicator::BeginWriting()
+void RunEndReplicator::BeginWriting()
 {
 	// Pending ends get later serials when they are sent, so only the ends sent so far may be reported as logged
 	this->to_write = this->serial;
--- a/Loomreach/Schedule/RunEndReplicator.h
+++ b/Loomreach/Schedule/RunEndReplicator.h
@@ -10,7 +10,7 @@
 {
 
 /// Message from an owner to the hosts that keep replicas. May be lost, duplicated or delayed.
-struct EndsUpdate
+struct RunEndsUpdate
 {
 	uint32 cell = 0;
 	uint64 epoch = 0;  ///< Of the owner.
@@ -25,15 +25,15 @@
 	}
 };
 
-/// The sending side, at the owner. EndReplicas is the receiving side.
-class EndReplicator
+/// The sending side, at the owner. RunEndReplicas is the receiving side.
+class RunEndReplicator
 {
 public:
 	void Begin(uint32 inCell, uint64 inEpoch);
 	/// Adds a run end that a worker has listed and the log does not contain.
-	void Note(const std::string &inWorker, const EndedRow &inRow);
+	void Note(const std::string &inWorker, const EndedRun &inRow);
 	/// The next update to send, or nothing. Call repeatedly until it returns nothing.
-	std::optional<EndsUpdate> Take(Millis inNow);
+	std::optional<RunEndsUpdate> Take(Millis inNow);
 
 	/// A series of appends begins that writes all run ends added so far.
 	void BeginWriting();
--- a/Loomreach/Schedule/RunEventLog.cpp
+++ b/Loomreach/Schedule/RunEventLog.cpp
@@ -12,15 +12,15 @@
 /// Longer lists are split over several lines, because glog truncates a message at 30,000 bytes.
 static constexpr size_t cMaxItemBytes = 8000;
 
-void CellTrail::Begin(uint32 inCell, uint64 inEpoch)
+void RunEventLog::Begin(uint32 inCell, uint64 inEpoch)
 {
 	this->cell = inCell;
 	this->epoch = inEpoch;
 }
 
-bool CellTrail::IsFull(const Items &inItems) { return inItems.text.size() >= cMaxItemBytes; }
+bool RunEventLog::IsFull(const Items &inItems) { return inItems.text.size() >= cMaxItemBytes; }
 
-void CellTrail::AddRun(Items &ioItems, const RunId &inRun)
+void RunEventLog::AddRun(Items &ioItems, const RunId &inRun)
 {
 	std::string unit = inRun.task.job + '.' + std::to_string(inRun.task.round) + '.' + std::to_string(inRun.task.step);
 	// Runs of one step mostly arrive together, so the step is written once for all of them
@@ -40,7 +40,7 @@
 	++ioItems.count;
 }
 
-void CellTrail::AddRange(Items &ioItems, const std::string &inWorker, uint64 inFrom, uint64 inTo)
+void RunEventLog::AddRange(Items &ioItems, const std::string &inWorker, uint64 inFrom, uint64 inTo)
 {
 	if (!ioItems.text.empty())
 		ioItems.text += ' ';
@@ -52,14 +52,14 @@
 	++ioItems.count;
 }
 
-void CellTrail::Told(const RunId &inRun)
+void RunEventLog::Told(const RunId &inRun)
 {
 	AddRun(this->dispatched, inRun);
 	if (IsFull(this->dispatched))
 		this->FlushDispatched();
 }
 
-void CellTrail::Dropped(const RunId &inRun, std::string_view inWhy)
+void RunEventLog::Dropped(const RunId &inRun, std::string_view inWhy)
 {
 	if (IsFull(this->dropped) || inWhy != this->dropped_why)
 		this->FlushDropped();
@@ -67,7 +67,7 @@
 	AddRun(this->dropped, inRun);
 }
 
-void CellTrail::Covered(const std::string &inWorker, uint64 inFrom, uint64 inTo, Millis inPersistedAge)
+void RunEventLog::Covered(const std::string &inWorker, uint64 inFrom, uint64 inTo, Millis inPersistedAge)
 {
 	this->acknowledged_age = std::max(this->acknowledged_age, inPersistedAge);
 	AddRange(this->acknowledged, inWorker, inFrom, inTo);
@@ -75,13 +75,13 @@
 		this->FlushAcknowledged();
 }
 
-void CellTrail::Logged(const std::string &inWorker, uint64 inFrom, uint64 inTo)
+void RunEventLog::Logged(const std::string &inWorker, uint64 inFrom, uint64 inTo)
 {
 	AddRange(this->persisted, inWorker, inFrom, inTo);
 	this->persisted_ends += inTo - inFrom + 1;
 }
 
-void CellTrail::Unmatched(const EndedRow &inRow, std::string_view inPhase, bool inTaskDone)
+void RunEventLog::Unmatched(const EndedRun &inRow, std::string_view inPhase, bool inTaskDone)
 {
 	std::string &text = this->unmatched.text;
 	// Ends that no longer fit into the line are only counted
@@ -97,7 +97,7 @@
 	text += inTaskDone ? "/task-done" : "/task-open";
 }
 
-void CellTrail::FlushDispatched()
+void RunEventLog::FlushDispatched()
 {
 	if (this->dispatched.count == 0)
 		return;
@@ -109,7 +109,7 @@
 		.Field("runs", items.text);
 }
 
-void CellTrail::FlushDropped()
+void RunEventLog::FlushDropped()
 {
 	if (this->dropped.count == 0)
 		return;
@@ -122,7 +122,7 @@
 		.Field("why", this->dropped_why);
 }
 
-void CellTrail::FlushAcknowledged()
+void RunEventLog::FlushAcknowledged()
 {
 	if (this->acknowledged.count == 0)
 		return;
@@ -134,14 +134,14 @@
 		.Field("logged_ms_ago", std::exchange(this->acknowledged_age, 0));
 }
 
-void CellTrail::FlushOrders()
+void RunEventLog::FlushOrders()
 {
 	this->FlushDropped();
 	this->FlushDispatched();
 	this->FlushAcknowledged();
 }
 
-void CellTrail::FlushAppend(Millis inTook, size_t inRecords)
+void RunEventLog::FlushAppend(Millis inTook, size_t inRecords)
 {
 	// Most appends contain no run end
 	if (this->persisted.count == 0)
@@ -156,7 +156,7 @@
 		.Field("took_ms", inTook);
 }
 
-void CellTrail::FlushUnmatched(const std::string &inWorker, Millis inPollAge)
+void RunEventLog::FlushUnmatched(const std::string &inWorker, Millis inPollAge)
 {
 	if (this->unmatched.count == 0)
 		return;
--- a/Loomreach/Schedule/RunEventLog.h
+++ b/Loomreach/Schedule/RunEventLog.h
@@ -10,7 +10,7 @@
 {
 
 /// Collects the events of a batch and writes them as few log lines. docs/OPERATIONS.md explains how to read them.
-class CellTrail
+class RunEventLog
 {
 public:
 	void Begin(uint32 inCell, uint64 inEpoch);
@@ -26,7 +26,7 @@
 	/// An append with run ends of a worker was confirmed.
 	void Logged(const std::string &inWorker, uint64 inFrom, uint64 inTo);
 	/// A worker lists the end of a run that the job records do not contain.
-	void Unmatched(const EndedRow &inRow, std::string_view inPhase, bool inTaskDone);
+	void Unmatched(const EndedRun &inRow, std::string_view inPhase, bool inTaskDone);
 
 	/// Writes the runs dispatched and dropped and the run ends acknowledged.
 	void FlushOrders();
--- a/Loomreach/Schedule/StepRunTimes.cpp
+++ b/Loomreach/Schedule/StepRunTimes.cpp
@@ -9,7 +9,7 @@
 namespace Loomreach::Jobs
 {
 
-void StepSeen::Add(Millis inTook)
+void StepRunTimes::Add(Millis inTook)
 {
 	const auto took = static_cast<double>(inTook);
 	++this->count;
@@ -18,7 +18,7 @@
 	this->longest = std::max(this->longest, inTook);
 }
 
-double StepSeen::Spread() const
+double StepRunTimes::Spread() const
 {
 	const auto tasks = static_cast<double>(this->count);
 	const double mean = this->sum / tasks;
--- a/Loomreach/Schedule/StepRunTimes.h
+++ b/Loomreach/Schedule/StepRunTimes.h
@@ -8,7 +8,7 @@
 {
 
 /// Statistics of one step.
-class StepSeen
+class StepRunTimes
 {
 public:
 	/// A run of a task was planned.
--- a/Loomreach/Schedule/TaskCrashes.cpp
+++ b/Loomreach/Schedule/TaskCrashes.cpp
@@ -7,7 +7,7 @@
 namespace Loomreach::Jobs
 {
 
-CrashCasesByTask CasesOf(const CrashCounts &inCounts)
+CrashCasesByTask ExtractCrashCases(const CrashCounts &inCounts)
 {
 	CrashCasesByTask cases;
 	for (const auto &[task, crashes] : inCounts)
@@ -15,7 +15,7 @@
 	return cases;
 }
 
-void TakeCases(CrashCounts &ioCounts, const CrashCasesByTask &inCases)
+void MergeCrashCases(CrashCounts &ioCounts, const CrashCasesByTask &inCases)
 {
 	for (const auto &[task, cases] : inCases)
 	{
--- a/Loomreach/Schedule/TaskCrashes.h
+++ b/Loomreach/Schedule/TaskCrashes.h
@@ -8,12 +8,12 @@
 {
 
 /// Another suspect of a crash: a step, whose tasks all run the same program.
-struct CrashRival
+struct CrashSuspect
 {
 	std::string job;
 	uint64 unit = 0; ///< Index of the step's record.
 
-	bool operator==(const CrashRival &) const = default;
+	bool operator==(const CrashSuspect &) const = default;
 	template <class Archive>
 	void serialize(Archive &ioArchive)
 	{
@@ -24,15 +24,15 @@
 /// One worker crash during a run of a task.
 struct CrashCase
 {
-	bool blamed = false;            ///< Whether the task may have caused the crash; otherwise it is counted as a bystander.
-	bool at_once = false;           ///< Whether the crash came right after the start of the task's run, with no sign of coincidence.
-	bool chance = false;            ///< Other workers were lost at the same time, and no task can have caused their loss.
-	std::vector<CrashRival> rivals; ///< Other suspects.
+	bool blamed = false;                ///< Whether the task may have caused the crash; otherwise it is counted as a bystander.
+	bool at_once = false;               ///< Whether the crash came right after the start of the task's run, with no sign of coincidence.
+	bool chance = false;                ///< Other workers were lost at the same time, and no task can have caused their loss.
+	std::vector<CrashSuspect> suspects; ///< Other suspects.
 
 	template <class Archive>
 	void serialize(Archive &ioArchive)
 	{
-		ioArchive(this->blamed, this->at_once, this->chance, this->rivals);
+		ioArchive(this->blamed, this->at_once, this->chance, this->suspects);
 	}
 };
 
@@ -75,9 +75,9 @@
 using CrashCasesByTask = std::map<std::pair<uint64, uint32>, CrashCases>;
 
 /// The part that is stored apart from the counts.
-CrashCasesByTask CasesOf(const CrashCounts &inCounts);
+CrashCasesByTask ExtractCrashCases(const CrashCounts &inCounts);
 /// Merges stored cases into the counts. Cases that the counts do not include are ignored: an owner of an earlier version, which does not
 /// know the cases, may have changed or removed the counts since.
-void TakeCases(CrashCounts &ioCounts, const CrashCasesByTask &inCases);
+void MergeCrashCases(CrashCounts &ioCounts, const CrashCasesByTask &inCases);
 
 } // namespace Loomreach::Jobs
--- a/Loomreach/Schedule/TeamClaims.h
+++ b/Loomreach/Schedule/TeamClaims.h
@@ -19,7 +19,7 @@
 
 /// A granted share is valid for this long after the request for it was sent. This exceeds the time that the fleet is without
 /// an owner after the owner's host is lost (1.5 s of lease and a claim).
-inline constexpr Millis cShareGoodMs = 3000;
+inline constexpr Millis cShareValidMs = 3000;
 
 /// What one team uses, holds and wants in a cell.
 struct TeamClaim
--- a/Loomreach/Schedule/TeamLimits.h
+++ b/Loomreach/Schedule/TeamLimits.h
@@ -31,21 +31,21 @@
 
 /// Applies an operation to each resource.
 template <class Operation>
-Resources EachOf(const Resources &inA, const Resources &inB, Operation inOperation)
+Resources ForEachResource(const Resources &inA, const Resources &inB, Operation inOperation)
 {
 	return {inOperation(inA.cpu_milli, inB.cpu_milli), inOperation(inA.memory_mb, inB.memory_mb),
 			inOperation(inA.accelerators, inB.accelerators)};
 }
 
 /// Minimum of each resource.
-inline Resources LeastOf(const Resources &inA, const Resources &inB)
+inline Resources MinOf(const Resources &inA, const Resources &inB)
 {
-	return EachOf(inA, inB, [](int64 inX, int64 inY) { return std::min(inX, inY); });
+	return ForEachResource(inA, inB, [](int64 inX, int64 inY) { return std::min(inX, inY); });
 }
 /// Maximum of each resource.
-inline Resources GreatestOf(const Resources &inA, const Resources &inB)
+inline Resources MaxOf(const Resources &inA, const Resources &inB)
 {
-	return EachOf(inA, inB, [](int64 inX, int64 inY) { return std::max(inX, inY); });
+	return ForEachResource(inA, inB, [](int64 inX, int64 inY) { return std::max(inX, inY); });
 }
 
 } // namespace Loomreach::Jobs
--- a/Loomreach/Schedule/TeamUsage.cpp
+++ b/Loomreach/Schedule/TeamUsage.cpp
@@ -16,13 +16,13 @@
 /// Interval while tasks wait for their team's share. A round trip between zones takes 3 ms, and planning rounds are 20 ms apart.
 static constexpr Millis cShortRequestIntervalMs = 40;
 
-void TeamUse::Add(const std::string &inTeam, const Resources &inRequested)
+void TeamUsage::Add(const std::string &inTeam, const Resources &inRequested)
 {
 	if (!inTeam.empty())
 		this->shares[inTeam].used.Add(inRequested);
 }
 
-void TeamUse::Subtract(const std::string &inTeam, const Resources &inRequested)
+void TeamUsage::Subtract(const std::string &inTeam, const Resources &inRequested)
 {
 	if (inTeam.empty())
 		return;
@@ -31,7 +31,7 @@
 	LOOM_INVARIANT(share.used.cpu_milli >= 0 && share.used.memory_mb >= 0, "the resources used by a team equal the sum of its runs");
 }
 
-bool TeamUse::HasRoom(const std::string &inTeam, const Resources &inRequested, Millis inNow) const
+bool TeamUsage::HasRoom(const std::string &inTeam, const Resources &inRequested, Millis inNow) const
 {
 	const Resources *limit = this->limits.Find(inTeam);
 	if (inTeam.empty() || limit == nullptr)
@@ -44,14 +44,14 @@
 	return IsWithin(sum, found->second.held, *limit);
 }
 
-Millis TeamUse::NextAskAt(bool inShortOfShare) const
+Millis TeamUsage::NextAskAt(bool inShortOfShare) const
 {
 	if (this->requested_at < 0)
 		return 0;
 	return this->requested_at + (inShortOfShare || this->fleet_owner_changed ? cShortRequestIntervalMs : cRequestIntervalMs);
 }
 
-ShareQuestion TeamUse::Ask(uint64 inEpoch, const std::map<std::string, Resources> &inWanted, Millis inNow)
+ShareQuestion TeamUsage::Ask(uint64 inEpoch, const std::map<std::string, Resources> &inWanted, Millis inNow)
 {
 	ShareQuestion question;
 	question.epoch = inEpoch;
@@ -81,7 +81,7 @@
 	return question;
 }
 
-void TeamUse::OnAnswer(const ShareAnswer &inAnswer, Millis inNow)
+void TeamUsage::OnAnswer(const ShareAnswer &inAnswer, Millis inNow)
 {
 	// The fleet's owner may have counted the share of an older answer as returned since
 	if (inAnswer.number != this->number || this->number == 0 || inAnswer.fleet_epoch < this->fleet_epoch)
@@ -100,7 +100,7 @@
 				.Field("asked_ms_ago", inNow - this->requested_at);
 		share.held = row.limit;
 	}
-	this->valid_until = this->requested_at + cShareGoodMs;
+	this->valid_until = this->requested_at + cShareValidMs;
 }
 
 } // namespace Loomreach::Jobs
--- a/Loomreach/Schedule/TeamUsage.h
+++ b/Loomreach/Schedule/TeamUsage.h
@@ -9,7 +9,7 @@
 {
 
 /// Accounting of one cell; its owner asks the fleet's owner for shares through it.
-class TeamUse
+class TeamUsage
 {
 public:
 	void SetTeams(const Catalogue &inCatalogue) { this->limits.Take(inCatalogue); }
--- a/Loomreach/Schedule/Worker.h
+++ b/Loomreach/Schedule/Worker.h
@@ -11,20 +11,20 @@
 {
 
 /// Start time of an incarnation that is not known.
-inline constexpr int64 cBirthUnknown = -1;
+inline constexpr int64 cStartTimeUnknown = -1;
 
 /// Whether one incarnation of a worker started after another; false if either start time is unknown.
-constexpr bool IsBornAfter(int64 inStarted, int64 inOther)
+constexpr bool IsStartedAfter(int64 inStarted, int64 inOther)
 {
-	return inStarted != cBirthUnknown && inOther != cBirthUnknown && inStarted > inOther;
+	return inStarted != cStartTimeUnknown && inOther != cStartTimeUnknown && inStarted > inOther;
 }
 
 /// One worker as the worker list shows it: one incarnation, which is one process on a host.
 struct WorkerEntry
 {
-	std::string id;                ///< Identifies the worker; a new incarnation may reuse it.
-	int64 born_ms = cBirthUnknown; ///< Start time, ms since 1970 by the host's clock; identifies the incarnation together with `id`.
-	std::string host;              ///< Host it runs on; empty if not reported.
+	std::string id;                    ///< Identifies the worker; a new incarnation may reuse it.
+	int64 born_ms = cStartTimeUnknown; ///< Start time, ms since 1970 by the host's clock; identifies the incarnation together with `id`.
+	std::string host;                  ///< Host it runs on; empty if not reported.
 	std::string pool;
 	std::string availability_zone;
 	Address address;
@@ -56,7 +56,7 @@
 };
 
 /// A run that a worker currently has.
-struct RunningRow
+struct RunningRun
 {
 	TaskId task;
 	uint32 run = 0;
@@ -72,7 +72,7 @@
 };
 
 /// A run that has ended on a worker and whose end is not acknowledged yet.
-struct EndedRow
+struct EndedRun
 {
 	uint64 number = 0; ///< Sequence number; counts up from 1 within an incarnation.
 	TaskId task;
@@ -159,12 +159,12 @@
 struct OrderAnswer
 {
 	EOrderResult result = EOrderResult::Unknown;
-	Millis clock_ms = -1;            ///< The worker's steady clock; -1: not reported.
-	std::vector<RunningRow> running; ///< Poll only.
-	std::vector<EndedRow> ended;     ///< Poll only.
-	bool partial = false;            ///< Poll only: more ends may follow, so a run in neither list may have ended.
-	bool closed = false;             ///< No answer: the worker's host closed or refused the connection.
-	int64 born_ms = cBirthUnknown;   ///< Poll only: start time of the incarnation that answered.
+	Millis clock_ms = -1;              ///< The worker's steady clock; -1: not reported.
+	std::vector<RunningRun> running;   ///< Poll only.
+	std::vector<EndedRun> ended;       ///< Poll only.
+	bool partial = false;              ///< Poll only: more ends may follow, so a run in neither list may have ended.
+	bool closed = false;               ///< No answer: the worker's host closed or refused the connection.
+	int64 born_ms = cStartTimeUnknown; ///< Poll only: start time of the incarnation that answered.
 
 	template <class Archive>
 	void serialize(Archive &ioArchive)
--- a/Loomreach/Schedule/WorkerToken.h
+++ b/Loomreach/Schedule/WorkerToken.h
@@ -10,15 +10,15 @@
 {
 
 /// Number of tokens of one owner.
-inline constexpr uint64 cTokensAnEpoch = 1'000'000;
+inline constexpr uint64 cTokensPerEpoch = 1'000'000;
 
 /// Epoch of the owner that follows one with this epoch.
-constexpr uint64 NextEpoch(uint64 inEpoch) { return (inEpoch / cTokensAnEpoch + 1) * cTokensAnEpoch; }
+constexpr uint64 NextEpoch(uint64 inEpoch) { return (inEpoch / cTokensPerEpoch + 1) * cTokensPerEpoch; }
 
 /// Token of an owner's orders to an incarnation. `inIncarnation`: number of new incarnations that the owner had seen up to this one.
-constexpr uint64 TokenOf(uint64 inEpoch, uint64 inIncarnation) { return inEpoch + std::min(inIncarnation, cTokensAnEpoch - 1); }
+constexpr uint64 TokenOf(uint64 inEpoch, uint64 inIncarnation) { return inEpoch + std::min(inIncarnation, cTokensPerEpoch - 1); }
 
 /// Epoch of the owner that issued a token.
-constexpr uint64 EpochOf(uint64 inToken) { return inToken / cTokensAnEpoch * cTokensAnEpoch; }
+constexpr uint64 EpochOf(uint64 inToken) { return inToken / cTokensPerEpoch * cTokensPerEpoch; }
 
 } // namespace Loomreach::Jobs
--- a/Loomreach/Settings/SettingsTree.cpp
+++ b/Loomreach/Settings/SettingsTree.cpp
@@ -99,7 +99,7 @@
 	return found == this->nodes.end() ? nullptr : &found->second;
 }
 
-Explained SettingsTree::Explain(std::string_view inPath, ESetting inSetting) const
+EffectiveSetting SettingsTree::Explain(std::string_view inPath, ESetting inSetting) const
 {
 	// Walk up until a node states the setting
 	for (std::string_view path = inPath; !path.empty(); path = ParentPath(path))
--- a/Loomreach/Settings/SettingsTree.h
+++ b/Loomreach/Settings/SettingsTree.h
@@ -32,7 +32,7 @@
 };
 
 /// The effective value of a setting, and the node that sets it.
-struct Explained
+struct EffectiveSetting
 {
 	SettingValue value;
 	std::string from; ///< Path of the node that sets the value; empty: the built-in default.
@@ -61,7 +61,7 @@
 	/// Returns the node at a path, or nullptr.
 	const SettingsNode *Find(std::string_view inPath) const;
 	/// Returns the effective value of a setting at the path of a node, and which node sets it.
-	Explained Explain(std::string_view inPath, ESetting inSetting) const;
+	EffectiveSetting Explain(std::string_view inPath, ESetting inSetting) const;
 	/// Returns the effective integer value of a setting at the path of a node.
 	int64 Number(std::string_view inPath, ESetting inSetting) const { return this->Explain(inPath, inSetting).value.number; }
 	/// Returns the effective word of a setting at the path of a node.
--- a/Loomreach/State/ApplyProposals.cpp
+++ b/Loomreach/State/ApplyProposals.cpp
@@ -94,7 +94,7 @@
 {
 	if (inHost.phase != EHostPhase::Active)
 		return FailFalse(EError::WrongPhase, inHost.spec.name + " is " + std::string(NameOfPhase(inHost.phase)));
-	if (!inWave.empty() && inWave != cPlatformDrain)
+	if (!inWave.empty() && inWave != cPlatformDrainWave)
 	{
 		auto wave = this->state.waves.find(inWave);
 		if (wave == this->state.waves.end())
@@ -518,9 +518,9 @@
 
 } // namespace
 
-Verdict FoldProposal(FleetState &ioState, LogPosition inPosition, const Proposal &inProposal)
+ProposalOutcome ApplyProposal(FleetState &ioState, LogPosition inPosition, const Proposal &inProposal)
 {
-	Verdict outcome{inProposal.id, inProposal.Kind(), inPosition, EError::None, {}};
+	ProposalOutcome outcome{inProposal.id, inProposal.Kind(), inPosition, EError::None, {}};
 	auto proposer = ioState.proposers.find(inProposal.id.incarnation);
 	// A process appends in order and repeats a batch until it is confirmed, so a sequence number that is not newer is a duplicate
 	if (proposer != ioState.proposers.end() && inProposal.id.sequence <= proposer->second.sequence)
@@ -539,10 +539,10 @@
 	return outcome;
 }
 
-std::vector<Verdict> FoldRecord(FleetState &ioState, LogOffset inOffset, std::string_view inRecord)
+std::vector<ProposalOutcome> ApplyLogRecord(FleetState &ioState, LogOffset inOffset, std::string_view inRecord)
 {
 	LOOM_INVARIANT(inOffset >= ioState.next_offset, "records are applied once and in log order");
-	std::vector<Verdict> outcomes;
+	std::vector<ProposalOutcome> outcomes;
 	const std::optional<Batch> batch = DecodeBatch(inRecord);
 	if (!batch.has_value())
 	{
@@ -552,7 +552,7 @@
 	{
 		uint64 index = 0;
 		for (const Proposal &proposal : *batch)
-			outcomes.push_back(FoldProposal(ioState, PositionAt(inOffset, index++), proposal));
+			outcomes.push_back(ApplyProposal(ioState, PositionAt(inOffset, index++), proposal));
 	}
 	ioState.next_offset = inOffset + 1;
 	return outcomes;
--- a/Loomreach/State/ApplyProposals.h
+++ b/Loomreach/State/ApplyProposals.h
@@ -10,7 +10,7 @@
 {
 
 /// Outcome of one proposal.
-struct Verdict
+struct ProposalOutcome
 {
 	ProposalId id;
 	EProposal kind = EProposal::Count;
@@ -22,10 +22,10 @@
 };
 
 /// Applies one proposal at its log position.
-Verdict FoldProposal(FleetState &ioState, LogPosition inPosition, const Proposal &inProposal);
+ProposalOutcome ApplyProposal(FleetState &ioState, LogPosition inPosition, const Proposal &inProposal);
 
 /// Applies the record at an offset not yet applied. A record that cannot be decoded changes nothing but the state's offset, on every entry
 /// host, and gives one outcome with the reason.
-std::vector<Verdict> FoldRecord(FleetState &ioState, LogOffset inOffset, std::string_view inRecord);
+std::vector<ProposalOutcome> ApplyLogRecord(FleetState &ioState, LogOffset inOffset, std::string_view inRecord);
 
 } // namespace Loomreach
--- a/Loomreach/State/Records.h
+++ b/Loomreach/State/Records.h
@@ -155,7 +155,7 @@
 };
 
 /// Used in place of a wave's name when a host is drained because the platform is about to remove it.
-constexpr std::string_view cPlatformDrain = "@platform";
+constexpr std::string_view cPlatformDrainWave = "@platform";
 
 /// Takes a host one step through its lifecycle. Precondition: `generation` is the host's present one.
 struct StepHost
--- a/Loomreach/State/Snapshot.cpp
+++ b/Loomreach/State/Snapshot.cpp
@@ -15,7 +15,7 @@
 static constexpr size_t cMaxPieceBytes = cPieceBytes + 4096;
 static constexpr uint32 cMaxPieces = 1024;
 
-std::vector<std::string> CutSnapshot(LogOffset inNextOffset, std::string_view inEncodedState)
+std::vector<std::string> SplitSnapshot(LogOffset inNextOffset, std::string_view inEncodedState)
 {
 	const uint32 count = static_cast<uint32>((inEncodedState.size() + cPieceBytes - 1) / cPieceBytes);
 	const uint64 hash = HashBytes(inEncodedState);
--- a/Loomreach/State/Snapshot.h
+++ b/Loomreach/State/Snapshot.h
@@ -25,7 +25,7 @@
 };
 
 /// Splits an encoded state into pieces in envelopes, each small enough for one record.
-std::vector<std::string> CutSnapshot(LogOffset inNextOffset, std::string_view inEncodedState);
+std::vector<std::string> SplitSnapshot(LogOffset inNextOffset, std::string_view inEncodedState);
 
 /// Assembles snapshots from pieces, which may come in any order, repeatedly, and mixed with those of other snapshots.
 class SnapshotAssembler
--- a/PerformanceTest/Benchmarks.cpp
+++ b/PerformanceTest/Benchmarks.cpp
@@ -73,7 +73,7 @@
 			batch.push_back({{2, ++sequence}, StepHost{host->first, EHostStep::Unquarantine, host->second.generation, "", "", 0}});
 		const std::string record = EncodeBatch(batch);
 		ioState.ResumeTiming();
-		benchmark::DoNotOptimize(FoldRecord(fleet.state, fleet.state.next_offset, record));
+		benchmark::DoNotOptimize(ApplyLogRecord(fleet.state, fleet.state.next_offset, record));
 	}
 	ioState.SetItemsProcessed(ioState.iterations());
 }
@@ -144,7 +144,7 @@
 	PeerTracker tracker("entry-0", "zone-0", 1000, 1000);
 	for (const auto &[name, member] : inState.view.members)
 	{
-		Digest heartbeat;
+		HeartbeatMessage heartbeat;
 		heartbeat.name = name;
 		heartbeat.incarnation = member.incarnation;
 		heartbeat.sequence = 1;
@@ -162,9 +162,9 @@
 	const PeerTracker tracker = TrackAllMembers(fleet.state);
 	for (auto _ : ioState)
 	{
-		const StewardPicker picker(fleet.state.view, tracker, "entry-0", true, false, 10);
+		const PlannerAssignment assignment(fleet.state.view, tracker, "entry-0", true, false, 10);
 		for (const auto &[path, pool] : fleet.state.pools)
-			benchmark::DoNotOptimize(picker.IsMine("pool:" + path));
+			benchmark::DoNotOptimize(assignment.IsMine("pool:" + path));
 	}
 }
 
@@ -174,9 +174,9 @@
 	const PeerTracker tracker = TrackAllMembers(fleet.state);
 	for (auto _ : ioState)
 	{
-		const StewardPicker picker(fleet.state.view, tracker, "entry-0", true, false, 10);
+		const PlannerAssignment assignment(fleet.state.view, tracker, "entry-0", true, false, 10);
 		for (const auto &[name, host] : fleet.state.hosts)
-			benchmark::DoNotOptimize(picker.IsMineIn("host:" + name, host.spec.availability_zone));
+			benchmark::DoNotOptimize(assignment.IsMineIn("host:" + name, host.spec.availability_zone));
 	}
 }
 
@@ -203,7 +203,7 @@
 void DigestSealAndOpen(benchmark::State &ioState)
 {
 	const PeerCodec codec("a key of sixteen bytes");
-	Digest heartbeat;
+	HeartbeatMessage heartbeat;
 	heartbeat.name = "entry-0";
 	heartbeat.availability_zone = "zone-0";
 	heartbeat.peers = {"127.0.0.1", 1000};
@@ -212,9 +212,9 @@
 	size_t bytes = 0;
 	for (auto _ : ioState)
 	{
-		const std::string sealed = codec.SealDigest(heartbeat);
+		const std::string sealed = codec.SealHeartbeat(heartbeat);
 		bytes = sealed.size();
-		benchmark::DoNotOptimize(codec.OpenDigest(sealed));
+		benchmark::DoNotOptimize(codec.OpenHeartbeat(sealed));
 	}
 	ioState.counters["bytes"] = static_cast<double>(bytes);
 }
--- a/PerformanceTest/FleetBuilder.cpp
+++ b/PerformanceTest/FleetBuilder.cpp
@@ -70,7 +70,7 @@
 		spec.capacity = {16'000, 32'768, 2};
 		spec.slots = 8;
 		spec.connections = 64;
-		const Verdict added = this->Apply(AddHost{spec, PoolPathOf(i % inShape.pools)});
+		const ProposalOutcome added = this->Apply(AddHost{spec, PoolPathOf(i % inShape.pools)});
 		this->Apply(StepHost{spec.name, EHostStep::Healthy, added.position, "", "", 0});
 	}
 	ChangeView view{0, {}, true};
@@ -84,10 +84,10 @@
 	this->Apply(std::move(view));
 }
 
-Verdict FleetBuilder::Apply(ProposalBody inBody)
+ProposalOutcome FleetBuilder::Apply(ProposalBody inBody)
 {
 	const Proposal proposal{{1, ++this->sequence}, std::move(inBody)};
-	return FoldProposal(this->state, PositionAt(this->state.next_offset++, 0), proposal);
+	return ApplyProposal(this->state, PositionAt(this->state.next_offset++, 0), proposal);
 }
 
 void FleetBuilder::PlaceAll()
--- a/PerformanceTest/FleetBuilder.h
+++ b/PerformanceTest/FleetBuilder.h
@@ -35,7 +35,7 @@
 	explicit FleetBuilder(const FleetShape &inShape);
 
 	/// Applies a proposal at the next position of the log.
-	Verdict Apply(ProposalBody inBody);
+	ProposalOutcome Apply(ProposalBody inBody);
 	/// Places all replicas for which there is a host.
 	void PlaceAll();
 
--- a/PerformanceTest/PolicyComparison.cpp
+++ b/PerformanceTest/PolicyComparison.cpp
@@ -46,7 +46,7 @@
 	};
 	print("fixed share", RunSlots<FixedSlotShare>(load, FLAGS_seed));
 	print("demand share", RunSlots<DemandSlotShare>(load, FLAGS_seed));
-	print("endpoint refusal", RunSlots<EndpointRefusal>(load, FLAGS_seed));
+	print("endpoint refusal", RunSlots<UnlimitedSlotShare>(load, FLAGS_seed));
 }
 
 void CompareOverload(double inLoad, uint32 inFailedWorkers)
--- a/PerformanceTest/SlotModel.cpp
+++ b/PerformanceTest/SlotModel.cpp
@@ -124,6 +124,6 @@
 
 template SlotCost RunSlots<FixedSlotShare>(const SlotLoad &, uint64);
 template SlotCost RunSlots<DemandSlotShare>(const SlotLoad &, uint64);
-template SlotCost RunSlots<EndpointRefusal>(const SlotLoad &, uint64);
+template SlotCost RunSlots<UnlimitedSlotShare>(const SlotLoad &, uint64);
 
 } // namespace Loomreach
--- a/PerformanceTest/SlotModel.h
+++ b/PerformanceTest/SlotModel.h
@@ -32,6 +32,6 @@
 
 extern template SlotCost RunSlots<FixedSlotShare>(const SlotLoad &, uint64);
 extern template SlotCost RunSlots<DemandSlotShare>(const SlotLoad &, uint64);
-extern template SlotCost RunSlots<EndpointRefusal>(const SlotLoad &, uint64);
+extern template SlotCost RunSlots<UnlimitedSlotShare>(const SlotLoad &, uint64);
 
 } // namespace Loomreach
--- a/SoakTests/Main.cpp
+++ b/SoakTests/Main.cpp
@@ -382,8 +382,8 @@
 			if (peer.get() == &ioNode || peer->paused || !this->CanReachPeer(ioNode, *peer) ||
 				this->random.Below(100) < this->heartbeat_drop_percent)
 				continue;
-			Digest heartbeat = peer->MakeHeartbeat(this->now);
-			const Digest duplicate = heartbeat;
+			HeartbeatMessage heartbeat = peer->MakeHeartbeat(this->now);
+			const HeartbeatMessage duplicate = heartbeat;
 			ioNode.tracker.Hear(std::move(heartbeat), this->now);
 			// A duplicated datagram must change nothing
 			LOOM_INVARIANT(!ioNode.tracker.Hear(duplicate, this->now), "a replayed digest is refused");
@@ -408,11 +408,11 @@
 		}
 		if (!ioNode.ready)
 			return;
-		const StewardPicker picker = ioNode.Picker(this->now);
+		const PlannerAssignment assignment = ioNode.MakeAssignment(this->now);
 		std::set<std::string> polled;
 		for (const auto &[host_name, host] : ioNode.state.hosts)
 		{
-			if (!picker.IsMineIn("host:" + host_name, host.spec.availability_zone))
+			if (!assignment.IsMineIn("host:" + host_name, host.spec.availability_zone))
 				continue;
 			polled.insert(host_name);
 			this->PollWorker(ioNode, host);
@@ -426,7 +426,7 @@
 		while (this->reference.next_offset < this->log.records.Next())
 		{
 			const LogOffset offset = this->reference.next_offset;
-			for (const Verdict &outcome : FoldRecord(this->reference, offset, this->log.records.records[offset]))
+			for (const ProposalOutcome &outcome : ApplyLogRecord(this->reference, offset, this->log.records.records[offset]))
 				this->CheckOutcome(outcome);
 			if (offset % 16 == 0)
 				this->reference.CheckInvariants();
@@ -434,7 +434,7 @@
 		}
 	}
 
-	void CheckOutcome(const Verdict &inOutcome)
+	void CheckOutcome(const ProposalOutcome &inOutcome)
 	{
 		if (inOutcome.error == EError::DuplicateProposal)
 		{
--- a/SoakTests/SoakNode.cpp
+++ b/SoakTests/SoakNode.cpp
@@ -24,7 +24,7 @@
 
 Member SoakNode::Self() const { return {this->name, this->incarnation, "here", this->zone, {"127.0.0.1", 1}, {"127.0.0.1", 2}}; }
 
-StewardPicker SoakNode::Picker(Millis inNow) const
+PlannerAssignment SoakNode::MakeAssignment(Millis inNow) const
 {
 	return {this->state.view, this->tracker, this->name, this->reaches_platform, false, inNow};
 }
@@ -32,9 +32,9 @@
 void SoakNode::ApplyRecord(LogOffset inOffset, const std::string &inRecord)
 {
 	const LogPosition version = this->state.settings_version;
-	std::vector<Verdict> applied = FoldRecord(this->state, inOffset, inRecord);
+	std::vector<ProposalOutcome> applied = ApplyLogRecord(this->state, inOffset, inRecord);
 	LOOM_INVARIANT(this->state.settings_version >= version, "the accepted settings version never decreases");
-	for (const Verdict &outcome : applied)
+	for (const ProposalOutcome &outcome : applied)
 		if (outcome.id.incarnation == this->incarnation)
 			this->queue.OnSeen(outcome.id.sequence);
 	this->outcomes.insert(this->outcomes.end(), applied.begin(), applied.end());
@@ -94,9 +94,9 @@
 	this->ready = true;
 }
 
-Digest SoakNode::MakeHeartbeat(Millis inNow)
+HeartbeatMessage SoakNode::MakeHeartbeat(Millis inNow)
 {
-	Digest heartbeat;
+	HeartbeatMessage heartbeat;
 	heartbeat.name = this->name;
 	heartbeat.incarnation = this->incarnation;
 	heartbeat.sequence = ++this->sequence;
@@ -119,8 +119,8 @@
 		change.has_value())
 		this->Propose(std::move(*change), inNow);
 	const bool heartbeat_due = inNow - this->log_heartbeat_sent >= cSuspectMs && inNow - listening_since >= cSuspectMs;
-	if (heartbeat_due && this->Picker(inNow).IsMineIn("log-beat", this->zone) &&
-		NeedsLogBeat(this->state.view, this->tracker, this->zone, cSuspectMs, inNow))
+	if (heartbeat_due && this->MakeAssignment(inNow).IsMineIn("log-beat", this->zone) &&
+		NeedsLogHeartbeat(this->state.view, this->tracker, this->zone, cSuspectMs, inNow))
 	{
 		this->log_heartbeat_sent = inNow;
 		this->Propose(ZoneAlive{this->zone}, inNow);
@@ -135,10 +135,10 @@
 	}
 	if (!take.ranges.empty())
 		this->Propose(std::move(take), inNow);
-	const StewardPicker picker = this->Picker(inNow);
-	const HostKeeper lifecycle(this->state, this->observations, {3000, 100, 20'000}, inNow);
-	if (picker.IsMine("hosts"))
-		for (ProposalBody &body : lifecycle.FollowList())
+	const PlannerAssignment assignment = this->MakeAssignment(inNow);
+	const HostLifecycle lifecycle(this->state, this->observations, {3000, 100, 20'000}, inNow);
+	if (assignment.IsMine("hosts"))
+		for (ProposalBody &body : lifecycle.FollowHostList())
 			this->Propose(std::move(body), inNow);
 	for (const auto &[host_name, observation] : this->observations.hosts)
 		if (auto host = this->state.hosts.find(host_name); host != this->state.hosts.end())
@@ -146,11 +146,11 @@
 				this->Propose(std::move(body), inNow);
 	std::set<std::string> unresponsive_hosts;
 	for (const auto &[host_name, host] : this->state.hosts)
-		if (picker.SilentZones().count(host.spec.availability_zone) != 0)
+		if (assignment.UnresponsiveZones().count(host.spec.availability_zone) != 0)
 			unresponsive_hosts.insert(host_name);
 	for (const auto &[path, pool] : this->state.pools)
 	{
-		if (!picker.IsMine("pool:" + path))
+		if (!assignment.IsMine("pool:" + path))
 			continue;
 		for (ProposalBody &body : PlacementPlanner(this->state, path).Plan().proposals)
 			this->Propose(std::move(body), inNow);
@@ -175,9 +175,9 @@
 void SoakNode::MaybeSnapshot(FakeLog &ioLog, Random &ioRandom, Millis inNow)
 {
 	const bool due = this->state.next_offset >= this->snapshot_offset + cSnapshotEveryRecords;
-	if (!this->ready || !due || this->is_partitioned || !this->Picker(inNow).IsMine("snapshot"))
+	if (!this->ready || !due || this->is_partitioned || !this->MakeAssignment(inNow).IsMine("snapshot"))
 		return;
-	for (const std::string &piece : CutSnapshot(this->state.next_offset, EncodeState(this->state)))
+	for (const std::string &piece : SplitSnapshot(this->state.next_offset, EncodeState(this->state)))
 		if (!ioLog.Append(ioLog.snapshots, piece, ioRandom))
 			return;
 	this->snapshot_offset = this->state.next_offset;
--- a/SoakTests/SoakNode.h
+++ b/SoakTests/SoakNode.h
@@ -35,8 +35,8 @@
 	/// Queues a proposal, of this node's planners or of an operator.
 	void Propose(ProposalBody inBody, Millis inNow) { this->queue.Add(std::move(inBody), inNow); }
 	/// The heartbeat message to send now.
-	Digest MakeHeartbeat(Millis inNow);
-	StewardPicker Picker(Millis inNow) const;
+	HeartbeatMessage MakeHeartbeat(Millis inNow);
+	PlannerAssignment MakeAssignment(Millis inNow) const;
 	Member Self() const;
 
 	std::string name;
@@ -50,7 +50,7 @@
 	PeerTracker tracker;
 	AppendQueue queue;
 	Observations observations;
-	std::vector<Verdict> outcomes; ///< Outcomes of the proposals that were applied in this round.
+	std::vector<ProposalOutcome> outcomes; ///< Outcomes of the proposals that were applied in this round.
 	uint64 sequence = 0;
 	uint64 snapshots_written = 0;
 
--- a/TestSupport/Platform/EndLedger.cpp
+++ b/TestSupport/Platform/EndLedger.cpp
@@ -7,18 +7,18 @@
 namespace Loomreach
 {
 
-std::string RunSeen::Text() const
+std::string ObservedRun::Text() const
 {
 	return this->task + " run " + std::to_string(this->run) + " on " + this->worker + " at " + std::to_string(this->at);
 }
 
-std::string EndLedger::DescribeViolation(const RunSeen &inStart, const AcknowledgedEnd &inEnd)
+std::string EndLedger::DescribeViolation(const ObservedRun &inStart, const AcknowledgedEnd &inEnd)
 {
 	return "started after it was done: " + inStart.Text() + "; done: " + inEnd.run.Text() + " as end " + std::to_string(inEnd.number) +
 		   ", taken note of at " + std::to_string(inEnd.acknowledged_at);
 }
 
-std::vector<std::string> EndLedger::Start(const RunSeen &inRun)
+std::vector<std::string> EndLedger::Start(const ObservedRun &inRun)
 {
 	// An end that is still unacknowledged may be acknowledged later: the start is checked then
 	for (auto &[worker, ends] : this->unacknowledged)
@@ -34,7 +34,7 @@
 	return {};
 }
 
-void EndLedger::Done(const RunSeen &inRun, uint64 inNumber) { this->unacknowledged[inRun.worker].push_back({inRun, inNumber, {}}); }
+void EndLedger::Done(const ObservedRun &inRun, uint64 inNumber) { this->unacknowledged[inRun.worker].push_back({inRun, inNumber, {}}); }
 
 std::vector<std::string> EndLedger::Noted(const std::string &inWorker, uint64 inNumber, Millis inNow)
 {
@@ -48,7 +48,7 @@
 			continue;
 		}
 		const AcknowledgedEnd acknowledged_end{end.run, end.number, inNow};
-		for (const RunSeen &start : end.starts)
+		for (const ObservedRun &start : end.starts)
 			lines.push_back(DescribeViolation(start, acknowledged_end));
 		this->acknowledged.emplace(end.run.task, acknowledged_end);
 	}
@@ -63,7 +63,7 @@
 		return;
 	for (const UnacknowledgedEnd &end : ends->second)
 	{
-		for (const RunSeen &start : end.starts)
+		for (const ObservedRun &start : end.starts)
 			this->AddExcused(start, end.run);
 		this->never_acknowledged.emplace(end.run.task, end.run);
 	}
@@ -76,7 +76,7 @@
 	return ends == this->unacknowledged.end() ? 0 : ends->second.size();
 }
 
-void EndLedger::AddExcused(const RunSeen &inStart, const RunSeen &inEnd)
+void EndLedger::AddExcused(const ObservedRun &inStart, const ObservedRun &inEnd)
 {
 	this->excused.push_back(inStart.Text() + "; done, never taken note of: " + inEnd.Text());
 }
--- a/TestSupport/Platform/EndLedger.h
+++ b/TestSupport/Platform/EndLedger.h
@@ -10,7 +10,7 @@
 {
 
 /// A run that a worker started or ended, as the fake worker observed it.
-struct RunSeen
+struct ObservedRun
 {
 	std::string task;
 	uint32 run = 0;
@@ -25,9 +25,9 @@
 {
 public:
 	/// Records a start. Returns the violations that are certain already, one line each.
-	std::vector<std::string> Start(const RunSeen &inRun);
+	std::vector<std::string> Start(const ObservedRun &inRun);
 	/// Records a done end with its sequence number in the worker's list.
-	void Done(const RunSeen &inRun, uint64 inNumber);
+	void Done(const ObservedRun &inRun, uint64 inNumber);
 	/// Records that an owner acknowledged all ends of the worker up to this number. Returns the earlier starts that violate the rule by it.
 	std::vector<std::string> Noted(const std::string &inWorker, uint64 inNumber, Millis inNow);
 	/// Records that the worker's lease expired: its ends that are not yet acknowledged never count.
@@ -43,24 +43,24 @@
 	/// A done end that is not acknowledged yet, and the starts of its task since.
 	struct UnacknowledgedEnd
 	{
-		RunSeen run;
+		ObservedRun run;
 		uint64 number = 0;
-		std::vector<RunSeen> starts;
+		std::vector<ObservedRun> starts;
 	};
 	/// An acknowledged end; it stays so whatever happens to the worker.
 	struct AcknowledgedEnd
 	{
-		RunSeen run;
+		ObservedRun run;
 		uint64 number = 0;
 		Millis acknowledged_at = 0;
 	};
 
-	void AddExcused(const RunSeen &inStart, const RunSeen &inEnd);
-	static std::string DescribeViolation(const RunSeen &inStart, const AcknowledgedEnd &inEnd);
+	void AddExcused(const ObservedRun &inStart, const ObservedRun &inEnd);
+	static std::string DescribeViolation(const ObservedRun &inStart, const AcknowledgedEnd &inEnd);
 
 	std::map<std::string, std::vector<UnacknowledgedEnd>> unacknowledged; ///< By worker.
 	std::map<std::string, AcknowledgedEnd> acknowledged;                  ///< By task: its first such end.
-	std::map<std::string, RunSeen> never_acknowledged;                    ///< By task: its first such end.
+	std::map<std::string, ObservedRun> never_acknowledged;                ///< By task: its first such end.
 	std::vector<std::string> excused;
 };
 
--- a/TestSupport/Platform/FakeFleet.cpp
+++ b/TestSupport/Platform/FakeFleet.cpp
@@ -387,13 +387,13 @@
 		started.crashes_at = started.started_at + PayloadNumber(payload, "crash", 0);
 	this->CheckCapacity(ioHost, started);
 	this->CheckCrashes(started);
-	const RunSeen observed{task, number, ioHost.Incarnation(), started.started_at};
+	const ObservedRun observed{task, number, ioHost.Incarnation(), started.started_at};
 	this->AddViolations(this->ends.Start(observed));
 	for (const auto &host : this->hosts)
 		for (const FakeRun &run : host->running)
 			if (run.task == task)
 				this->AddViolation("two runs at once: " + observed.Text() +
-								   "; there: " + RunSeen{task, run.run, host->Incarnation(), run.started_at}.Text());
+								   "; there: " + ObservedRun{task, run.run, host->Incarnation(), run.started_at}.Text());
 	++this->starts;
 	LogEvent(ELogLevel::Info, "fake_start")
 		.Field("worker", ioHost.Incarnation())
--- a/UnitTests/CellCancelTests.cpp
+++ b/UnitTests/CellCancelTests.cpp
@@ -1,5 +1,5 @@
 // Cancelled jobs whose runs begin late: a start order was delayed for seconds, and its sender may have stopped. No run of such a job may go
-// on for longer than a worker in contact needs to stop it (CellWorld::CheckCanceled).
+// on for longer than a worker in contact needs to stop it (CellSimulation::CheckCanceled).
 
 #include <Loomreach/Loomreach.h>
 
@@ -19,9 +19,9 @@
 constexpr Millis cLongRunMs = 30000;
 
 /// Delayed starts, and owners that are killed or hand over. Polls and stops arrive.
-Trouble DelayedStarts(Random &ioRandom)
+SimulationFaults DelayedStarts(Random &ioRandom)
 {
-	Trouble faults;
+	SimulationFaults faults;
 	faults.late_start = 20 + ioRandom.Below(80);
 	faults.owner_kill = ioRandom.Below(40);
 	faults.owner_handover = ioRandom.Below(15);
@@ -37,9 +37,9 @@
 }
 
 /// The same with polls and stops that are lost or late too, and workers that are unreachable, slow, replaced or drained.
-Trouble DelayedOrders(Random &ioRandom)
+SimulationFaults DelayedOrders(Random &ioRandom)
 {
-	Trouble faults = DelayedStarts(ioRandom);
+	SimulationFaults faults = DelayedStarts(ioRandom);
 	faults.late_order = ioRandom.Below(20);
 	faults.lost_order = ioRandom.Below(8);
 	faults.lost_answer = ioRandom.Below(8);
@@ -55,9 +55,9 @@
 }
 
 /// Entries that lapse often, with the default lease: it ends in time what a successor cannot reach.
-Trouble LapsingEntries(Random &ioRandom)
+SimulationFaults LapsingEntries(Random &ioRandom)
 {
-	Trouble faults = DelayedStarts(ioRandom);
+	SimulationFaults faults = DelayedStarts(ioRandom);
 	faults.entry_lapse = 10 + ioRandom.Below(20);
 	faults.owner_kill = 10 + ioRandom.Below(30);
 	faults.lease_ms = 0;
@@ -67,7 +67,7 @@
 /// Options of a cancel simulation.
 struct CancelOptions
 {
-	bool needs_address = true; ///< See CellWorld.
+	bool needs_address = true; ///< See CellSimulation.
 	/// The cancelled jobs' tasks are long-running, and until the cancel their stops are limited by how many others are missing.
 	bool long_running = false;
 };
@@ -78,7 +78,7 @@
 	StepSpec &step = ioJob.steps[0];
 	step.lasting = true;
 	step.max_per_worker = 1;
-	step.limits_misses = true;
+	step.limits_unavailable = true;
 	step.may_miss = 1;
 }
 
@@ -90,11 +90,11 @@
 };
 
 /// Cancels jobs within five seconds of their submission, beside other jobs that keep the workers' leases renewed.
-CancelResult RunCancelSimulation(uint64 inSeed, Trouble (*inKind)(Random &), const CancelOptions &inOptions = {})
+CancelResult RunCancelSimulation(uint64 inSeed, SimulationFaults (*inKind)(Random &), const CancelOptions &inOptions = {})
 {
 	SetInvariantsAbort(true);
 	Random random(inSeed);
-	CellWorld simulation(inSeed, inKind(random), 2 + random.Below(4));
+	CellSimulation simulation(inSeed, inKind(random), 2 + random.Below(4));
 	simulation.needs_address = inOptions.needs_address;
 	std::vector<std::pair<Millis, std::string>> cancels;
 	for (Millis at = 0; at < 30000; at += 100)
@@ -185,7 +185,7 @@
 	std::vector<KeyedRecord> batch; ///< The append in flight.
 	std::map<std::string, std::string> log;
 	std::vector<Order> sent;
-	std::vector<RunningRow> running; ///< Runs on the worker.
+	std::vector<RunningRun> running; ///< Runs on the worker.
 
 private:
 	void AnswerOrders()
@@ -206,7 +206,7 @@
 			if (answers && order.kind == EOrder::Hold)
 				answer.running = this->running;
 			if (answers && order.kind == EOrder::Stop)
-				std::erase_if(this->running, [&](const RunningRow &inRow) { return inRow.task == order.task && inRow.run == order.run; });
+				std::erase_if(this->running, [&](const RunningRun &inRow) { return inRow.task == order.task && inRow.run == order.run; });
 			this->cell.OnAnswer(order, answer, this->now - 5, this->now);
 		}
 	}
@@ -274,7 +274,7 @@
 	EXPECT_EQ(harness.cell.Figures().runs, 0u);
 }
 
-TEST(CellCancel, ARunStaysKnownWhileItsWorkerIsSilent)
+TEST(CellCancel, ARunStaysKnownWhileItsWorkerIsUnresponsive)
 {
 	OneWorkerHarness harness;
 	harness.Begin(1);
@@ -388,7 +388,7 @@
 /// Guards against an owner whose appends succeed while its inbox reads do not, and that starts what was cancelled seconds before.
 TEST(CellCancel, StartsNothingWhileTheInboxCannotBeRead)
 {
-	CellWorld simulation(1, Trouble{}, 4);
+	CellSimulation simulation(1, SimulationFaults{}, 4);
 	simulation.Run(500);
 	simulation.Core().SetInboxFresh(false);
 	simulation.Submit(MakeJob("job", 1, 4, 500, 800));
--- a/UnitTests/CellCapacityTests.cpp
+++ b/UnitTests/CellCapacityTests.cpp
@@ -42,7 +42,7 @@
 	/// Whether a job's task was dispatched to the worker.
 	bool HasStarted(const std::string &inId) const
 	{
-		return std::any_of(this->started.begin(), this->started.end(), [&](const RunningRow &inRow) { return inRow.task.job == inId; });
+		return std::any_of(this->started.begin(), this->started.end(), [&](const RunningRun &inRow) { return inRow.task.job == inId; });
 	}
 
 	void SetCores(int64 inMilli)
@@ -69,7 +69,7 @@
 	}
 
 	Cell cell{CellTuning{}};
-	std::vector<RunningRow> stray_runs; ///< Runs on the worker that were not dispatched; they end only when the test removes them.
+	std::vector<RunningRun> stray_runs; ///< Runs on the worker that were not dispatched; they end only when the test removes them.
 	bool log_blocked = false;
 	Millis now = 1000;
 
@@ -90,14 +90,14 @@
 	}
 
 	WorkerEntry entry;
-	std::vector<RunningRow> started;
+	std::vector<RunningRun> started;
 	uint64 offset = 0;
 };
 
 } // namespace
 
 /// While one job runs, the worker lists a run that no record contains: another job starts only once that run has ended.
-static void StartsOnlyAfter(const RunningRow &inStray, int64 inFirstCpu, int64 inSecondCpu)
+static void StartsOnlyAfter(const RunningRun &inStray, int64 inFirstCpu, int64 inSecondCpu)
 {
 	StrayRunSimulation simulation;
 	simulation.Run(200);
@@ -114,20 +114,20 @@
 	EXPECT_TRUE(simulation.HasStarted("b"));
 }
 
-TEST(CellRoom, AStoppedRunKeepsItsResourcesUntilItEnds)
+TEST(CellCapacity, AStoppedRunKeepsItsResourcesUntilItEnds)
 {
 	// A worker may have a run of a replaced owner that the records do not contain. It was stopped, but its resources were given away before
 	// it had ended: run_unknown, then runs_planned on the same worker, beyond its capacity
 	StartsOnlyAfter({{"a", 0, 0, 0}, 9, "", 50, 0}, 5000, 8000);
 }
 
-TEST(CellRoom, StartsNothingBesideARunOfUnknownSize)
+TEST(CellCapacity, StartsNothingBesideARunOfUnknownSize)
 {
 	// The same with a run of a job that the log no longer holds: the resources that it takes are unknown
 	StartsOnlyAfter({{"forgotten", 0, 0, 0}, 1, "", 50, 0}, 1000, 1000);
 }
 
-TEST(CellRoom, DispatchesNoRunThatNoLongerFits)
+TEST(CellCapacity, DispatchesNoRunThatNoLongerFits)
 {
 	// The worker's capacity shrinks while the log is being written
 	StrayRunSimulation simulation;
@@ -146,21 +146,21 @@
 	EXPECT_TRUE(simulation.HasStarted("a"));
 }
 
-TEST(CellRoom, KeepsWithinRoomThatShrinksAndGrows)
+TEST(CellCapacity, KeepsWithinCapacityThatShrinksAndGrows)
 {
 	// Also over owner changes: a run in the log takes its resources whoever owns the cell
 	SetInvariantsAbort(true);
 	for (uint64 seed = 1; seed <= 60; ++seed)
 	{
 		Random random(seed);
-		Trouble faults;
+		SimulationFaults faults;
 		faults.capacity_shrink = 20;
 		faults.owner_kill = random.Below(10);
 		faults.lost_answer = random.Below(8);
 		faults.late_order = random.Below(5);
 		faults.slow_stop = random.Below(60);
 		faults.slow_append = random.Below(20);
-		CellWorld simulation(seed, faults, 4);
+		CellSimulation simulation(seed, faults, 4);
 		for (int i = 0; i < 30; ++i)
 		{
 			const std::string id = "job" + std::to_string(i);
@@ -177,15 +177,15 @@
 	}
 }
 
-RC_GTEST_PROP(CellRoom, KeepsWithinRoomOverCrashesTakeOversAndLostRacks, ())
+RC_GTEST_PROP(CellCapacity, KeepsWithinCapacityOverCrashesTakeOversAndLostRacks, ())
 {
 	constexpr size_t cWorkers = 12;
 	const uint64 seed = *rc::gen::inRange<uint64>(1, 1'000'000'000);
 	Random random(seed);
-	Trouble faults = AllFaults(random);
+	SimulationFaults faults = AllFaults(random);
 	faults.capacity_shrink = 10 + random.Below(20);
 	faults.owner_kill += random.Below(15);
-	CellWorld simulation(seed, faults, cWorkers);
+	CellSimulation simulation(seed, faults, cWorkers);
 	AssignRacks(simulation);
 	int next = 0;
 	for (int i = 0; i < 6; ++i)
@@ -200,10 +200,10 @@
 	simulation.ClearFaults();
 	simulation.Run(90000);
 	// Only violations of capacity: the limit on crashing tasks has its own property
-	std::string no_room;
+	std::string no_capacity;
 	for (const std::string &line : simulation.violations)
-		no_room += line.find("no room") == std::string::npos ? "" : line + '\n';
-	RC_ASSERT(no_room + simulation.Open() == "");
+		no_capacity += line.find("no room") == std::string::npos ? "" : line + '\n';
+	RC_ASSERT(no_capacity + simulation.Open() == "");
 }
 
 } // namespace Loomreach::Jobs
--- a/UnitTests/CellCrashTests.cpp
+++ b/UnitTests/CellCrashTests.cpp
@@ -28,7 +28,7 @@
 constexpr Millis cCrashMs = 10;
 constexpr size_t cWorkers = 12;
 
-std::string Failures(const CellWorld &inSimulation) { return inSimulation.Broken() + inSimulation.GivenUp(); }
+std::string Failures(const CellSimulation &inSimulation) { return inSimulation.Broken() + inSimulation.GivenUp(); }
 
 } // namespace
 
@@ -36,7 +36,7 @@
 {
 	Random random(1);
 	int next = 0;
-	CellWorld simulation(1, Trouble{}, cWorkers);
+	CellSimulation simulation(1, SimulationFaults{}, cWorkers);
 	simulation.Run(500);
 	for (int i = 0; i < 3; ++i)
 		simulation.Submit(MakeCrashingJob(simulation, "bad" + std::to_string(i), 1, cCrashMs));
@@ -55,7 +55,7 @@
 	{
 		Random random(seed);
 		int next = 0;
-		CellWorld simulation(seed, Trouble{}, cWorkers);
+		CellSimulation simulation(seed, SimulationFaults{}, cWorkers);
 		simulation.back_after_ms = 8000;
 		simulation.Run(500);
 		for (int i = 0; i < 3; ++i)
@@ -73,7 +73,7 @@
 {
 	for (uint64 seed = 1; seed <= 200; ++seed)
 	{
-		CellWorld simulation(seed, Trouble{}, cWorkers);
+		CellSimulation simulation(seed, SimulationFaults{}, cWorkers);
 		simulation.crashed_keep_ids = true;
 		AssignRacks(simulation);
 		simulation.Run(500);
@@ -87,7 +87,7 @@
 /// A pool sized by requested resources alone was left with two hosts for sixty tasks that waited for their trial runs.
 TEST(CellCrash, TasksThatWaitForATrialCountForTheSizeOfTheirPool)
 {
-	CellWorld simulation(1, Trouble{}, 2);
+	CellSimulation simulation(1, SimulationFaults{}, 2);
 	simulation.Run(500);
 	simulation.run_ms["sound"] = 1000;
 	simulation.Submit(MakeJob("sound", 1, 12, 500, 800));
@@ -111,7 +111,7 @@
 	{
 		Random random(seed);
 		int next = 0;
-		CellWorld simulation(seed, Trouble{}, cWorkers);
+		CellSimulation simulation(seed, SimulationFaults{}, cWorkers);
 		simulation.Run(500);
 		simulation.Submit(MakeCrashingJob(simulation, "bad", 2, cCrashMs));
 		for (int i = 0; i < 20; ++i)
@@ -128,7 +128,7 @@
 
 TEST(CellCrash, GivesUpAGangOneOfWhoseMembersCrashesItsWorker)
 {
-	CellWorld simulation(1, Trouble{}, cWorkers);
+	CellSimulation simulation(1, SimulationFaults{}, cWorkers);
 	simulation.Run(500);
 	JobSpec gang = MakeCrashingJob(simulation, "gang", 3, cCrashMs);
 	gang.steps[0].gang = true;
@@ -138,9 +138,9 @@
 	EXPECT_EQ(simulation.Shown("gang").phase, EJobPhase::Failed);
 }
 
-TEST(CellCrash, GivesUpALastingTaskThatCrashesEachWorker)
+TEST(CellCrash, GivesUpALongRunningTaskThatCrashesEachWorker)
 {
-	CellWorld simulation(1, Trouble{}, cWorkers);
+	CellSimulation simulation(1, SimulationFaults{}, cWorkers);
 	simulation.Run(500);
 	JobSpec lasting = MakeCrashingJob(simulation, "lasting", 2, cCrashMs);
 	lasting.steps[0].lasting = true;
@@ -156,7 +156,7 @@
 	{
 		Random random(1);
 		int next = 0;
-		CellWorld simulation(1, Trouble{}, cWorkers);
+		CellSimulation simulation(1, SimulationFaults{}, cWorkers);
 		simulation.Run(500);
 		simulation.run_ms["bad"] = 5000;
 		simulation.Submit(MakeCrashingJob(simulation, "bad", 1, after));
@@ -175,7 +175,7 @@
 	{
 		Random random(seed);
 		int next = 0;
-		CellWorld simulation(seed, Trouble{}, cWorkers);
+		CellSimulation simulation(seed, SimulationFaults{}, cWorkers);
 		AssignRacks(simulation);
 		simulation.Run(500);
 		JobSpec lasting = MakeJob("lasting", 1, 4, 1000, 500);
@@ -204,7 +204,7 @@
 	{
 		Random random(seed);
 		int next = 0;
-		CellWorld simulation(seed, Trouble{}, cWorkers);
+		CellSimulation simulation(seed, SimulationFaults{}, cWorkers);
 		AssignRacks(simulation);
 		simulation.Run(500);
 		for (int i = 0; i < 12; ++i)
@@ -231,7 +231,7 @@
 	// (worker i-m2-0 crashed with no run on it) and the workers of its other runs had crashed by chance:
 	//     run_ended ... run=2 worker=i-m2-0 end=lapsed state=inherited ... answer_ms_ago=-1 closed_ms_ago=-1
 	//     task_blamed ... run=2 worker=i-m2-0 blamed=1 at_once=0 beside=1 seen_ms=-1 ...
-	CellWorld simulation(1, Trouble{}, 4);
+	CellSimulation simulation(1, SimulationFaults{}, 4);
 	simulation.run_ms["a"] = 2000;
 	simulation.Run(500);
 	simulation.Submit(MakeJob("a", 1, 1, 1000, 2000));
@@ -261,7 +261,7 @@
 	// A trial run proves nothing if another worker of the rack is lost during it; without a limit the task would be tried forever
 	for (uint64 seed = 1; seed <= 20; ++seed)
 	{
-		CellWorld simulation(seed, Trouble{}, 6);
+		CellSimulation simulation(seed, SimulationFaults{}, 6);
 		simulation.Run(500);
 		JobSpec lasting = MakeJob("lasting", 1, 6, 1000, 500);
 		lasting.steps[0].lasting = true;
@@ -290,7 +290,7 @@
 }
 
 /// Crashes the workers on which a job runs. Returns their number.
-static size_t CrashWorkersOf(CellWorld &ioSimulation, const std::string &inJob)
+static size_t CrashWorkersOf(CellSimulation &ioSimulation, const std::string &inJob)
 {
 	std::vector<std::string> lost;
 	for (const auto &[id, worker] : ioSimulation.Workers())
@@ -302,13 +302,13 @@
 	return lost.size();
 }
 
-TEST(CellCrash, ALastingTaskThatIsAtWorkIsSuspectedNoMore)
+TEST(CellCrash, ALongRunningTaskThatIsAtWorkIsSuspectedNoMore)
 {
 	// Over months the workers of long-running tasks crash by chance, also right after a start. If all these crashes counted, the job would
 	// be failed; and a run isolated for its trial would keep all others off its worker for good
 	for (uint64 seed = 1; seed <= 10; ++seed)
 	{
-		CellWorld simulation(seed, Trouble{}, 3);
+		CellSimulation simulation(seed, SimulationFaults{}, 3);
 		simulation.Run(500);
 		JobSpec lasting = MakeJob("lasting", 1, 1, 1000, 500);
 		lasting.steps[0].lasting = true;
@@ -359,9 +359,9 @@
 {
 	Random random(inSeed);
 	int next = 0;
-	Trouble faults;
+	SimulationFaults faults;
 	faults.owner_kill = random.Below(10);
-	CellWorld simulation(inSeed, faults, cWorkers);
+	CellSimulation simulation(inSeed, faults, cWorkers);
 	simulation.crashed_keep_ids = inWorkerIds == EWorkerIds::Kept;
 	AssignRacks(simulation);
 	simulation.Run(500);
@@ -446,9 +446,9 @@
 	{
 		Random random(seed);
 		int next = 0;
-		Trouble faults;
+		SimulationFaults faults;
 		faults.owner_kill = random.Below(10);
-		CellWorld simulation(seed, faults, cWorkers);
+		CellSimulation simulation(seed, faults, cWorkers);
 		AssignRacks(simulation);
 		simulation.Run(500);
 		for (int i = 0; i < 10; ++i)
@@ -477,12 +477,12 @@
 static std::string RunAllFaults(uint64 inSeed, uint64 inFailing, size_t &outWronglyFailed, size_t &outHealthy)
 {
 	Random random(inSeed);
-	Trouble faults = AllFaults(random);
+	SimulationFaults faults = AllFaults(random);
 	faults.capacity_shrink = random.Below(10);
 	// A host whose links lose packets is out of contact, and tasks that fail too often are rightly failed
 	faults.lost_order = 0;
 	faults.failed_run = std::min(faults.failed_run, inFailing);
-	CellWorld simulation(inSeed, faults, cWorkers);
+	CellSimulation simulation(inSeed, faults, cWorkers);
 	AssignRacks(simulation);
 	simulation.Run(500);
 	int next = 0;
--- a/UnitTests/CellDrainGrantTests.cpp
+++ b/UnitTests/CellDrainGrantTests.cpp
@@ -17,12 +17,12 @@
 
 static constexpr Millis cSlackMs = 300;
 
-TEST(CellPromise, IsKeptByASuccessorThatBeginsBeforeItIsOver)
+TEST(CellDrainGrant, IsKeptByASuccessorThatBeginsBeforeItIsOver)
 {
 	std::string violations;
 	for (uint64 seed = 1; seed <= 20; ++seed)
 	{
-		CellWorld simulation(seed, Trouble{}, 1);
+		CellSimulation simulation(seed, SimulationFaults{}, 1);
 		simulation.run_ms["job"] = 5000;
 		simulation.Run(500);
 		SimulatedWorker &worker = simulation.Workers().at("w0");
--- a/UnitTests/CellDrainsTests.cpp
+++ b/UnitTests/CellDrainsTests.cpp
@@ -52,7 +52,7 @@
 		step.need = {1500, 512, 0};
 		step.lasting = true;
 		step.max_per_worker = 1;
-		step.limits_misses = true;
+		step.limits_unavailable = true;
 		step.may_miss = inMayMiss;
 		record.spec.steps.push_back(step);
 		this->count = inCount;
@@ -192,7 +192,7 @@
 		case EOrder::Hold:
 			for (const RunId &run : runs)
 				answer.running.push_back({run.task, run.run, "", 100, 0});
-			for (const EndedRow &row : this->ended[inOrder.worker])
+			for (const EndedRun &row : this->ended[inOrder.worker])
 				if (row.number > inOrder.last_seen)
 					answer.ended.push_back(row);
 			break;
@@ -210,7 +210,7 @@
 	}
 
 	std::map<std::string, std::set<RunId>> running;
-	std::map<std::string, std::vector<EndedRow>> ended;
+	std::map<std::string, std::vector<EndedRun>> ended;
 	std::map<std::pair<std::string, TaskId>, uint32> highest_ended_run;
 	std::vector<PendingMessage> messages;
 	std::vector<Order> withheld;
@@ -220,7 +220,7 @@
 
 } // namespace
 
-TEST(CellMisses, AStartThatCameLateIsNotStoppedWhileOthersAreAway)
+TEST(CellDrains, AStartThatCameLateIsNotStoppedWhileOthersAreAway)
 {
 	// Starts without an answer were stopped in case they arrived later. The stops got no answer either, the starts arrived, and the
 	// repeated stops ended running tasks while others of their step were missing
@@ -244,7 +244,7 @@
 	EXPECT_EQ(simulation.RunningTasks(), 3u);
 }
 
-TEST(CellMisses, RestartsATaskWhoseStartNeverArrived)
+TEST(CellDrains, RestartsATaskWhoseStartNeverArrived)
 {
 	// Once its lease is over the start can no longer take effect: the task is restarted within a second
 	ScriptedSimulation simulation(6);
@@ -259,7 +259,7 @@
 	EXPECT_EQ(simulation.violations, "");
 }
 
-TEST(CellMisses, AStopIsDecidedAnewEachTimeItIsSent)
+TEST(CellDrains, AStopIsDecidedAnewEachTimeItIsSent)
 {
 	// The stop of a task on a drained worker got no answer, and was repeated though another task had become missing in the meantime
 	ScriptedSimulation simulation(8);
@@ -299,7 +299,7 @@
 	EXPECT_EQ(simulation.RunningTasks(), 3u);
 }
 
-TEST(CellMisses, HeldBackStopsDoNotHoldEachOtherBack)
+TEST(CellDrains, HeldBackStopsDoNotHoldEachOtherBack)
 {
 	// Two stops got no answer and a third task was lost for good: each of the two stops waited forever for the other
 	ScriptedSimulation simulation(4);
--- a/UnitTests/CellDriverTests.cpp
+++ b/UnitTests/CellDriverTests.cpp
@@ -54,14 +54,14 @@
 		this->hub.store.limited_log = this->Inbox();
 		this->hub.store.reads_left = inAnswers;
 		this->driver =
-			std::make_unique<CellSeat<TestHub>>(this->hub,
-												SeatContext{this->config,
-															this->metrics,
-															this->lease,
-															this->owners,
-															{"host", 1, 1},
-															[](const Order &, const std::function<void(const OrderAnswer &)> &) {}},
-												cCell);
+			std::make_unique<CellDriver<TestHub>>(this->hub,
+												  DriverContext{this->config,
+																this->metrics,
+																this->lease,
+																this->owners,
+																{"host", 1, 1},
+																[](const Order &, const std::function<void(const OrderAnswer &)> &) {}},
+												  cCell);
 	}
 
 	LogName Inbox() const { return InboxLog(cCell, static_cast<uint32>(this->config.log_parts)); }
@@ -87,12 +87,12 @@
 	Metrics metrics;
 	OwnLease lease;
 	OwnerTable owners;
-	std::unique_ptr<CellSeat<TestHub>> driver;
+	std::unique_ptr<CellDriver<TestHub>> driver;
 };
 
 } // namespace
 
-TEST(CellSeat, IsNotSureBeforeItHasReadTheWholeInbox)
+TEST(CellDriver, IsNotSureBeforeItHasReadTheWholeInbox)
 {
 	// While a cell has no owner, more jobs may wait in its inbox than one read returns. Guards against a new owner that reports the others
 	// as unknown after its first read, though they were accepted.
@@ -105,7 +105,7 @@
 	EXPECT_FALSE(unread.sure);
 }
 
-TEST(CellSeat, IsSureOnceItHasReadAll)
+TEST(CellDriver, IsSureOnceItHasReadAll)
 {
 	TestCellDriver fixture(2);
 	fixture.Claim();
--- a/UnitTests/CellEvacuationTests.cpp
+++ b/UnitTests/CellEvacuationTests.cpp
@@ -18,7 +18,7 @@
 
 std::string ZoneOf(size_t inNumber) { return "z" + std::to_string(inNumber % cZones); }
 
-void AssignZones(CellWorld &ioSimulation)
+void AssignZones(CellSimulation &ioSimulation)
 {
 	size_t number = 0;
 	for (auto &[id, worker] : ioSimulation.Workers())
@@ -30,14 +30,14 @@
 std::string RunEvacuations(uint64 inSeed)
 {
 	Random random(inSeed);
-	Trouble faults = PlannedFaultsWithTakeovers(random);
+	SimulationFaults faults = PlannedFaultsWithTakeovers(random);
 	faults.owner_kill = random.Below(15);
 	faults.worker_partition = random.Below(10);
 	faults.lost_answer = random.Below(8);
 	// An owner that keeps its cell through a longer pause may have orders in flight for as long
 	faults.long_owner_pause = 0;
 	faults.listed_end_counts = false;
-	CellWorld simulation(inSeed, faults, 6);
+	CellSimulation simulation(inSeed, faults, 6);
 	AssignZones(simulation);
 	int next = 0;
 	simulation.Submit(MakeLongRunningJob(2));
@@ -70,7 +70,7 @@
 /// Guards against stopping the runs in the zone, and against a zone that stays closed after its evacuation.
 TEST(CellEvacuation, LetsRunsEndAndUsesTheZoneAgain)
 {
-	CellWorld simulation(1, Trouble{}, 1);
+	CellSimulation simulation(1, SimulationFaults{}, 1);
 	AssignZones(simulation);
 	simulation.run_ms["first"] = 3000;
 	simulation.Run(500);
--- a/UnitTests/CellLateEndTests.cpp
+++ b/UnitTests/CellLateEndTests.cpp
@@ -59,17 +59,17 @@
 	bool writes = false;
 	std::string unresponsive;    ///< Worker that does not answer.
 	std::vector<Order> started;  ///< Start orders, oldest first.
-	std::vector<EndedRow> ended; ///< Ends that the worker of the first start order lists.
+	std::vector<EndedRun> ended; ///< Ends that the worker of the first start order lists.
 
 private:
 	/// Runs that were started on a worker and have not ended.
-	std::vector<RunningRow> RunningOn(const std::string &inWorker) const
+	std::vector<RunningRun> RunningOn(const std::string &inWorker) const
 	{
-		std::vector<RunningRow> rows;
+		std::vector<RunningRun> rows;
 		for (const Order &order : this->started)
 		{
 			bool over = order.worker != inWorker;
-			for (const EndedRow &row : this->ended)
+			for (const EndedRun &row : this->ended)
 				over = over || (row.task == order.task && row.run == order.run);
 			if (!over)
 				rows.push_back({order.task, order.run, "", 0, 0});
--- a/UnitTests/CellLeaseTests.cpp
+++ b/UnitTests/CellLeaseTests.cpp
@@ -22,7 +22,7 @@
 constexpr Millis cShortLeaseMs = 4000;
 
 /// Starts a job under a lease, then makes its worker unreachable.
-void PartitionBusyWorker(CellWorld &ioSimulation, Millis inLeaseMs)
+void PartitionBusyWorker(CellSimulation &ioSimulation, Millis inLeaseMs)
 {
 	ioSimulation.SetLease(inLeaseMs);
 	ioSimulation.ReplaceOwner();
@@ -37,7 +37,7 @@
 /// The next owner grants another lease.
 std::string RunRollout(Millis inBeforeMs, Millis inAfterMs)
 {
-	CellWorld simulation(1, Trouble{}, 2);
+	CellSimulation simulation(1, SimulationFaults{}, 2);
 	PartitionBusyWorker(simulation, inBeforeMs);
 	simulation.SetLease(inAfterMs);
 	simulation.ReplaceOwner();
@@ -51,7 +51,7 @@
 
 TEST(CellLease, ARolloutAndBackStartsNothingTwice)
 {
-	CellWorld simulation(1, Trouble{}, 2);
+	CellSimulation simulation(1, SimulationFaults{}, 2);
 	PartitionBusyWorker(simulation, cLongLeaseMs);
 	// An owner with a short lease takes over, and soon another: the first owner's lease still counts
 	for (int i = 0; i < 3; ++i)
--- a/UnitTests/CellPropertyTests.cpp
+++ b/UnitTests/CellPropertyTests.cpp
@@ -17,7 +17,7 @@
 std::string RunRandomFaults(uint64 inSeed)
 {
 	Random random(inSeed);
-	CellWorld simulation(inSeed, RandomFaults(random), 3 + random.Below(4));
+	CellSimulation simulation(inSeed, RandomFaults(random), 3 + random.Below(4));
 	RunMixedWorkload(simulation, random);
 	simulation.Run(10000);
 	simulation.ClearFaults();
@@ -65,9 +65,9 @@
 }
 
 /// All faults, with appends that hold few jobs each.
-static Trouble SmallAppends(Random &ioRandom)
+static SimulationFaults SmallAppends(Random &ioRandom)
 {
-	Trouble faults = AllFaults(ioRandom);
+	SimulationFaults faults = AllFaults(ioRandom);
 	faults.batch_bytes = 1 + ioRandom.Below(1500);
 	return faults;
 }
--- a/UnitTests/CellRestartTests.cpp
+++ b/UnitTests/CellRestartTests.cpp
@@ -40,7 +40,7 @@
 	}
 	void Restart() { this->simulation.Restart(this->simulation.Workers().at("w0"), true, cBackMs); }
 
-	CellWorld simulation;
+	CellSimulation simulation;
 
 private:
 	int next_job = 0;
@@ -50,7 +50,7 @@
 
 /// Ends that nobody had read were acknowledged to the next incarnation by the previous one's sequence numbers, and their tasks were
 /// restarted.
-TEST(CellRestart, StartsNoTaskAgainThatEndedInTheNextLife)
+TEST(CellRestart, StartsNoTaskAgainThatEndedInTheNextIncarnation)
 {
 	for (uint64 seed = 1; seed <= 20; ++seed)
 	{
@@ -102,7 +102,7 @@
 	for (uint64 seed = 1; seed <= 20; ++seed)
 	{
 		Random random(seed);
-		CellWorld simulation(seed, {}, 8);
+		CellSimulation simulation(seed, {}, 8);
 		AssignRacks(simulation);
 		simulation.crashed_keep_ids = true;
 		simulation.Submit(MakeCrashingJob(simulation, "crasher", 1, 10));
@@ -115,15 +115,15 @@
 }
 
 /// Late orders for a previous incarnation were executed by the next one.
-TEST(WorkerToken, RisesWithEachLifeAndStaysBelowTheNextOwners)
+TEST(WorkerToken, RisesWithEachIncarnationAndStaysBelowTheNextOwners)
 {
-	for (const uint64 epoch : {uint64(0), uint64(1), uint64(57), cTokensAnEpoch, 3 * cTokensAnEpoch + 1})
+	for (const uint64 epoch : {uint64(0), uint64(1), uint64(57), cTokensPerEpoch, 3 * cTokensPerEpoch + 1})
 	{
 		const uint64 next = NextEpoch(epoch);
 		EXPECT_GT(next, epoch);
 		EXPECT_EQ(EpochOf(next), next);
 		EXPECT_GT(TokenOf(next, 1), TokenOf(next, 0));
-		EXPECT_LT(TokenOf(next, 5 * cTokensAnEpoch), NextEpoch(next));
+		EXPECT_LT(TokenOf(next, 5 * cTokensPerEpoch), NextEpoch(next));
 		EXPECT_EQ(EpochOf(TokenOf(next, 12)), next);
 	}
 }
@@ -137,7 +137,7 @@
 public:
 	IncarnationHarness()
 	{
-		this->cell.Begin(cTokensAnEpoch, this->now);
+		this->cell.Begin(cTokensPerEpoch, this->now);
 		this->ListWorker(1000);
 	}
 
@@ -194,7 +194,7 @@
 } // namespace
 
 /// A late entry of a previous incarnation made the cell ask its worker for an incarnation that had ended.
-TEST(CellRestart, TakesNoNewsFromAFormerLifesEntry)
+TEST(CellRestart, TakesNoUpdateFromAPreviousIncarnationsEntry)
 {
 	IncarnationHarness harness;
 	std::vector<Order> orders = harness.TakeDueOrders();
@@ -202,7 +202,7 @@
 	harness.cell.OnAnswer(orders[0], harness.PollAnswer(2000, 500), harness.now, harness.now);
 	orders = harness.TakeDueOrders();
 	ASSERT_EQ(orders.size(), 1u);
-	EXPECT_GT(orders[0].token, cTokensAnEpoch);
+	EXPECT_GT(orders[0].token, cTokensPerEpoch);
 	harness.cell.OnAnswer(orders[0], harness.PollAnswer(2000, 1000), harness.now, harness.now);
 	harness.ListWorker(2000);
 	// The current incarnation has not said that it leaves
@@ -218,7 +218,7 @@
 }
 
 /// A worker that the list showed as restarted got more runs before anything was known of its incarnation.
-TEST(CellRestart, AsksAWorkerAtOnceThatTheListShowsInAnotherLife)
+TEST(CellRestart, PollsAWorkerAtOnceThatTheListShowsInAnotherIncarnation)
 {
 	IncarnationHarness harness;
 	std::vector<Order> orders = harness.TakeDueOrders();
@@ -233,7 +233,7 @@
 }
 
 /// A worker got runs by its previous incarnation's capacity.
-TEST(CellRestart, StartsNothingByTheFormerLifesRoom)
+TEST(CellRestart, StartsNothingByThePreviousIncarnationsCapacity)
 {
 	IncarnationHarness harness;
 	std::vector<Order> orders = harness.TakeDueOrders();
@@ -257,7 +257,7 @@
 	harness.cell.Ingest({EInbox::Submit, MakeJob("job", 1, 1, 1000, 500)}, 0, harness.now, harness.now);
 	ASSERT_EQ(harness.WriteAndDispatch(), 1u);
 	const Order start = harness.started.back();
-	harness.cell.OnAnswer(start, harness.PollAnswer(cBirthUnknown, 1000), harness.now, harness.now);
+	harness.cell.OnAnswer(start, harness.PollAnswer(cStartTimeUnknown, 1000), harness.now, harness.now);
 	ASSERT_EQ(harness.polls.size(), 1u);
 	// The list shows a later incarnation that the worker does not confirm
 	harness.ListWorker(2000);
@@ -271,7 +271,7 @@
 }
 
 /// Ends of the previous incarnation that a former owner submits after the next one has begun count once, and for their tasks alone.
-TEST(CellRestart, CountsAFormerLifesEndsThatAreHandedInLate)
+TEST(CellRestart, CountsAPreviousIncarnationsEndsThatAreSubmittedLate)
 {
 	IncarnationHarness harness;
 	std::vector<Order> orders = harness.TakeDueOrders();
@@ -281,11 +281,11 @@
 	const Order first = harness.started[0];
 	const Order second = harness.started[1];
 	for (const Order &start : {first, second})
-		harness.cell.OnAnswer(start, harness.PollAnswer(cBirthUnknown, 1000), harness.now, harness.now);
+		harness.cell.OnAnswer(start, harness.PollAnswer(cStartTimeUnknown, 1000), harness.now, harness.now);
 	ASSERT_EQ(harness.polls.size(), 1u);
 	harness.ListWorker(2000);
 	harness.cell.OnAnswer(harness.polls[0], harness.PollAnswer(2000, 10), harness.now, harness.now);
-	const EndReport report{"w", cTokensAnEpoch, {{7, first.task, first.run, ERunEnd::Done, ""}}};
+	const EndReport report{"w", cTokensPerEpoch, {{7, first.task, first.run, ERunEnd::Done, ""}}};
 	InboxRecord record;
 	record.kind = EInbox::Ends;
 	record.ends = report;
@@ -303,7 +303,7 @@
 }
 
 /// A worker's ticket for a policy's queue was its previous incarnation's, and each start was refused.
-TEST(CellRestart, AsksForATicketOfTheNextLife)
+TEST(CellRestart, AsksForATicketOfTheNextIncarnation)
 {
 	IncarnationHarness harness;
 	std::vector<Order> orders = harness.TakeDueOrders();
@@ -348,7 +348,7 @@
 }
 
 /// A run that a successor found in the log and still waits for was counted again at each further crash of its worker.
-TEST(CellRestart, CountsOneCrashForARunThatWasOnOneLife)
+TEST(CellRestart, CountsOneCrashForARunThatWasOnOneIncarnation)
 {
 	IncarnationHarness before;
 	std::vector<Order> orders = before.TakeDueOrders();
@@ -359,7 +359,7 @@
 	after.cell = Cell(CellTuning{});
 	for (const KeyedRecord &record : before.written)
 		ASSERT_TRUE(after.cell.Restore(record.key, record.value));
-	after.cell.Begin(2 * cTokensAnEpoch, after.now);
+	after.cell.Begin(2 * cTokensPerEpoch, after.now);
 	for (const int64 started_ms : {2000, 3000, 4000})
 	{
 		after.ListWorker(started_ms);
--- a/UnitTests/CellScenarios.cpp
+++ b/UnitTests/CellScenarios.cpp
@@ -21,12 +21,12 @@
 	JobSpec lasting = MakeJob("lasting", 1, inCount, 1500, 500);
 	lasting.steps[0].lasting = true;
 	lasting.steps[0].max_per_worker = 1;
-	lasting.steps[0].limits_misses = true;
+	lasting.steps[0].limits_unavailable = true;
 	lasting.steps[0].may_miss = 1;
 	return lasting;
 }
 
-void RunMixedWorkload(CellWorld &ioSimulation, Random &ioRandom)
+void RunMixedWorkload(CellSimulation &ioSimulation, Random &ioRandom)
 {
 	SetInvariantsAbort(true);
 	ioSimulation.Submit(MakeLongRunningJob(4));
@@ -46,9 +46,9 @@
 	ioSimulation.Cancel("lasting");
 }
 
-Trouble RandomFaults(Random &ioRandom)
+SimulationFaults RandomFaults(Random &ioRandom)
 {
-	Trouble faults;
+	SimulationFaults faults;
 	faults.lost_order = ioRandom.Below(8);
 	faults.lost_answer = ioRandom.Below(8);
 	faults.late_order = ioRandom.Below(8);
@@ -61,9 +61,9 @@
 	return faults;
 }
 
-Trouble PlannedFaultsBase(Random &ioRandom, bool inEntryLapses)
+SimulationFaults PlannedFaultsBase(Random &ioRandom, bool inEntryLapses)
 {
-	Trouble faults;
+	SimulationFaults faults;
 	faults.failed_run = ioRandom.Below(10);
 	faults.append_jitter_ms = ioRandom.Below(100);
 	faults.slow_clock_per_mille = 20;
@@ -81,65 +81,65 @@
 	return faults;
 }
 
-Trouble PlannedFaults(Random &ioRandom) { return PlannedFaultsBase(ioRandom, true); }
+SimulationFaults PlannedFaults(Random &ioRandom) { return PlannedFaultsBase(ioRandom, true); }
 
-Trouble PlannedFaultsWithSlowAppends(Random &ioRandom)
+SimulationFaults PlannedFaultsWithSlowAppends(Random &ioRandom)
 {
-	Trouble faults = PlannedFaultsBase(ioRandom, false);
+	SimulationFaults faults = PlannedFaultsBase(ioRandom, false);
 	faults.entry_lapse = ioRandom.Below(6);
 	faults.slow_append = ioRandom.Below(30);
 	return faults;
 }
 
-Trouble PlannedFaultsWithLongPauses(Random &ioRandom)
+SimulationFaults PlannedFaultsWithLongPauses(Random &ioRandom)
 {
-	Trouble faults = PlannedFaultsBase(ioRandom, false);
+	SimulationFaults faults = PlannedFaultsBase(ioRandom, false);
 	faults.entry_lapse = ioRandom.Below(6);
 	faults.long_owner_pause = ioRandom.Below(6);
 	return faults;
 }
 
-Trouble PlannedFaultsWithSlowAppendsAndLongPauses(Random &ioRandom)
+SimulationFaults PlannedFaultsWithSlowAppendsAndLongPauses(Random &ioRandom)
 {
-	Trouble faults = PlannedFaultsWithSlowAppends(ioRandom);
+	SimulationFaults faults = PlannedFaultsWithSlowAppends(ioRandom);
 	faults.long_owner_pause = ioRandom.Below(6);
 	return faults;
 }
 
-Trouble PlannedFaultsWithTakeovers(Random &ioRandom)
+SimulationFaults PlannedFaultsWithTakeovers(Random &ioRandom)
 {
-	Trouble faults = PlannedFaultsWithSlowAppendsAndLongPauses(ioRandom);
+	SimulationFaults faults = PlannedFaultsWithSlowAppendsAndLongPauses(ioRandom);
 	faults.takeover_while_paused = true;
 	return faults;
 }
 
-Trouble PlannedFaultsWithAddressReuse(Random &ioRandom)
+SimulationFaults PlannedFaultsWithAddressReuse(Random &ioRandom)
 {
-	Trouble faults = PlannedFaultsWithTakeovers(ioRandom);
+	SimulationFaults faults = PlannedFaultsWithTakeovers(ioRandom);
 	faults.address_reuse = true;
 	return faults;
 }
 
-Trouble PlannedFaultsWithOwnerKills(Random &ioRandom)
+SimulationFaults PlannedFaultsWithOwnerKills(Random &ioRandom)
 {
-	Trouble faults = PlannedFaults(ioRandom);
+	SimulationFaults faults = PlannedFaults(ioRandom);
 	faults.owner_kill = ioRandom.Below(10);
 	faults.unread_end_excused = true;
 	return faults;
 }
 
-Trouble PlannedFaultsWithOwnerKillsAndSlowAppends(Random &ioRandom)
+SimulationFaults PlannedFaultsWithOwnerKillsAndSlowAppends(Random &ioRandom)
 {
-	Trouble faults = PlannedFaultsWithSlowAppends(ioRandom);
+	SimulationFaults faults = PlannedFaultsWithSlowAppends(ioRandom);
 	faults.owner_kill = ioRandom.Below(10);
 	faults.unread_end_excused = true;
 	return faults;
 }
 
-Trouble AllFaults(Random &ioRandom)
+SimulationFaults AllFaults(Random &ioRandom)
 {
-	Trouble faults = PlannedFaultsBase(ioRandom, false);
-	const Trouble other = RandomFaults(ioRandom);
+	SimulationFaults faults = PlannedFaultsBase(ioRandom, false);
+	const SimulationFaults other = RandomFaults(ioRandom);
 	faults.lost_order = other.lost_order;
 	faults.lost_answer = other.lost_answer;
 	faults.late_order = other.late_order;
@@ -154,9 +154,9 @@
 	return faults;
 }
 
-Trouble RestartsUnderOneId(Random &ioRandom)
+SimulationFaults RestartsUnderOneId(Random &ioRandom)
 {
-	Trouble faults;
+	SimulationFaults faults;
 	faults.restart_same_id = 5 + ioRandom.Below(25);
 	faults.failed_run = ioRandom.Below(10);
 	faults.append_jitter_ms = ioRandom.Below(100);
@@ -165,9 +165,9 @@
 	return faults;
 }
 
-Trouble RestartsWithLateOrders(Random &ioRandom)
+SimulationFaults RestartsWithLateOrders(Random &ioRandom)
 {
-	Trouble faults = RestartsUnderOneId(ioRandom);
+	SimulationFaults faults = RestartsUnderOneId(ioRandom);
 	faults.late_order = ioRandom.Below(8);
 	faults.late_start = ioRandom.Below(8);
 	faults.lost_order = ioRandom.Below(8);
@@ -175,9 +175,9 @@
 	return faults;
 }
 
-Trouble RestartsWithOwnerChanges(Random &ioRandom)
+SimulationFaults RestartsWithOwnerChanges(Random &ioRandom)
 {
-	Trouble faults = RestartsUnderOneId(ioRandom);
+	SimulationFaults faults = RestartsUnderOneId(ioRandom);
 	faults.owner_kill = ioRandom.Below(15);
 	faults.owner_handover = ioRandom.Below(15);
 	faults.slow_append = ioRandom.Below(30);
@@ -185,26 +185,26 @@
 	return faults;
 }
 
-Trouble PlannedFaultsWithReturningWorkers(Random &ioRandom)
+SimulationFaults PlannedFaultsWithReturningWorkers(Random &ioRandom)
 {
-	Trouble faults = PlannedFaultsWithTakeovers(ioRandom);
+	SimulationFaults faults = PlannedFaultsWithTakeovers(ioRandom);
 	faults.worker_leave = 2 + ioRandom.Below(6);
 	faults.return_same_id = 70;
 	return faults;
 }
 
-Trouble AllFaultsWithRestarts(Random &ioRandom)
+SimulationFaults AllFaultsWithRestarts(Random &ioRandom)
 {
-	Trouble faults = AllFaults(ioRandom);
+	SimulationFaults faults = AllFaults(ioRandom);
 	faults.restart_same_id = ioRandom.Below(12);
 	faults.return_same_id = 50;
 	return faults;
 }
 
-std::string RunFaultMix(uint64 inSeed, Trouble (*inKind)(Random &))
+std::string RunFaultMix(uint64 inSeed, SimulationFaults (*inKind)(Random &))
 {
 	Random random(inSeed);
-	CellWorld simulation(inSeed, inKind(random), 3 + random.Below(4));
+	CellSimulation simulation(inSeed, inKind(random), 3 + random.Below(4));
 	JobSpec copies = MakeJob("copies", 2, 6, 1000, 800);
 	for (StepSpec &step : copies.steps)
 		step.may_copy = true;
@@ -216,14 +216,14 @@
 	return simulation.Broken() + simulation.Open();
 }
 
-void AssignRacks(CellWorld &ioSimulation)
+void AssignRacks(CellSimulation &ioSimulation)
 {
 	size_t number = 0;
 	for (auto &[id, worker] : ioSimulation.Workers())
 		worker.rack = "r" + std::to_string(number++ / cWorkersPerRack);
 }
 
-void LoseRack(CellWorld &ioSimulation, Random &ioRandom, size_t inRacks)
+void LoseRack(CellSimulation &ioSimulation, Random &ioRandom, size_t inRacks)
 {
 	const std::string rack = "r" + std::to_string(ioRandom.Below(inRacks));
 	const bool closes = ioRandom.Chance(50);
@@ -233,13 +233,13 @@
 			ioSimulation.Crash(worker, closes, back);
 }
 
-JobSpec MakeCrashingJob(CellWorld &ioSimulation, const std::string &inId, uint32 inCount, Millis inAfterMs)
+JobSpec MakeCrashingJob(CellSimulation &ioSimulation, const std::string &inId, uint32 inCount, Millis inAfterMs)
 {
 	ioSimulation.crash_after_ms[inId] = inAfterMs;
 	return MakeJob(inId, 1, inCount, 500, 800);
 }
 
-void SubmitHealthyJobs(CellWorld &ioSimulation, Random &ioRandom, int inJobs, int &ioNext)
+void SubmitHealthyJobs(CellSimulation &ioSimulation, Random &ioRandom, int inJobs, int &ioNext)
 {
 	for (int i = 0; i < inJobs; ++i)
 	{
--- a/UnitTests/CellScenarios.h
+++ b/UnitTests/CellScenarios.h
@@ -19,48 +19,48 @@
 /// A job with one step of long-running tasks, each on another worker.
 JobSpec MakeLongRunningJob(uint32 inCount);
 /// Submits jobs over some seconds and cancels some of them.
-void RunMixedWorkload(CellWorld &ioSimulation, Random &ioRandom);
-Trouble RandomFaults(Random &ioRandom);
+void RunMixedWorkload(CellSimulation &ioSimulation, Random &ioRandom);
+SimulationFaults RandomFaults(Random &ioRandom);
 /// No failures of the network, the owner or the workers, so that an end counts once it was listed. `inEntryLapses`: entries lapse too.
-Trouble PlannedFaultsBase(Random &ioRandom, bool inEntryLapses);
-Trouble PlannedFaults(Random &ioRandom);
+SimulationFaults PlannedFaultsBase(Random &ioRandom, bool inEntryLapses);
+SimulationFaults PlannedFaults(Random &ioRandom);
 /// Planned faults, and appends that take 1 s.
-Trouble PlannedFaultsWithSlowAppends(Random &ioRandom);
+SimulationFaults PlannedFaultsWithSlowAppends(Random &ioRandom);
 /// Planned faults, and owner pauses beyond the lease.
-Trouble PlannedFaultsWithLongPauses(Random &ioRandom);
+SimulationFaults PlannedFaultsWithLongPauses(Random &ioRandom);
 /// Planned faults, and both of these.
-Trouble PlannedFaultsWithSlowAppendsAndLongPauses(Random &ioRandom);
+SimulationFaults PlannedFaultsWithSlowAppendsAndLongPauses(Random &ioRandom);
 /// The same, and other owners take over from paused ones.
-Trouble PlannedFaultsWithTakeovers(Random &ioRandom);
+SimulationFaults PlannedFaultsWithTakeovers(Random &ioRandom);
 /// The same, and the addresses of workers that have left are reused.
-Trouble PlannedFaultsWithAddressReuse(Random &ioRandom);
+SimulationFaults PlannedFaultsWithAddressReuse(Random &ioRandom);
 /// Planned faults, and owners that are killed; an end that the owner has read still counts.
-Trouble PlannedFaultsWithOwnerKills(Random &ioRandom);
+SimulationFaults PlannedFaultsWithOwnerKills(Random &ioRandom);
 /// The same with slow appends.
-Trouble PlannedFaultsWithOwnerKillsAndSlowAppends(Random &ioRandom);
+SimulationFaults PlannedFaultsWithOwnerKillsAndSlowAppends(Random &ioRandom);
 /// Workers crash and soon start again under their ids.
-Trouble RestartsUnderOneId(Random &ioRandom);
+SimulationFaults RestartsUnderOneId(Random &ioRandom);
 /// The same, and orders are executed late, by the incarnation that is there by then.
-Trouble RestartsWithLateOrders(Random &ioRandom);
+SimulationFaults RestartsWithLateOrders(Random &ioRandom);
 /// Restarts under the same id, with owner changes and slow appends.
-Trouble RestartsWithOwnerChanges(Random &ioRandom);
+SimulationFaults RestartsWithOwnerChanges(Random &ioRandom);
 /// Planned faults with takeovers; workers that leave return under their ids.
-Trouble PlannedFaultsWithReturningWorkers(Random &ioRandom);
+SimulationFaults PlannedFaultsWithReturningWorkers(Random &ioRandom);
 /// All faults, with restarts and returns under the same id.
-Trouble AllFaultsWithRestarts(Random &ioRandom);
+SimulationFaults AllFaultsWithRestarts(Random &ioRandom);
 /// All kinds of faults, but for restarts under the same id.
-Trouble AllFaults(Random &ioRandom);
+SimulationFaults AllFaults(Random &ioRandom);
 /// Runs a mixed workload under a fault mix, beside a job whose tasks may run twice concurrently, and then without faults. Returns
 /// violations and unfinished jobs.
-std::string RunFaultMix(uint64 inSeed, Trouble (*inKind)(Random &));
+std::string RunFaultMix(uint64 inSeed, SimulationFaults (*inKind)(Random &));
 inline constexpr size_t cWorkersPerRack = 4;
 /// Distributes the workers over racks.
-void AssignRacks(CellWorld &ioSimulation);
+void AssignRacks(CellSimulation &ioSimulation);
 /// Crashes the workers of one of `inRacks` racks; their host is unresponsive or closes connections, and they are back after 0.5 to 8.5 s.
-void LoseRack(CellWorld &ioSimulation, Random &ioRandom, size_t inRacks);
+void LoseRack(CellSimulation &ioSimulation, Random &ioRandom, size_t inRacks);
 /// A job whose tasks crash their workers.
-JobSpec MakeCrashingJob(CellWorld &ioSimulation, const std::string &inId, uint32 inCount, Millis inAfterMs);
+JobSpec MakeCrashingJob(CellSimulation &ioSimulation, const std::string &inId, uint32 inCount, Millis inAfterMs);
 /// Submits jobs that crash no workers over some seconds; `ioNext` numbers them.
-void SubmitHealthyJobs(CellWorld &ioSimulation, Random &ioRandom, int inJobs, int &ioNext);
+void SubmitHealthyJobs(CellSimulation &ioSimulation, Random &ioRandom, int inJobs, int &ioNext);
 
 } // namespace Loomreach::Jobs
--- a/UnitTests/CellSeedTests.cpp
+++ b/UnitTests/CellSeedTests.cpp
@@ -4,7 +4,7 @@
 // How an end gets lost: a worker that leaves by plan lists it in its last answer. The owner is paused beyond its lease before it reads the
 // answer or before the append with the end completes, or it hands the cell over without waiting for its append. The next owner finds the
 // run in the log without an end and nobody at the worker's address, and restarts the task once the lease is over. Of 600 seeds each, 11
-// failed with long pauses, 2 with slow appends and 20 with both. Former owners therefore submit such ends to the inbox (EndsHandIn).
+// failed with long pauses, 2 with slow appends and 20 with both. Former owners therefore submit such ends to the inbox (EndsSubmitter).
 //
 // LOOM_SEEDS="first count" in the environment runs other seeds.
 
@@ -21,7 +21,7 @@
 {
 
 /// Runs the seeds of a fault mix. Returns those that failed, with violations and unfinished jobs.
-std::string FailingSeeds(Trouble (*inKind)(Random &))
+std::string FailingSeeds(SimulationFaults (*inKind)(Random &))
 {
 	const SeedRange range = SeedsToRun();
 	std::string failures;
--- a/UnitTests/CellSimulation.cpp
+++ b/UnitTests/CellSimulation.cpp
@@ -48,7 +48,7 @@
 	return job;
 }
 
-CellWorld::CellWorld(uint64 inSeed, const Trouble &inFaults, size_t inWorkers)
+CellSimulation::CellSimulation(uint64 inSeed, const SimulationFaults &inFaults, size_t inWorkers)
 	: random(inSeed), submit_random(inSeed), restart_random(inSeed), replica_random(inSeed), faults(inFaults),
 	  unread_end_excused(inFaults.unread_end_excused), slow_stops(inFaults.slow_stop > 0)
 {
@@ -61,14 +61,14 @@
 	this->StartOwner();
 }
 
-void CellWorld::Submit(JobSpec inSpec)
+void CellSimulation::Submit(JobSpec inSpec)
 {
 	inSpec.accepted_wall_ms = cWallClockOffsetMs + this->now;
 	this->specs[inSpec.id] = inSpec;
 	this->inbox.push_back({EInbox::Submit, std::move(inSpec), {}});
 }
 
-void CellWorld::Cancel(const std::string &inId)
+void CellSimulation::Cancel(const std::string &inId)
 {
 	InboxRecord record;
 	record.kind = EInbox::Cancel;
@@ -78,9 +78,12 @@
 	this->canceled.emplace(inId, this->now);
 }
 
-JobAnswer CellWorld::Shown(const std::string &inId) const { return this->cell == nullptr ? JobAnswer{} : this->cell->Query("queue", inId); }
+JobAnswer CellSimulation::Shown(const std::string &inId) const
+{
+	return this->cell == nullptr ? JobAnswer{} : this->cell->Query("queue", inId);
+}
 
-std::string CellWorld::Open() const
+std::string CellSimulation::Open() const
 {
 	std::string open;
 	for (const auto &[id, spec] : this->specs)
@@ -89,17 +92,17 @@
 	return open;
 }
 
-void CellWorld::Run(Millis inMillis)
+void CellSimulation::Run(Millis inMillis)
 {
 	const Millis end = this->now + inMillis;
 	while (this->now < end)
 		this->Step();
 }
 
-void CellWorld::ClearFaults()
+void CellSimulation::ClearFaults()
 {
 	// The lease is a setting and no fault
-	Trouble no_faults;
+	SimulationFaults no_faults;
 	no_faults.lease_ms = this->faults.lease_ms;
 	this->faults = no_faults;
 	// A handover that has begun is completed: its owner would grant no more drains
@@ -111,7 +114,7 @@
 	}
 }
 
-void CellWorld::StartOwner()
+void CellSimulation::StartOwner()
 {
 	CellTuning tuning;
 	tuning.lease_ms = this->faults.lease_ms > 0 ? this->faults.lease_ms : tuning.lease_ms;
@@ -130,19 +133,19 @@
 	this->list_updated_at = 0;
 }
 
-void CellWorld::Evacuate(const std::string &inZone)
+void CellSimulation::Evacuate(const std::string &inZone)
 {
 	this->evacuated.emplace(inZone, this->now);
 	this->UpdateEvacuatedZones();
 }
 
-void CellWorld::EndEvacuation(const std::string &inZone)
+void CellSimulation::EndEvacuation(const std::string &inZone)
 {
 	this->evacuated.erase(inZone);
 	this->UpdateEvacuatedZones();
 }
 
-void CellWorld::UpdateEvacuatedZones()
+void CellSimulation::UpdateEvacuatedZones()
 {
 	std::set<std::string> zones;
 	for (const auto &[zone, since] : this->evacuated)
@@ -151,7 +154,7 @@
 		this->cell->SetEvacuated(zones, this->now);
 }
 
-void CellWorld::KillOwner(std::string_view inWhy)
+void CellSimulation::KillOwner(std::string_view inWhy)
 {
 	this->owner_exits[this->epoch] = std::string(inWhy) + " at " + std::to_string(this->now) +
 									 (this->append_done_at >= 0 ? ", append under way until " + std::to_string(this->append_done_at) : "");
@@ -165,13 +168,13 @@
 	++this->takeovers;
 }
 
-void CellWorld::ReplaceOwner(std::string_view inWhy)
+void CellSimulation::ReplaceOwner(std::string_view inWhy)
 {
 	this->KillOwner(inWhy);
 	this->StartOwner();
 }
 
-void CellWorld::SupersedeOwner(std::string_view inWhy)
+void CellSimulation::SupersedeOwner(std::string_view inWhy)
 {
 	this->surviving_owners.insert(this->epoch);
 	for (EndReport &report : this->cell->UnloggedEnds())
@@ -179,7 +182,7 @@
 	this->ReplaceOwner(inWhy);
 }
 
-void CellWorld::TakeOverFromPaused()
+void CellSimulation::TakeOverFromPaused()
 {
 	const bool lost = this->faults.takeover_while_paused && this->IsOwnerPaused() && this->now - this->paused_at >= cTakeoverDelayMs;
 	if (!lost || this->cell == nullptr)
@@ -189,7 +192,7 @@
 	this->ReplaceOwner("paused, and another owner took over");
 }
 
-void CellWorld::ResumePausedOwners()
+void CellSimulation::ResumePausedOwners()
 {
 	for (const PausedOwner &paused_owner : this->paused_owners)
 	{
@@ -202,13 +205,13 @@
 	std::erase_if(this->paused_owners, [this](const PausedOwner &inPaused) { return this->now >= inPaused.until; });
 }
 
-bool CellWorld::IsPausedFormerOwner(uint64 inOwner) const
+bool CellSimulation::IsPausedFormerOwner(uint64 inOwner) const
 {
 	return std::any_of(this->paused_owners.begin(), this->paused_owners.end(),
 					   [inOwner](const PausedOwner &inPaused) { return inPaused.epoch == inOwner; });
 }
 
-void CellWorld::SubmitToInbox(EndReport inReport)
+void CellSimulation::SubmitToInbox(EndReport inReport)
 {
 	const bool slow = this->faults.slow_append > 0 && this->submit_random.Chance(this->faults.slow_append);
 	const Millis takes =
@@ -216,7 +219,7 @@
 	this->submitted_ends.emplace_back(this->now + takes, std::move(inReport));
 }
 
-void CellWorld::DeliverSubmittedEnds()
+void CellSimulation::DeliverSubmittedEnds()
 {
 	for (const auto &[at, report] : this->submitted_ends)
 		if (this->now >= at)
@@ -224,13 +227,13 @@
 	std::erase_if(this->submitted_ends, [this](const auto &inReport) { return this->now >= inReport.first; });
 }
 
-void CellWorld::SendEndsUpdates()
+void CellSimulation::SendEndsUpdates()
 {
-	while (std::optional<EndsUpdate> update = this->cell->TakeEndsUpdate(this->now))
+	while (std::optional<RunEndsUpdate> update = this->cell->TakeEndsUpdate(this->now))
 		this->ends_updates.emplace_back(this->now + 1 + static_cast<Millis>(this->replica_random.Below(15)), std::move(*update));
 }
 
-void CellWorld::DeliverEndsUpdates()
+void CellSimulation::DeliverEndsUpdates()
 {
 	for (auto &[at, update] : this->ends_updates)
 		if (this->now >= at)
@@ -238,11 +241,11 @@
 	std::erase_if(this->ends_updates, [this](const auto &inUpdate) { return this->now >= inUpdate.first; });
 	// As a host that learns of the next owner from its heartbeat
 	const auto is_former = [this](uint32, uint64 inEpoch) { return this->cell != nullptr && inEpoch < this->epoch; };
-	for (OrphanedEnds &orphan : this->replicas.TakeOrphans(is_former, this->now))
+	for (OrphanedRunEnds &orphan : this->replicas.TakeOrphans(is_former, this->now))
 		this->SubmitToInbox(std::move(orphan.report));
 }
 
-void CellWorld::UpdateWorkerList()
+void CellSimulation::UpdateWorkerList()
 {
 	std::vector<WorkerEntry> entries;
 	for (auto &[id, worker] : this->workers)
@@ -265,7 +268,7 @@
 	this->list_updated_at = this->now;
 }
 
-void CellWorld::InjectFaults()
+void CellSimulation::InjectFaults()
 {
 	// Rates are per second
 	if (this->now % 1000 != 0)
@@ -287,7 +290,7 @@
 	this->InjectPlannedFaults();
 }
 
-void CellWorld::InjectPlannedFaults()
+void CellSimulation::InjectPlannedFaults()
 {
 	if (!this->IsOwnerPaused())
 		this->paused_at = this->now;
@@ -311,7 +314,7 @@
 	}
 }
 
-void CellWorld::InjectWorkerFaults(SimulatedWorker &ioWorker)
+void CellSimulation::InjectWorkerFaults(SimulatedWorker &ioWorker)
 {
 	if (!ioWorker.draining && this->DrawFault(this->faults.worker_leave))
 	{
@@ -343,7 +346,7 @@
 		ioWorker.slow_factor = this->now < ioWorker.slow_until ? cSlowWorkerFactor : 1;
 }
 
-void CellWorld::RemoveDrainedHosts()
+void CellSimulation::RemoveDrainedHosts()
 {
 	// As the fleet's owner does: it asks until the cell grants the drain, and removes the host while the grant holds
 	if (this->now % cDrainRequestIntervalMs != 0)
@@ -370,7 +373,7 @@
 	}
 }
 
-void CellWorld::Step()
+void CellSimulation::Step()
 {
 	this->now += cSimulationStepMs;
 	const bool store_slow = this->append_done_at > this->now + cSlowAppendThresholdMs;
@@ -457,7 +460,7 @@
 		this->DriveOwner();
 }
 
-void CellWorld::HandOver()
+void CellSimulation::HandOver()
 {
 	// As a host that is stopped by plan
 	if (this->retired_at < 0)
@@ -470,7 +473,7 @@
 	this->SupersedeOwner(settled ? "handed over" : "handed over before it was ready");
 }
 
-void CellWorld::DriveOwner()
+void CellSimulation::DriveOwner()
 {
 	if (this->now - this->list_updated_at >= 400 || this->list_updated_at == 0)
 		this->UpdateWorkerList();
@@ -498,7 +501,7 @@
 	}
 }
 
-void CellWorld::Send(const Order &inOrder)
+void CellSimulation::Send(const Order &inOrder)
 {
 	PendingMessage message;
 	message.order = inOrder;
--- a/UnitTests/CellSimulation.h
+++ b/UnitTests/CellSimulation.h
@@ -16,7 +16,7 @@
 inline constexpr int64 cWorkerCpuMilli = 16000;            ///< Processors of a worker.
 
 /// Faults of a simulation. Rates are in percent: of orders, runs or stops, or per second where stated.
-struct Trouble
+struct SimulationFaults
 {
 	uint64 lost_order = 0;              ///< An order is lost.
 	uint64 lost_answer = 0;             ///< An order is executed, its answer is lost.
@@ -84,7 +84,7 @@
 	};
 	std::map<RunId, Work> running;
 	std::map<TaskId, uint32> highest_ended_run; ///< Highest run of the task that was stopped or ended here.
-	std::vector<EndedRow> ended;
+	std::vector<EndedRun> ended;
 	uint64 next_sequence = 1;
 	uint64 expired_below = 1; ///< The lease expired after ends with lower sequence numbers: recording these binds nobody.
 	Millis unreachable_until = 0;
@@ -113,10 +113,10 @@
 };
 
 /// The simulation. See the head of the file.
-class CellWorld
+class CellSimulation
 {
 public:
-	CellWorld(uint64 inSeed, const Trouble &inFaults, size_t inWorkers);
+	CellSimulation(uint64 inSeed, const SimulationFaults &inFaults, size_t inWorkers);
 
 	/// Submits a job, which counts as accepted.
 	void Submit(JobSpec inSpec);
@@ -193,7 +193,7 @@
 	void RemoveDrainedHosts();
 	void HandOver();
 	/// Updates the checks for an end that the cell has recorded.
-	void RecordEnd(const SimulatedWorker &inWorker, const EndedRow &inRow);
+	void RecordEnd(const SimulatedWorker &inWorker, const EndedRun &inRow);
 	OrderAnswer Poll(SimulatedWorker &ioWorker, const Order &inOrder);
 	/// As Chance, but draws nothing at 0 percent, so that a new kind of fault does not change what existing seeds mean.
 	bool DrawFault(uint64 inPercent) { return inPercent > 0 && this->random.Chance(inPercent); }
@@ -269,7 +269,7 @@
 	Random submit_random;  ///< Draws for submitted ends. A separate generator leaves the meaning of existing seeds unchanged.
 	Random restart_random; ///< The same for workers that start again.
 	Random replica_random; ///< The same for replicated ends.
-	Trouble faults;
+	SimulationFaults faults;
 	bool unread_end_excused = false; ///< As the fault of this name; also applies after ClearFaults.
 	bool slow_stops = false;         ///< Whether stops may be slow; one ordered before ClearFaults goes on after it.
 	Millis now = 1000;
@@ -277,9 +277,9 @@
 	std::map<std::string, SimulatedWorker> workers;
 	std::map<std::string, std::string> log;
 	std::vector<InboxRecord> inbox;
-	std::vector<std::pair<Millis, EndReport>> submitted_ends; ///< In flight to the inbox, with their arrival times.
-	std::vector<std::pair<Millis, EndsUpdate>> ends_updates;  ///< In flight to the replica host, with their arrival times.
-	EndReplicas replicas;
+	std::vector<std::pair<Millis, EndReport>> submitted_ends;   ///< In flight to the inbox, with their arrival times.
+	std::vector<std::pair<Millis, RunEndsUpdate>> ends_updates; ///< In flight to the replica host, with their arrival times.
+	RunEndReplicas replicas;
 	/// A paused owner that another one has replaced.
 	struct PausedOwner
 	{
--- a/UnitTests/CellSimulationWorkers.cpp
+++ b/UnitTests/CellSimulationWorkers.cpp
@@ -41,7 +41,7 @@
 	return this->shrunk_at >= 0 && inNow < this->shrunk_at + cContactMs + cHeartbeatMs ? this->capacity_before : this->capacity;
 }
 
-void CellWorld::Crash(SimulatedWorker &ioWorker, bool inCloses, Millis inBackMs)
+void CellSimulation::Crash(SimulatedWorker &ioWorker, bool inCloses, Millis inBackMs)
 {
 	for (const auto &[id, work] : ioWorker.running)
 		if (work.crashes_at >= 0 && this->now >= work.crashes_at)
@@ -53,13 +53,13 @@
 	ioWorker.listed_until = this->now + cEntryLifetimeMs;
 }
 
-void CellWorld::Restart(SimulatedWorker &ioWorker, bool inCloses, Millis inBackMs)
+void CellSimulation::Restart(SimulatedWorker &ioWorker, bool inCloses, Millis inBackMs)
 {
 	this->Crash(ioWorker, inCloses, inBackMs);
 	ioWorker.keeps_id = true;
 }
 
-void CellWorld::StartNextIncarnation(SimulatedWorker &ioWorker)
+void CellSimulation::StartNextIncarnation(SimulatedWorker &ioWorker)
 {
 	SimulatedWorker replacement(ioWorker.id, {cWorkerCpuMilli, 32768, 0}, ioWorker.clock_slow_per_mille);
 	replacement.rack = ioWorker.rack;
@@ -69,13 +69,13 @@
 	ioWorker = std::move(replacement);
 }
 
-uint32 CellWorld::CrashesCausedBy(const TaskId &inTask) const
+uint32 CellSimulation::CrashesCausedBy(const TaskId &inTask) const
 {
 	auto found = this->crashes_by_task.find(inTask);
 	return found == this->crashes_by_task.end() ? 0 : found->second;
 }
 
-std::string CellWorld::Broken() const
+std::string CellSimulation::Broken() const
 {
 	std::string text;
 	for (const std::string &line : this->violations)
@@ -83,7 +83,7 @@
 	return text;
 }
 
-std::string CellWorld::GivenUp() const
+std::string CellSimulation::GivenUp() const
 {
 	std::string wrongly_failed;
 	for (const auto &[id, spec] : this->specs)
@@ -92,7 +92,7 @@
 	return wrongly_failed;
 }
 
-void CellWorld::CrashWorkersByRuns()
+void CellSimulation::CrashWorkersByRuns()
 {
 	std::vector<std::string> crashing;
 	std::vector<std::string> back;
@@ -126,7 +126,7 @@
 	}
 }
 
-std::optional<OrderAnswer> CellWorld::AnswerOfEndedProcess(const SimulatedWorker &inWorker) const
+std::optional<OrderAnswer> CellSimulation::AnswerOfEndedProcess(const SimulatedWorker &inWorker) const
 {
 	OrderAnswer answer;
 	const bool is_next = inWorker.next_incarnation_at >= 0 && this->now >= inWorker.next_incarnation_at;
@@ -139,7 +139,7 @@
 	return answer;
 }
 
-void CellWorld::EndIncarnation(SimulatedWorker &ioWorker)
+void CellSimulation::EndIncarnation(SimulatedWorker &ioWorker)
 {
 	ioWorker.crashed = true;
 	ioWorker.running.clear();
@@ -156,7 +156,7 @@
 	this->workers.emplace(next, SimulatedWorker(next, {cWorkerCpuMilli, 32768, 0}, ioWorker.clock_slow_per_mille));
 }
 
-void CellWorld::AdvanceWorker(SimulatedWorker &ioWorker)
+void CellSimulation::AdvanceWorker(SimulatedWorker &ioWorker)
 {
 	if (ioWorker.crashed)
 		return;
@@ -177,7 +177,7 @@
 		ioWorker.expired_below = ioWorker.next_sequence;
 }
 
-void CellWorld::EndRun(SimulatedWorker &ioWorker, const RunId &inRun, ERunEnd inEnd)
+void CellSimulation::EndRun(SimulatedWorker &ioWorker, const RunId &inRun, ERunEnd inEnd)
 {
 	ioWorker.running.erase(inRun);
 	if (inEnd == ERunEnd::Done)
@@ -188,7 +188,7 @@
 	highest = std::max(highest, inRun.run);
 }
 
-OrderAnswer CellWorld::Execute(SimulatedWorker &ioWorker, const Order &inOrder)
+OrderAnswer CellSimulation::Execute(SimulatedWorker &ioWorker, const Order &inOrder)
 {
 	OrderAnswer answer;
 	answer.clock_ms = ioWorker.Clock(this->now);
@@ -225,7 +225,7 @@
 	return answer;
 }
 
-void CellWorld::RecordEnd(const SimulatedWorker &inWorker, const EndedRow &inRow)
+void CellSimulation::RecordEnd(const SimulatedWorker &inWorker, const EndedRun &inRow)
 {
 	if (inRow.end == ERunEnd::Failed)
 		++this->failures_recorded[inRow.task];
@@ -239,7 +239,7 @@
 						   this->last_start_misdelivery[inRow.task]);
 }
 
-std::string CellWorld::DescribeListedEnd(const ListedEnd &inEnd) const
+std::string CellSimulation::DescribeListedEnd(const ListedEnd &inEnd) const
 {
 	auto ended = this->owner_exits.find(inEnd.owner);
 	return "listed at " + std::to_string(inEnd.at) + ", " +
@@ -247,7 +247,7 @@
 		   (ended == this->owner_exits.end() ? "is at work" : ended->second);
 }
 
-bool CellWorld::CountsAsRecorded(const ListedEnd &inEnd) const
+bool CellSimulation::CountsAsRecorded(const ListedEnd &inEnd) const
 {
 	auto ended = this->owner_exits.find(inEnd.owner);
 	const bool killed = ended != this->owner_exits.end() && ended->second.starts_with(cOwnerKilled);
@@ -255,9 +255,9 @@
 	return !excused && this->now > inEnd.at + cRecordAfterListedMs;
 }
 
-void CellWorld::MarkRead(const PendingMessage &inAnswer)
+void CellSimulation::MarkRead(const PendingMessage &inAnswer)
 {
-	for (const EndedRow &row : inAnswer.answer.ended)
+	for (const EndedRun &row : inAnswer.answer.ended)
 	{
 		auto listed = this->listed_done.find(row.task);
 		if (listed != this->listed_done.end() && listed->second.owner == inAnswer.owner && listed->second.read_at < 0)
@@ -265,16 +265,16 @@
 	}
 }
 
-OrderAnswer CellWorld::Poll(SimulatedWorker &ioWorker, const Order &inOrder)
+OrderAnswer CellSimulation::Poll(SimulatedWorker &ioWorker, const Order &inOrder)
 {
 	OrderAnswer answer;
 	answer.clock_ms = ioWorker.Clock(this->now);
 	answer.born_ms = ioWorker.started_at;
 	answer.result = EOrderResult::Done;
-	for (const EndedRow &row : ioWorker.ended)
+	for (const EndedRun &row : ioWorker.ended)
 		if (row.number >= ioWorker.expired_below && row.number <= inOrder.last_seen)
 			this->RecordEnd(ioWorker, row);
-	std::erase_if(ioWorker.ended, [&](const EndedRow &inRow) { return inRow.number <= inOrder.last_seen; });
+	std::erase_if(ioWorker.ended, [&](const EndedRun &inRow) { return inRow.number <= inOrder.last_seen; });
 	for (const auto &[run, work] : ioWorker.running)
 	{
 		const Millis whole = std::max<Millis>(1, work.ends_at - work.began_at);
@@ -285,25 +285,25 @@
 	answer.partial = this->faults.poll_page_size > 0 && answer.ended.size() >= this->faults.poll_page_size;
 	if (answer.partial)
 		answer.ended.resize(this->faults.poll_page_size);
-	for (const EndedRow &row : answer.ended)
+	for (const EndedRun &row : answer.ended)
 		if (this->faults.listed_end_counts && row.end == ERunEnd::Done && row.number >= ioWorker.expired_below)
 			this->listed_done.emplace(row.task, ListedEnd{this->now, EpochOf(inOrder.token), -1});
 	return answer;
 }
 
-Millis CellWorld::DrawRestartDelay()
+Millis CellSimulation::DrawRestartDelay()
 {
 	const uint64 most = this->restart_random.Chance(50) ? cShortRestartDelayMs : cLongRestartDelayMs;
 	return cSimulationStepMs * static_cast<Millis>(2 + this->restart_random.Below(most / cSimulationStepMs));
 }
 
-void CellWorld::AnswerWaitingPolls(SimulatedWorker &ioWorker)
+void CellSimulation::AnswerWaitingPolls(SimulatedWorker &ioWorker)
 {
 	for (size_t i = 0; i < this->waiting.size();)
 	{
 		const WaitingPoll &waiting_poll = this->waiting[i];
 		const bool here = waiting_poll.poll.order.worker == ioWorker.id;
-		const auto is_new_end = [&waiting_poll](const EndedRow &inRow) { return inRow.number > waiting_poll.poll.order.last_seen; };
+		const auto is_new_end = [&waiting_poll](const EndedRun &inRow) { return inRow.number > waiting_poll.poll.order.last_seen; };
 		const bool has_new_end = std::any_of(ioWorker.ended.begin(), ioWorker.ended.end(), is_new_end);
 		const bool lost = ioWorker.crashed || ioWorker.IncarnationName() != waiting_poll.incarnation;
 		if (!here || (!lost && !has_new_end && this->now < waiting_poll.until))
@@ -325,7 +325,7 @@
 	}
 }
 
-OrderAnswer CellWorld::ExecuteStart(SimulatedWorker &ioWorker, const Order &inOrder)
+OrderAnswer CellSimulation::ExecuteStart(SimulatedWorker &ioWorker, const Order &inOrder)
 {
 	OrderAnswer answer;
 	answer.clock_ms = ioWorker.Clock(this->now);
@@ -365,7 +365,7 @@
 	return answer;
 }
 
-void CellWorld::CheckCanceled(SimulatedWorker &ioWorker)
+void CellSimulation::CheckCanceled(SimulatedWorker &ioWorker)
 {
 	// A paused owner sends nothing, and one that has never seen a worker's entry does not know its address
 	const bool has_address = !this->needs_address || ioWorker.listed_to_epoch == this->epoch;
@@ -387,14 +387,14 @@
 	}
 }
 
-std::string CellWorld::DescribeMisdelivery(const SimulatedWorker &inWorker) const
+std::string CellSimulation::DescribeMisdelivery(const SimulatedWorker &inWorker) const
 {
 	if (this->addressed_to == inWorker.IncarnationName())
 		return "";
 	return " (meant for " + this->addressed_to + ", carried out by " + inWorker.IncarnationName() + ')';
 }
 
-void CellWorld::CheckStart(const SimulatedWorker &inWorker, const Order &inOrder)
+void CellSimulation::CheckStart(const SimulatedWorker &inWorker, const Order &inOrder)
 {
 	const std::string what =
 		TaskText(inOrder.task) + " run " + std::to_string(inOrder.run) + " on " + inWorker.id + this->DescribeMisdelivery(inWorker);
--- a/UnitTests/CellStaleInformationTests.cpp
+++ b/UnitTests/CellStaleInformationTests.cpp
@@ -106,7 +106,7 @@
 
 } // namespace
 
-TEST(CellOldNews, StartsAllMembersOfAGangOrNone)
+TEST(CellStaleInformation, StartsAllMembersOfAGangOrNone)
 {
 	// While the log was being written, the worker of one member was chosen for release. That member was dropped; the others were started
 	// and waited for it in vain
@@ -127,7 +127,7 @@
 	EXPECT_GE(simulation.starts, 2u);
 }
 
-TEST(CellOldNews, HandsOverTheEndsOfAWorkerThatHasLeft)
+TEST(CellStaleInformation, HandsOverTheEndsOfAWorkerThatHasLeft)
 {
 	// A worker listed its run's successful end and left the worker list. It was forgotten, and the owner handed over before the end was in
 	// the log
--- a/UnitTests/CellSuspendTests.cpp
+++ b/UnitTests/CellSuspendTests.cpp
@@ -17,14 +17,14 @@
 {
 	constexpr size_t cWorkers = 12;
 	Random random(inSeed);
-	Trouble faults;
+	SimulationFaults faults;
 	faults.long_owner_pause = 5 + random.Below(25);
 	faults.owner_pause = random.Below(20);
 	faults.owner_kill = random.Below(10);
 	faults.slow_clock_per_mille = 20;
 	faults.slow_stop = random.Below(60);
 	faults.capacity_shrink = random.Below(10);
-	CellWorld simulation(inSeed, faults, cWorkers);
+	CellSimulation simulation(inSeed, faults, cWorkers);
 	AssignRacks(simulation);
 	simulation.Submit(MakeLongRunningJob(4));
 	int next = 0;
--- a/UnitTests/CellTests.cpp
+++ b/UnitTests/CellTests.cpp
@@ -51,7 +51,7 @@
 TEST(Cell, QuietDayEndsEveryJob)
 {
 	Random random(1);
-	CellWorld simulation(1, Trouble{}, 4);
+	CellSimulation simulation(1, SimulationFaults{}, 4);
 	RunMixedWorkload(simulation, random);
 	simulation.Run(20000);
 	EXPECT_EQ(simulation.Broken(), "");
@@ -62,10 +62,10 @@
 TEST(Cell, RunsSurviveAChangeOfOwner)
 {
 	// Owners are killed about every second: work still goes on, and nothing runs twice
-	Trouble faults;
+	SimulationFaults faults;
 	faults.owner_kill = 60;
 	Random random(7);
-	CellWorld simulation(7, faults, 4);
+	CellSimulation simulation(7, faults, 4);
 	RunMixedWorkload(simulation, random);
 	simulation.Run(15000);
 	simulation.ClearFaults();
@@ -77,9 +77,9 @@
 
 TEST(Cell, NothingIsShownBeforeTheLogHoldsIt)
 {
-	Trouble faults;
+	SimulationFaults faults;
 	faults.slow_append = 100;
-	CellWorld simulation(3, faults, 2);
+	CellSimulation simulation(3, faults, 2);
 	simulation.Submit(MakeJob("a", 1, 1, 1000, 300));
 	// Read from the inbox, but its first record is still being written
 	simulation.Run(500);
@@ -91,9 +91,9 @@
 
 TEST(Cell, AJobThatFailsTooOftenIsFailed)
 {
-	Trouble faults;
+	SimulationFaults faults;
 	faults.failed_run = 100;
-	CellWorld simulation(5, faults, 3);
+	CellSimulation simulation(5, faults, 3);
 	simulation.Submit(MakeJob("a", 1, 1, 1000, 1200));
 	simulation.Run(60000);
 	EXPECT_EQ(simulation.Shown("a").phase, EJobPhase::Failed);
@@ -104,7 +104,7 @@
 TEST(Cell, AStragglerIsStartedElsewhere)
 {
 	// One worker takes twenty times as long; others take over its runs
-	CellWorld simulation(11, Trouble{}, 3);
+	CellSimulation simulation(11, SimulationFaults{}, 3);
 	simulation.Run(200);
 	simulation.Workers().begin()->second.slow_factor = 20;
 	for (int i = 0; i < 12; ++i)
@@ -123,7 +123,7 @@
 	size_t open = 0;
 	for (uint64 seed = 1; seed <= 200; ++seed)
 	{
-		CellWorld simulation(seed, Trouble{}, 3);
+		CellSimulation simulation(seed, SimulationFaults{}, 3);
 		simulation.Run(200);
 		simulation.Workers().begin()->second.slow_factor = 20;
 		for (int i = 0; i < 12; ++i)
@@ -141,7 +141,7 @@
 TEST(Cell, ATaskThatIsLongByItselfEnds)
 {
 	// A task ten times as long as others of its queue was stopped as a straggler and restarted 34 times in 34 seconds
-	CellWorld simulation(5, Trouble{}, 4);
+	CellSimulation simulation(5, SimulationFaults{}, 4);
 	for (int i = 0; i < 12; ++i)
 	{
 		simulation.Submit(MakeJob("short" + std::to_string(i), 1, 2, 1000, 300));
@@ -158,10 +158,10 @@
 TEST(Cell, AListThatMayBeCutProvesNoEnd)
 {
 	// With a slow log, more ends waited than a poll lists; the other runs were taken for stopped and their tasks restarted
-	Trouble faults;
+	SimulationFaults faults;
 	faults.slow_append = 100;
 	faults.poll_page_size = 2;
-	CellWorld simulation(3, faults, 1);
+	CellSimulation simulation(3, faults, 1);
 	simulation.run_ms["a"] = 300;
 	simulation.Submit(MakeJob("a", 1, 8, 1000, 300));
 	simulation.Run(30000);
@@ -210,13 +210,13 @@
 	EXPECT_EQ(cell.Query("queue", "a").phase, EJobPhase::Completed);
 }
 
-TEST(Cell, HandsOverEveryEndThatAWorkerToldOf)
+TEST(Cell, HandsOverEveryEndThatAWorkerReported)
 {
 	// An end was known, but not in the append in flight, when the owner handed over; its worker left before it was polled again
-	Trouble faults;
+	SimulationFaults faults;
 	faults.slow_append = 100;
 	faults.listed_end_counts = true;
-	CellWorld simulation(3, faults, 2);
+	CellSimulation simulation(3, faults, 2);
 	simulation.run_ms["a"] = 1500;
 	simulation.Submit(MakeJob("a", 1, 4, 1000, 300));
 	const auto ended = [&simulation]
@@ -243,7 +243,7 @@
 }
 
 /// Asks for a drain grant: the log must hold it before it is given.
-static bool GrantsDrainOnceLogged(CellWorld &ioSimulation, const std::string &inWorker)
+static bool GrantsDrainOnceLogged(CellSimulation &ioSimulation, const std::string &inWorker)
 {
 	EXPECT_FALSE(ioSimulation.Core().Vacate(inWorker, 1500, ioSimulation.Now()));
 	ioSimulation.Run(100);
@@ -251,7 +251,7 @@
 }
 
 /// The same for workers that a pool can release.
-static PoolDemand ReleasesOnceLogged(CellWorld &ioSimulation, uint32 inSpare)
+static PoolDemand ReleasesOnceLogged(CellSimulation &ioSimulation, uint32 inSpare)
 {
 	EXPECT_TRUE(ioSimulation.Core().Demand("pool", inSpare, 1500, ioSimulation.Now(), 0).spared.empty());
 	ioSimulation.Run(100);
@@ -261,7 +261,7 @@
 TEST(Cell, KeepsADrainGrantOverAHandover)
 {
 	// A drain was granted, its owner handed over, and the next one started something on the worker before its host was removed
-	CellWorld simulation(3, Trouble{}, 1);
+	CellSimulation simulation(3, SimulationFaults{}, 1);
 	simulation.Run(1000);
 	const std::string id = simulation.Workers().begin()->first;
 	ASSERT_TRUE(GrantsDrainOnceLogged(simulation, id));
@@ -278,7 +278,7 @@
 {
 	// A drain was granted, and the worker's entry lapsed and came back within the grant. Treated as a new worker it got runs, which were
 	// lost with its host (seed 27 of all faults)
-	CellWorld simulation(3, Trouble{}, 1);
+	CellSimulation simulation(3, SimulationFaults{}, 1);
 	simulation.Run(1000);
 	SimulatedWorker &worker = simulation.Workers().begin()->second;
 	ASSERT_TRUE(GrantsDrainOnceLogged(simulation, worker.id));
@@ -294,7 +294,7 @@
 
 TEST(Cell, WhatFitsNowhereWaits)
 {
-	CellWorld simulation(5, Trouble{}, 3);
+	CellSimulation simulation(5, SimulationFaults{}, 3);
 	simulation.Submit(MakeJob("huge", 1, 1, 99000, 300));
 	simulation.Run(10000);
 	EXPECT_EQ(simulation.Shown("huge").phase, EJobPhase::Queued);
@@ -303,7 +303,7 @@
 
 TEST(Cell, SparesOnlyEmptyWorkers)
 {
-	CellWorld simulation(5, Trouble{}, 4);
+	CellSimulation simulation(5, SimulationFaults{}, 4);
 	simulation.Submit(MakeLongRunningJob(2));
 	simulation.Run(3000);
 	const PoolDemand demand = ReleasesOnceLogged(simulation, 4);
@@ -317,9 +317,9 @@
 {
 	// A successful end was known but not logged when the drain of its worker was granted and the host moved. The owner lost its lease; the
 	// next one found the run in the log and its worker lost, and restarted the task
-	Trouble faults;
+	SimulationFaults faults;
 	faults.slow_append = 100;
-	CellWorld simulation(3, faults, 1);
+	CellSimulation simulation(3, faults, 1);
 	simulation.Submit(MakeJob("a", 1, 1, 1000, 300));
 	simulation.Run(1500);
 	const std::string id = simulation.Workers().begin()->first;
@@ -340,7 +340,7 @@
 {
 	// A worker's last ends were in the log, but with no runs left on it no poll acknowledged them. Its drain was granted 4 ms after the
 	// append, and its host moved with 100 ends that count as never recorded
-	CellWorld simulation(3, Trouble{}, 1);
+	CellSimulation simulation(3, SimulationFaults{}, 1);
 	simulation.Submit(MakeJob("a", 1, 4, 1000, 300));
 	const std::string id = simulation.Workers().begin()->first;
 	Millis now = 1000;
@@ -361,7 +361,7 @@
 {
 	// The worker list shows a worker for 4.5 s after its host has moved, and workers that had left were counted in place of those that
 	// could be released
-	CellWorld simulation(5, Trouble{}, 4);
+	CellSimulation simulation(5, SimulationFaults{}, 4);
 	simulation.Run(3000);
 	const PoolDemand first = ReleasesOnceLogged(simulation, 2);
 	ASSERT_EQ(first.spared.size(), 2u);
@@ -380,7 +380,7 @@
 TEST(Cell, WorkersWhoseEntriesLapsedGoOnWorking)
 {
 	// The store was unavailable for longer than three heartbeats of the workers: all entries lapse, and come back within two seconds
-	CellWorld simulation(5, Trouble{}, 3);
+	CellSimulation simulation(5, SimulationFaults{}, 3);
 	simulation.Run(1000);
 	simulation.OnStoreRecovered(2000);
 	for (auto &[id, worker] : simulation.Workers())
@@ -400,7 +400,7 @@
 TEST(Cell, AWorkerThatLeftTheListGetsNothingNew)
 {
 	// Without an outage, a missing entry means that its worker leaves, even if it never said so
-	CellWorld simulation(5, Trouble{}, 2);
+	CellSimulation simulation(5, SimulationFaults{}, 2);
 	simulation.Run(1000);
 	SimulatedWorker &leaving = simulation.Workers().begin()->second;
 	leaving.unlisted = true;
@@ -411,10 +411,10 @@
 	EXPECT_EQ(simulation.Starts(), 8u);
 }
 
-TEST(Cell, MovesLastingTasksOffAWorkerThatLeftTheList)
+TEST(Cell, MovesLongRunningTasksOffAWorkerThatLeftTheList)
 {
 	// Such tasks stayed until the worker ended, and were missing until its lease was over
-	CellWorld simulation(5, Trouble{}, 4);
+	CellSimulation simulation(5, SimulationFaults{}, 4);
 	simulation.Submit(MakeLongRunningJob(2));
 	simulation.Run(3000);
 	SimulatedWorker *leaving = nullptr;
@@ -432,10 +432,10 @@
 	EXPECT_EQ(simulation.Broken(), "");
 }
 
-TEST(Cell, StopsNothingThatLastsWhileAnotherIsOnASilentWorker)
+TEST(Cell, StopsNoLongRunningTaskWhileAnotherIsOnAnUnresponsiveWorker)
 {
 	// A task on an unresponsive worker counted as running, as it was last listed
-	CellWorld simulation(5, Trouble{}, 5);
+	CellSimulation simulation(5, SimulationFaults{}, 5);
 	simulation.Submit(MakeLongRunningJob(3));
 	simulation.Run(3000);
 	std::vector<std::string> busy;
@@ -458,7 +458,7 @@
 {
 	// The owner of a cell handed over 0.4 s after it had ordered two tasks to stop. The next one saw them listed as running, as they are
 	// until they have stopped, and stopped another
-	CellWorld simulation(5, Trouble{}, 5);
+	CellSimulation simulation(5, SimulationFaults{}, 5);
 	simulation.stop_duration_ms = 900;
 	simulation.Submit(MakeLongRunningJob(3));
 	simulation.Run(3000);
@@ -494,9 +494,9 @@
 	EXPECT_TRUE(simulation.Workers().at(busy[1]).running.empty());
 }
 
-TEST(Cell, MovesLastingTasksOffAnEmptiedWorker)
+TEST(Cell, MovesLongRunningTasksOffADrainedWorker)
 {
-	CellWorld simulation(5, Trouble{}, 4);
+	CellSimulation simulation(5, SimulationFaults{}, 4);
 	simulation.Submit(MakeLongRunningJob(2));
 	simulation.Run(3000);
 	std::string busy;
--- a/UnitTests/CrashEvidenceTests.cpp
+++ b/UnitTests/CrashEvidenceTests.cpp
@@ -14,14 +14,14 @@
 {
 
 /// A task that is blamed for crashes right after its start, one per entry. An entry lists the states of the other suspects of that crash.
-TaskCrashes Crashes(const std::vector<std::vector<ERival>> &inRivals)
+TaskCrashes Crashes(const std::vector<std::vector<ESuspectState>> &inSuspects)
 {
 	TaskCrashes crashes;
-	for (const std::vector<ERival> &rivals : inRivals)
+	for (const std::vector<ESuspectState> &suspects : inSuspects)
 	{
 		CrashCase crash{true, true, false, {}};
-		for (const ERival rival : rivals)
-			crash.rivals.push_back({"rival", static_cast<uint64>(rival)});
+		for (const ESuspectState suspect : suspects)
+			crash.suspects.push_back({"rival", static_cast<uint64>(suspect)});
 		crashes.cases.push_back(crash);
 		++crashes.blamed;
 		++crashes.at_once;
@@ -29,15 +29,15 @@
 	return crashes;
 }
 
-CrashWeight Summarize(const TaskCrashes &inCrashes)
+CrashSummary Summarize(const TaskCrashes &inCrashes)
 {
-	return WeighCrashes(inCrashes, [](const CrashRival &inRival) { return static_cast<ERival>(inRival.unit); });
+	return SummarizeCrashes(inCrashes, [](const CrashSuspect &inSuspect) { return static_cast<ESuspectState>(inSuspect.unit); });
 }
 
 struct ProofCase
 {
-	std::vector<std::vector<ERival>> rivals;
-	CrashDoubts doubts;
+	std::vector<std::vector<ESuspectState>> suspects;
+	ChanceIndicators indicators;
 	bool proved = false;
 };
 
@@ -46,9 +46,9 @@
 /// Guards against giving up a sound task for two crashes, one caused by another task beside it and one that happened by chance.
 TEST(CrashEvidence, IsProofOnlyWhereOtherCausesAreRuledOut)
 {
-	constexpr auto cUndecided = ERival::Open;
-	constexpr auto cCleared = ERival::Cleared;
-	constexpr auto cProvedCause = ERival::Proved;
+	constexpr auto cUndecided = ESuspectState::Open;
+	constexpr auto cCleared = ESuspectState::Cleared;
+	constexpr auto cProvedCause = ESuspectState::Proved;
 	const std::vector<ProofCase> table = {
 		{{{}}, {}, false},
 		{{{}, {}}, {}, true},
@@ -64,12 +64,12 @@
 		{{{}, {}, {}}, {true, true}, true},
 	};
 	for (size_t i = 0; i < table.size(); ++i)
-		EXPECT_EQ(IsCrasherProved(Summarize(Crashes(table[i].rivals)), table[i].doubts), table[i].proved) << "row " << i;
+		EXPECT_EQ(IsCrashCauseProved(Summarize(Crashes(table[i].suspects)), table[i].indicators), table[i].proved) << "row " << i;
 }
 
 TEST(CrashEvidence, CrashesThatAnotherSuspectExplainsDoNotCount)
 {
-	const CrashWeight weight = Summarize(Crashes({{ERival::Proved}, {ERival::Open}, {}}));
+	const CrashSummary weight = Summarize(Crashes({{ESuspectState::Proved}, {ESuspectState::Open}, {}}));
 	EXPECT_EQ(weight.explained, 1u);
 	EXPECT_EQ(weight.at_once, 2u);
 	EXPECT_EQ(weight.Total(), 2u);
@@ -80,16 +80,16 @@
 /// counts that were started again.
 TEST(CrashEvidence, CasesAreMergedOnlyIntoTheirCounts)
 {
-	const CrashCounts counts = {{{0, 1}, Crashes({{ERival::Open}, {}})}};
+	const CrashCounts counts = {{{0, 1}, Crashes({{ESuspectState::Open}, {}})}};
 	const std::optional<CrashCounts> read = DecodeValue<CrashCounts>(EncodeValue(counts));
-	const std::optional<CrashCasesByTask> cases = DecodeValue<CrashCasesByTask>(EncodeValue(CasesOf(counts)));
+	const std::optional<CrashCasesByTask> cases = DecodeValue<CrashCasesByTask>(EncodeValue(ExtractCrashCases(counts)));
 	ASSERT_TRUE(read.has_value() && cases.has_value());
 	CrashCounts whole = *read;
-	TakeCases(whole, *cases);
+	MergeCrashCases(whole, *cases);
 	EXPECT_EQ(whole.at({0, 1}).cases.size(), 2u);
 	CrashCounts restarted = {{{0, 1}, Crashes({{}})}};
 	restarted.at({0, 1}).cases.clear();
-	TakeCases(restarted, *cases);
+	MergeCrashCases(restarted, *cases);
 	EXPECT_TRUE(restarted.at({0, 1}).cases.empty());
 }
 
--- a/UnitTests/EndLedgerTests.cpp
+++ b/UnitTests/EndLedgerTests.cpp
@@ -13,8 +13,8 @@
 namespace
 {
 
-const RunSeen cFirst{"job.0.0.0", 1, "a", 100};
-const RunSeen cSecond{"job.0.0.0", 2, "b", 200};
+const ObservedRun cFirst{"job.0.0.0", 1, "a", 100};
+const ObservedRun cSecond{"job.0.0.0", 2, "b", 200};
 
 } // namespace
 
--- a/UnitTests/EndsSubmitterTests.cpp
+++ b/UnitTests/EndsSubmitterTests.cpp
@@ -24,7 +24,7 @@
 {
 	FakeLog log;
 	InboxWriter<FakeLog> writer{log, cInbox};
-	EndsHandIn<FakeLog> ends{[this](uint32) -> InboxWriter<FakeLog> & { return this->writer; }};
+	EndsSubmitter<FakeLog> ends{[this](uint32) -> InboxWriter<FakeLog> & { return this->writer; }};
 };
 
 EndReport ReportOf(const TaskId &inTask, uint32 inRun, ERunEnd inEnd) { return {"w0", 1, {{1, inTask, inRun, inEnd, ""}}}; }
@@ -44,7 +44,7 @@
 
 } // namespace
 
-TEST(EndsHandIn, TriesUntilTheStoreHasTakenIt)
+TEST(EndsSubmitter, TriesUntilTheStoreHasTakenIt)
 {
 	FormerOwner owner;
 	owner.log.fates = {FakeLog::EFate::Refuse, FakeLog::EFate::Vanish, FakeLog::EFate::LoseAnswer};
@@ -56,7 +56,7 @@
 	EXPECT_EQ(owner.log.Size(cInbox), 2u);
 }
 
-TEST(EndsHandIn, OlderHostsSkipRecordsTheyDoNotKnow)
+TEST(EndsSubmitter, OlderHostsSkipRecordsTheyDoNotKnow)
 {
 	const std::string ends = EncodeValue(InboxRecord{EInbox::Ends, {}, ReportOf({"job", 0, 0, 0}, 1, ERunEnd::Done)});
 	EXPECT_FALSE(DecodeValue<OlderInboxRecord>(ends).has_value());
@@ -71,43 +71,44 @@
 	}
 }
 
-TEST(EndsHandIn, AnEndCountsOnceHoweverOftenItComes)
+TEST(EndsSubmitter, AnEndCountsOnceHoweverOftenItComes)
 {
-	CellWorld world(1, Trouble{}, 1);
-	world.run_ms["job"] = 1000;
-	world.Submit(MakeJob("job", 1, 1, 500, 800));
-	world.Run(500);
+	CellSimulation simulation(1, SimulationFaults{}, 1);
+	simulation.run_ms["job"] = 1000;
+	simulation.Submit(MakeJob("job", 1, 1, 500, 800));
+	simulation.Run(500);
 	// The predecessor reports the same attempt as failed three times
 	InboxRecord record{EInbox::Ends, {}, ReportOf({"job", 0, 0, 0}, 1, ERunEnd::Failed)};
 	for (uint64 offset = 100; offset < 103; ++offset)
-		world.Core().Ingest(record, offset, world.Now(), world.Now());
-	EXPECT_EQ(world.Shown("job").phase, EJobPhase::Running);
-	EXPECT_EQ(world.GivenUp(), "");
+		simulation.Core().Ingest(record, offset, simulation.Now(), simulation.Now());
+	EXPECT_EQ(simulation.Shown("job").phase, EJobPhase::Running);
+	EXPECT_EQ(simulation.GivenUp(), "");
 }
 
-TEST(EndsHandIn, AnEndOfAForgottenWorkerCounts)
+TEST(EndsSubmitter, AnEndOfAForgottenWorkerCounts)
 {
-	CellWorld world(1, Trouble{}, 1);
-	world.run_ms["job"] = 100000;
-	world.Submit(MakeJob("job", 1, 1, 500, 800));
-	world.Run(500);
+	CellSimulation simulation(1, SimulationFaults{}, 1);
+	simulation.run_ms["job"] = 100000;
+	simulation.Submit(MakeJob("job", 1, 1, 500, 800));
+	simulation.Run(500);
 	EndReport report = ReportOf({"job", 0, 0, 0}, 1, ERunEnd::Done);
 	report.worker = "left long ago";
-	world.Core().Ingest({EInbox::Ends, {}, report}, 100, world.Now(), world.Now());
-	world.Run(500);
-	EXPECT_EQ(world.Shown("job").phase, EJobPhase::Completed);
+	simulation.Core().Ingest({EInbox::Ends, {}, report}, 100, simulation.Now(), simulation.Now());
+	simulation.Run(500);
+	EXPECT_EQ(simulation.Shown("job").phase, EJobPhase::Completed);
 }
 
-TEST(EndsHandIn, EndsOfUnknownTasksChangeNothing)
+TEST(EndsSubmitter, EndsOfUnknownTasksChangeNothing)
 {
-	CellWorld world(1, Trouble{}, 1);
-	world.Submit(MakeJob("job", 1, 1, 500, 800));
-	world.Run(500);
+	CellSimulation simulation(1, SimulationFaults{}, 1);
+	simulation.Submit(MakeJob("job", 1, 1, 500, 800));
+	simulation.Run(500);
 	for (const TaskId &task : {TaskId{"other", 0, 0, 0}, TaskId{"job", 7, 0, 0}, TaskId{"job", 0, 9, 0}, TaskId{"job", 0, 0, 99}})
-		world.Core().Ingest({EInbox::Ends, {}, ReportOf(task, 1, ERunEnd::Done)}, world.Core().InboxNext(), world.Now(), world.Now());
-	EXPECT_NE(world.Shown("job").phase, EJobPhase::Completed);
-	world.Run(5000);
-	EXPECT_EQ(world.Broken() + world.Open(), "");
+		simulation.Core().Ingest({EInbox::Ends, {}, ReportOf(task, 1, ERunEnd::Done)}, simulation.Core().InboxNext(), simulation.Now(),
+								 simulation.Now());
+	EXPECT_NE(simulation.Shown("job").phase, EJobPhase::Completed);
+	simulation.Run(5000);
+	EXPECT_EQ(simulation.Broken() + simulation.Open(), "");
 }
 
 } // namespace Loomreach::Jobs
--- a/UnitTests/FleetDriverTests.cpp
+++ b/UnitTests/FleetDriverTests.cpp
@@ -20,22 +20,22 @@
 struct ManualMachineService
 {
 	using OnList = std::function<void(const std::optional<std::vector<HostEntry>> &)>;
-	using OnDuty = std::function<void(EDutyResult)>;
+	using OnHostOrderResult = std::function<void(EHostOrderResult)>;
 
 	void List(const OnList &inDone)
 	{
 		++this->lists;
 		inDone(this->hosts);
 	}
-	void Send(const HostDuty &inDuty, OnDuty inDone)
+	void Send(const HostOrder &inHostOrder, OnHostOrderResult inDone)
 	{
-		this->sent.push_back(inDuty);
+		this->sent.push_back(inHostOrder);
 		this->open.push_back(std::move(inDone));
 	}
 
 	std::vector<HostEntry> hosts;
-	std::vector<HostDuty> sent;
-	std::vector<OnDuty> open;
+	std::vector<HostOrder> sent;
+	std::vector<OnHostOrderResult> open;
 	uint32 lists = 0;
 };
 
@@ -73,7 +73,7 @@
 public:
 	TestFleetDriver()
 		: lease(LeaseTuning{}), owners("host", LeaseTuning{}),
-		  driver(this->hub, SeatContext{this->config, this->metrics, this->lease, this->owners, {"host", 1, 1}},
+		  driver(this->hub, DriverContext{this->config, this->metrics, this->lease, this->owners, {"host", 1, 1}},
 				 [this](const std::string &, const PeerQuestion &, const PeerQuery::OnAnswer &inDone)
 				 {
 					 PeerAnswer answer;
@@ -104,7 +104,7 @@
 
 	void RequestWave()
 	{
-		UpkeepWave wave;
+		MaintenanceWave wave;
 		wave.number = 1;
 		wave.hosts = {"a"};
 		wave.within_ms = 60'000;
@@ -117,12 +117,12 @@
 	OwnLease lease;
 	OwnerTable owners;
 	Resources need;
-	FleetSeat<TestHub> driver;
+	FleetDriver<TestHub> driver;
 };
 
 } // namespace
 
-TEST(FleetSeat, DoesNotHandOverWhileAnOrderIsInFlight)
+TEST(FleetDriver, DoesNotHandOverWhileAnOrderIsInFlight)
 {
 	// Guards against handing over while an order is in flight: the successor starts at once, and the order arrives after its own and
 	// exceeds what a wave allows
@@ -131,25 +131,25 @@
 	fleet.RequestWave();
 	ASSERT_TRUE(fleet.WaitForOrder());
 	ASSERT_EQ(fleet.hub.machines.sent.size(), 1u);
-	EXPECT_FALSE(fleet.driver.IsQuiet());
-	fleet.hub.machines.open[0](EDutyResult::Done);
-	for (int i = 0; i < 20 && !fleet.driver.IsQuiet(); ++i)
+	EXPECT_FALSE(fleet.driver.IsReadyToHandOver());
+	fleet.hub.machines.open[0](EHostOrderResult::Done);
+	for (int i = 0; i < 20 && !fleet.driver.IsReadyToHandOver(); ++i)
 		FakeLog::Settle(10);
-	EXPECT_TRUE(fleet.driver.IsQuiet());
+	EXPECT_TRUE(fleet.driver.IsReadyToHandOver());
 }
 
-TEST(FleetSeat, AnOrderWithoutAnAnswerCountsAsInFlight)
+TEST(FleetDriver, AnOrderWithoutAnAnswerCountsAsInFlight)
 {
 	TestFleetDriver fleet;
-	EXPECT_FALSE(fleet.driver.HasOrdersUnderWay());
+	EXPECT_FALSE(fleet.driver.HasOrdersInFlight());
 	fleet.RequestWave();
 	ASSERT_TRUE(fleet.WaitForOrder());
-	EXPECT_TRUE(fleet.driver.HasOrdersUnderWay());
-	fleet.hub.machines.open[0](EDutyResult::Unknown);
-	EXPECT_TRUE(fleet.driver.HasOrdersUnderWay());
+	EXPECT_TRUE(fleet.driver.HasOrdersInFlight());
+	fleet.hub.machines.open[0](EHostOrderResult::Unknown);
+	EXPECT_TRUE(fleet.driver.HasOrdersInFlight());
 }
 
-TEST(FleetSeat, SendsAHostOnlyOneOrder)
+TEST(FleetDriver, SendsAHostOnlyOneOrder)
 {
 	// Guards against the balancer learning only with the next list of hosts which of them a wave has chosen
 	TestFleetDriver fleet;
@@ -160,15 +160,15 @@
 	EXPECT_EQ(fleet.hub.machines.sent.size(), 1u);
 }
 
-TEST(FleetSeat, OrdersNoHostDownThatItHasJustMoved)
+TEST(FleetDriver, OrdersNoHostDownThatItHasJustMoved)
 {
 	// A list that lags still shows a moved host in the spare pool, where nothing runs; it must not be ordered down
 	TestFleetDriver fleet;
 	fleet.need = {16000, 32768, 0};
 	ASSERT_TRUE(fleet.WaitForOrder());
 	ASSERT_EQ(fleet.hub.machines.sent.size(), 1u);
-	ASSERT_EQ(fleet.hub.machines.sent[0].kind, EDuty::Move);
-	fleet.hub.machines.open[0](EDutyResult::Done);
+	ASSERT_EQ(fleet.hub.machines.sent[0].kind, EHostOrder::Move);
+	fleet.hub.machines.open[0](EHostOrderResult::Done);
 	fleet.RequestWave();
 	FakeLog::Settle(800);
 	EXPECT_EQ(fleet.hub.machines.sent.size(), 1u);
--- a/UnitTests/FleetTests.cpp
+++ b/UnitTests/FleetTests.cpp
@@ -188,7 +188,7 @@
 	EXPECT_LE(max_turns_per_day, 14);
 }
 
-TEST(HostKeeper, CountsAHostAsDrainedOnlyByItsWorkersAnswer)
+TEST(HostLifecycle, CountsAHostAsDrainedOnlyByItsWorkersAnswer)
 {
 	TestFleet fleet;
 	fleet.Accept(ApplySettings{0, TestFleet::OnePool(0, 0), "me"});
@@ -200,7 +200,7 @@
 	observed.first_polled = 1;
 	observed.last_answer = 10'000;
 	const auto decide = [&](bool inAcknowledged)
-	{ return HostKeeper(fleet.state, seen, {}, 10'000).Decide(fleet.state.hosts.at("h0"), inAcknowledged); };
+	{ return HostLifecycle(fleet.state, seen, {}, 10'000).Decide(fleet.state.hosts.at("h0"), inAcknowledged); };
 	EXPECT_TRUE(decide(true).empty());
 	observed.quiet_since = 9'000;
 	EXPECT_TRUE(decide(false).empty());
@@ -245,7 +245,7 @@
 	EXPECT_TRUE(backoff.Waiting(fleet.state, 17'001).empty());
 }
 
-TEST(HostKeeper, QuarantinesAHostThatFailsManyJobs)
+TEST(HostLifecycle, QuarantinesAHostThatFailsManyJobs)
 {
 	TestFleet fleet;
 	std::vector<SettingsNode> nodes = {{"/pool", ENodeKind::Pool, {{ESetting::MinAvailablePercent, {50, {}}}}}};
@@ -261,7 +261,7 @@
 	}
 	Observations seen;
 	seen.hosts["h0"].last_answer = 100;
-	const std::vector<ProposalBody> decided = HostKeeper(fleet.state, seen, {}, 100).Decide(fleet.state.hosts.at("h0"), true);
+	const std::vector<ProposalBody> decided = HostLifecycle(fleet.state, seen, {}, 100).Decide(fleet.state.hosts.at("h0"), true);
 	ASSERT_EQ(decided.size(), 1U);
 	EXPECT_EQ(std::get<StepHost>(decided[0]).step, EHostStep::Quarantine);
 }
--- a/UnitTests/ForwardTests.cpp
+++ b/UnitTests/ForwardTests.cpp
@@ -245,7 +245,7 @@
 			this->helpers.push_back(std::make_unique<Helper>(100 + i));
 		this->owner_peers = std::make_unique<PeerQuery>(
 			Address{"127.0.0.1", FreePort()}, this->metrics, [](const PeerQuestion &, const std::function<void(PeerAnswer)> &) {},
-			[](EPeerNews, const std::string &) {});
+			[](EPeerMessage, const std::string &) {});
 		EXPECT_TRUE(this->owner_peers->Open());
 		ForwardTuning tuning;
 		tuning.window_ms = 1;
@@ -308,7 +308,7 @@
 						return this->sender->SendFor(inQuestion, this->incarnation, std::move(inReply));
 					inReply(PeerAnswer{});
 				},
-				[](EPeerNews, const std::string &) {});
+				[](EPeerMessage, const std::string &) {});
 			this->sender = std::make_unique<OrderSender<RecordingAgent>>(this->agent, *this->peers, ForwardTuning{});
 			EXPECT_TRUE(this->peers->Open());
 		}
--- a/UnitTests/HostOrderTests.cpp
+++ b/UnitTests/HostOrderTests.cpp
@@ -34,7 +34,7 @@
 }
 
 /// Runs a wave to its end. Returns the greatest number of hosts that were down at the same time.
-uint32 RunWave(UpkeepPlanner &ioPlanner, std::vector<HostEntry> inHosts, int64 inWave, EDutyResult inResult)
+uint32 RunWave(MaintenancePlanner &ioPlanner, std::vector<HostEntry> inHosts, int64 inWave, EHostOrderResult inResult)
 {
 	uint32 max_down = 0;
 	std::map<std::string, Millis> down_since;
@@ -49,12 +49,12 @@
 					down_since.erase(host.name);
 			}
 		ioPlanner.SetHosts(inHosts, now);
-		for (const HostEntry &host : ioPlanner.ToEmpty(now))
-			ioPlanner.OnEmpty(host.name, now, now);
-		for (const HostDuty &host_order : ioPlanner.TakeDuties(now))
+		for (const HostEntry &host : ioPlanner.HostsToDrain(now))
+			ioPlanner.OnDrained(host.name, now, now);
+		for (const HostOrder &host_order : ioPlanner.TakeHostOrders(now))
 		{
 			down_since[host_order.host] = now;
-			ioPlanner.OnDuty(host_order, inResult, now);
+			ioPlanner.OnHostOrderResult(host_order, inResult, now);
 		}
 		max_down = std::max(max_down, static_cast<uint32>(down_since.size()));
 	}
@@ -62,100 +62,100 @@
 }
 
 /// A wave of one host that was drained at 1000 ms and ordered down at 1100 ms, with an unknown result.
-UpkeepPlanner PlannerWithUnknownResult()
+MaintenancePlanner PlannerWithUnknownResult()
 {
-	UpkeepPlanner planner(UpkeepTuning{});
+	MaintenancePlanner planner(MaintenanceTuning{});
 	planner.AddWave({1, {"m0"}, 26000, 1}, {}, 1000);
 	planner.SetHosts({Host("m0", "busy")}, 1000);
-	EXPECT_EQ(planner.ToEmpty(1000).size(), 1u);
-	planner.OnEmpty("m0", 1000, 1050);
-	const std::vector<HostDuty> host_orders = planner.TakeDuties(1100);
+	EXPECT_EQ(planner.HostsToDrain(1000).size(), 1u);
+	planner.OnDrained("m0", 1000, 1050);
+	const std::vector<HostOrder> host_orders = planner.TakeHostOrders(1100);
 	EXPECT_EQ(host_orders.size(), 1u);
 	if (!host_orders.empty())
-		planner.OnDuty(host_orders[0], EDutyResult::Unknown, 1200);
+		planner.OnHostOrderResult(host_orders[0], EHostOrderResult::Unknown, 1200);
 	return planner;
 }
 
 } // namespace
 
-TEST(UpkeepPlanner, SendsAnOrderAgainOnlyToAHostThatIsStillDrained)
+TEST(MaintenancePlanner, SendsAnOrderAgainOnlyToAHostThatIsStillDrained)
 {
 	// Guards against repeating the order 1.5 s later without a new drain grant, when new runs may be on the host
-	UpkeepPlanner planner = PlannerWithUnknownResult();
+	MaintenancePlanner planner = PlannerWithUnknownResult();
 	for (Millis now = 1300; now < 6000; now += 100)
-		EXPECT_TRUE(planner.TakeDuties(now).empty()) << now;
-	planner.OnEmpty("m0", 6000, 6050);
-	EXPECT_EQ(planner.TakeDuties(6100).size(), 1u);
+		EXPECT_TRUE(planner.TakeHostOrders(now).empty()) << now;
+	planner.OnDrained("m0", 6000, 6050);
+	EXPECT_EQ(planner.TakeHostOrders(6100).size(), 1u);
 }
 
-TEST(UpkeepPlanner, KeepsAHostDrainedWhileItsOrdersResultIsUnknown)
+TEST(MaintenancePlanner, KeepsAHostDrainedWhileItsOrdersResultIsUnknown)
 {
 	// The first order may be carried out late; the host must stay drained until its result is known
-	UpkeepPlanner planner = PlannerWithUnknownResult();
-	EXPECT_EQ(planner.ToEmpty(1300).size(), 1u);
-	EXPECT_EQ(planner.ToEmpty(3000).size(), 1u);
+	MaintenancePlanner planner = PlannerWithUnknownResult();
+	EXPECT_EQ(planner.HostsToDrain(1300).size(), 1u);
+	EXPECT_EQ(planner.HostsToDrain(3000).size(), 1u);
 	// Once the host is seen down, the order has been carried out
 	planner.SetHosts({Host("m0", "busy", EHostState::Maintenance)}, 3100);
-	EXPECT_TRUE(planner.ToEmpty(3100).empty());
-	planner.OnEmpty("m0", 3100, 3150);
-	EXPECT_TRUE(planner.TakeDuties(3200).empty());
+	EXPECT_TRUE(planner.HostsToDrain(3100).empty());
+	planner.OnDrained("m0", 3100, 3150);
+	EXPECT_TRUE(planner.TakeHostOrders(3200).empty());
 	planner.SetHosts({Host("m0", "busy")}, 6000);
 	EXPECT_TRUE(planner.IsCompleted(1));
 }
 
-TEST(UpkeepPlanner, ARefusedRepeatLeavesTheFirstOrdersResultUnknown)
+TEST(MaintenancePlanner, ARefusedRepeatLeavesTheFirstOrdersResultUnknown)
 {
 	// Guards against taking the refusal of the second order for the result of the first one: another host would go down beside it
-	for (const EDutyResult refusal : {EDutyResult::Refused, EDutyResult::Busy, EDutyResult::StaleToken})
+	for (const EHostOrderResult refusal : {EHostOrderResult::Refused, EHostOrderResult::Busy, EHostOrderResult::StaleToken})
 	{
-		UpkeepPlanner planner(UpkeepTuning{});
+		MaintenancePlanner planner(MaintenanceTuning{});
 		planner.AddWave({1, {"m0", "m1"}, 60000, 1}, {}, 1000);
 		const auto empty = [&planner](Millis inNow)
 		{
-			for (const HostEntry &host : planner.ToEmpty(inNow))
-				planner.OnEmpty(host.name, inNow, inNow);
+			for (const HostEntry &host : planner.HostsToDrain(inNow))
+				planner.OnDrained(host.name, inNow, inNow);
 		};
 		planner.SetHosts({Host("m0", "busy"), Host("m1", "busy")}, 1000);
 		empty(1000);
-		std::vector<HostDuty> host_orders = planner.TakeDuties(1100);
+		std::vector<HostOrder> host_orders = planner.TakeHostOrders(1100);
 		ASSERT_EQ(host_orders.size(), 1u);
-		planner.OnDuty(host_orders[0], EDutyResult::Unknown, 1200);
+		planner.OnHostOrderResult(host_orders[0], EHostOrderResult::Unknown, 1200);
 		// The machine service is slow and lists nothing meanwhile
 		empty(2900);
-		host_orders = planner.TakeDuties(2950);
+		host_orders = planner.TakeHostOrders(2950);
 		ASSERT_EQ(host_orders.size(), 1u);
 		EXPECT_EQ(host_orders[0].host, "m0");
-		planner.OnDuty(host_orders[0], refusal, 3000);
-		planner.ToEmpty(3050);
-		planner.OnEmpty("m1", 3050, 3050);
-		EXPECT_TRUE(planner.TakeDuties(3100).empty());
+		planner.OnHostOrderResult(host_orders[0], refusal, 3000);
+		planner.HostsToDrain(3050);
+		planner.OnDrained("m1", 3050, 3050);
+		EXPECT_TRUE(planner.TakeHostOrders(3100).empty());
 		// If the list shows the host up long after, the order was not carried out
 		planner.SetHosts({Host("m0", "busy"), Host("m1", "busy")}, 3200);
 		empty(5000);
-		host_orders = planner.TakeDuties(5050);
+		host_orders = planner.TakeHostOrders(5050);
 		ASSERT_EQ(host_orders.size(), 1u);
 		EXPECT_EQ(host_orders[0].host, "m0");
-		planner.OnDuty(host_orders[0], refusal, 5100);
-		planner.ToEmpty(5150);
-		planner.OnEmpty("m1", 5150, 5150);
-		host_orders = planner.TakeDuties(5200);
+		planner.OnHostOrderResult(host_orders[0], refusal, 5100);
+		planner.HostsToDrain(5150);
+		planner.OnDrained("m1", 5150, 5150);
+		host_orders = planner.TakeHostOrders(5200);
 		ASSERT_EQ(host_orders.size(), 1u);
 		EXPECT_EQ(host_orders[0].host, "m1");
 	}
 }
 
-TEST(UpkeepPlanner, AnOrderIsSentOnlyWithinItsDrainGrant)
+TEST(MaintenancePlanner, AnOrderIsSentOnlyWithinItsDrainGrant)
 {
 	// Guards against an order that waits for the log and is sent 2.2 s after the drain request: the owner's drain grant lasts 1.5 s
-	UpkeepPlanner planner(UpkeepTuning{});
+	MaintenancePlanner planner(MaintenanceTuning{});
 	planner.AddWave({1, {"m0"}, 26000, 1}, {}, 1000);
 	planner.SetHosts({Host("m0", "busy")}, 1000);
-	ASSERT_EQ(planner.ToEmpty(1000).size(), 1u);
-	planner.OnEmpty("m0", 1000, 1050);
-	const std::vector<HostDuty> host_orders = planner.TakeDuties(1900);
+	ASSERT_EQ(planner.HostsToDrain(1000).size(), 1u);
+	planner.OnDrained("m0", 1000, 1050);
+	const std::vector<HostOrder> host_orders = planner.TakeHostOrders(1900);
 	ASSERT_EQ(host_orders.size(), 1u);
 	EXPECT_GT(host_orders[0].not_after, 1900);
-	EXPECT_LT(host_orders[0].not_after, 1000 + cEmptyForMs);
+	EXPECT_LT(host_orders[0].not_after, 1000 + cDrainGrantMs);
 }
 
 TEST(PoolBalancer, AMoveIsSentOnlyWithinItsDrainGrant)
@@ -170,21 +170,21 @@
 	idle.spared = {"worker-m1"};
 	balancer.OnDemand("busy", busy, 1000);
 	balancer.OnDemand("idle", idle, 1000);
-	const std::vector<HostDuty> moves = balancer.TakeMoves(1900);
+	const std::vector<HostOrder> moves = balancer.TakeMoves(1900);
 	ASSERT_EQ(moves.size(), 1u);
 	EXPECT_GT(moves[0].not_after, 1900);
-	EXPECT_LT(moves[0].not_after, 1000 + cEmptyForMs);
+	EXPECT_LT(moves[0].not_after, 1000 + cDrainGrantMs);
 	EXPECT_EQ(balancer.InDoubt().size(), 1u);
-	balancer.OnMove(moves[0], EDutyResult::Unknown, 2000);
+	balancer.OnMove(moves[0], EHostOrderResult::Unknown, 2000);
 	EXPECT_EQ(balancer.InDoubt().size(), 1u);
-	balancer.OnMove(moves[0], EDutyResult::Done, 2100);
+	balancer.OnMove(moves[0], EHostOrderResult::Done, 2100);
 	EXPECT_TRUE(balancer.InDoubt().empty());
 }
 
-TEST(UpkeepPlanner, AHostDownForOneWaveIsNotDoneForAnother)
+TEST(MaintenancePlanner, AHostDownForOneWaveIsNotDoneForAnother)
 {
 	// Two waves at a time may name the same hosts. Guards against counting a host that is down for one wave as done for the other
-	UpkeepPlanner planner(UpkeepTuning{});
+	MaintenancePlanner planner(MaintenanceTuning{});
 	std::vector<HostEntry> hosts{Host("m0", "busy"), Host("m1", "busy"), Host("m2", "busy")};
 	planner.AddWave({1, {"m0", "m1"}, 26000, 1}, {}, 1000);
 	planner.AddWave({2, {"m1", "m2"}, 26000, 1}, {}, 1000);
@@ -198,13 +198,13 @@
 			host.state = down != down_since.end() && now - down->second <= 2000 ? EHostState::Maintenance : EHostState::Up;
 		}
 		planner.SetHosts(hosts, now);
-		for (const HostEntry &host : planner.ToEmpty(now))
-			planner.OnEmpty(host.name, now, now);
-		for (const HostDuty &host_order : planner.TakeDuties(now))
+		for (const HostEntry &host : planner.HostsToDrain(now))
+			planner.OnDrained(host.name, now, now);
+		for (const HostOrder &host_order : planner.TakeHostOrders(now))
 		{
 			down_since[host_order.host] = now;
 			ordered[host_order.wave].insert(host_order.host);
-			planner.OnDuty(host_order, EDutyResult::Done, now);
+			planner.OnHostOrderResult(host_order, EHostOrderResult::Done, now);
 		}
 	}
 	EXPECT_TRUE(planner.IsCompleted(1) && planner.IsCompleted(2));
@@ -212,34 +212,34 @@
 	EXPECT_EQ(ordered[2], (std::set<std::string>{"m1", "m2"}));
 }
 
-TEST(UpkeepPlanner, NeverTakesMoreDownThanAllowed)
+TEST(MaintenancePlanner, NeverTakesMoreDownThanAllowed)
 {
 	std::vector<HostEntry> hosts;
-	UpkeepWave wave{1, {}, 26000, 3};
+	MaintenanceWave wave{1, {}, 26000, 3};
 	for (int i = 0; i < 12; ++i)
 	{
 		hosts.push_back(Host("m" + std::to_string(i), "busy"));
 		wave.hosts.push_back(hosts.back().name);
 	}
-	UpkeepPlanner planner(UpkeepTuning{});
+	MaintenancePlanner planner(MaintenanceTuning{});
 	planner.AddWave(wave, {}, 1000);
-	EXPECT_EQ(RunWave(planner, hosts, 1, EDutyResult::Done), 3u);
+	EXPECT_EQ(RunWave(planner, hosts, 1, EHostOrderResult::Done), 3u);
 	EXPECT_TRUE(planner.IsCompleted(1));
 }
 
-TEST(UpkeepPlanner, CountsHostsThatAPredecessorTookDown)
+TEST(MaintenancePlanner, CountsHostsThatAPredecessorTookDown)
 {
-	UpkeepPlanner planner(UpkeepTuning{});
+	MaintenancePlanner planner(MaintenanceTuning{});
 	planner.AddWave({1, {"m0", "m1"}, 26000, 1}, {}, 1000);
 	planner.SetHosts({Host("m0", "busy", EHostState::Maintenance), Host("m1", "busy")}, 1000);
-	for (const HostEntry &host : planner.ToEmpty(1000))
-		planner.OnEmpty(host.name, 1000, 1000);
-	EXPECT_TRUE(planner.TakeDuties(1100).empty());
+	for (const HostEntry &host : planner.HostsToDrain(1000))
+		planner.OnDrained(host.name, 1000, 1000);
+	EXPECT_TRUE(planner.TakeHostOrders(1100).empty());
 }
 
-TEST(UpkeepPlanner, IsNotCompletedWhileAHostWaits)
+TEST(MaintenancePlanner, IsNotCompletedWhileAHostWaits)
 {
-	UpkeepPlanner planner(UpkeepTuning{});
+	MaintenancePlanner planner(MaintenanceTuning{});
 	planner.AddWave({1, {"m0", "m1"}, 26000, 2}, {"m0"}, 1000);
 	EXPECT_FALSE(planner.IsCompleted(1));
 	planner.SetHosts({Host("m0", "busy"), Host("m1", "busy")}, 1000);
@@ -249,25 +249,25 @@
 	EXPECT_TRUE(planner.IsCompleted(1));
 }
 
-TEST(UpkeepPlanner, ADrainGrantCountsForAShortTimeOnly)
+TEST(MaintenancePlanner, ADrainGrantCountsForAShortTimeOnly)
 {
-	UpkeepTuning tuning;
-	UpkeepPlanner planner(tuning);
+	MaintenanceTuning tuning;
+	MaintenancePlanner planner(tuning);
 	planner.AddWave({1, {"m0"}, 26000, 1}, {}, 1000);
 	planner.SetHosts({Host("m0", "busy")}, 1000);
-	ASSERT_EQ(planner.ToEmpty(1000).size(), 1u);
-	planner.OnEmpty("m0", 1000, 1300);
-	EXPECT_TRUE(planner.TakeDuties(1000 + tuning.ready_for_ms).empty());
+	ASSERT_EQ(planner.HostsToDrain(1000).size(), 1u);
+	planner.OnDrained("m0", 1000, 1300);
+	EXPECT_TRUE(planner.TakeHostOrders(1000 + tuning.ready_for_ms).empty());
 }
 
-TEST(UpkeepPlanner, LeavesPoolsInDeficitAloneUntilTheWavesTimeRunsOut)
+TEST(MaintenancePlanner, LeavesPoolsInDeficitAloneUntilTheWavesTimeRunsOut)
 {
-	UpkeepPlanner planner(UpkeepTuning{});
+	MaintenancePlanner planner(MaintenanceTuning{});
 	planner.AddWave({1, {"m0"}, 26000, 1}, {}, 1000);
 	planner.SetHosts({Host("m0", "busy")}, 1000);
-	planner.SetTight({"busy"});
-	EXPECT_TRUE(planner.ToEmpty(2000).empty());
-	EXPECT_EQ(planner.ToEmpty(20000).size(), 1u);
+	planner.SetPoolsInDeficit({"busy"});
+	EXPECT_TRUE(planner.HostsToDrain(2000).empty());
+	EXPECT_EQ(planner.HostsToDrain(20000).size(), 1u);
 }
 
 TEST(PoolBalancer, BringsSpareHostsToAPoolInNeed)
@@ -278,10 +278,10 @@
 	PoolDemand demand;
 	demand.need = {28000, 1000, 0};
 	balancer.OnDemand("busy", demand, 1000);
-	const std::vector<HostDuty> moves = balancer.TakeMoves(1100);
+	const std::vector<HostOrder> moves = balancer.TakeMoves(1100);
 	// 28 cores and headroom need three hosts, one more is margin, and one is there
 	EXPECT_EQ(moves.size(), 3u);
-	for (const HostDuty &move : moves)
+	for (const HostOrder &move : moves)
 		EXPECT_EQ(move.pool, "busy");
 	EXPECT_TRUE(balancer.TakeMoves(1200).empty());
 }
@@ -306,11 +306,11 @@
 	EXPECT_GT(asked, 0u);
 	idle.spared = {"worker-i2"};
 	balancer.OnDemand("idle", idle, 1200);
-	const std::vector<HostDuty> moves = balancer.TakeMoves(1300);
+	const std::vector<HostOrder> moves = balancer.TakeMoves(1300);
 	ASSERT_EQ(moves.size(), 1u);
 	EXPECT_EQ(moves[0].host, "i2");
 	// The drain grant has ended
-	balancer.OnMove(moves[0], EDutyResult::Refused, 1400);
+	balancer.OnMove(moves[0], EHostOrderResult::Refused, 1400);
 	EXPECT_TRUE(balancer.TakeMoves(5000).empty());
 }
 
@@ -339,7 +339,7 @@
 	PoolDemand demand;
 	demand.need = {28000, 1000, 0};
 	balancer.OnDemand("busy", demand, 1000);
-	const std::vector<HostDuty> moves = balancer.TakeMoves(1100);
+	const std::vector<HostOrder> moves = balancer.TakeMoves(1100);
 	ASSERT_EQ(moves.size(), 2u);
 	EXPECT_EQ(moves[0].host, "s1");
 	EXPECT_EQ(moves[1].host, "s2");
@@ -353,10 +353,10 @@
 	PoolDemand demand;
 	demand.need = {1000, 1000, 0};
 	balancer.OnDemand("busy", demand, 1000);
-	const std::vector<HostDuty> moves = balancer.TakeMoves(1100);
+	const std::vector<HostOrder> moves = balancer.TakeMoves(1100);
 	ASSERT_FALSE(moves.empty());
-	for (const HostDuty &move : moves)
-		balancer.OnMove(move, EDutyResult::Impossible, 1200);
+	for (const HostOrder &move : moves)
+		balancer.OnMove(move, EHostOrderResult::Impossible, 1200);
 	balancer.OnDemand("busy", demand, 1200);
 	EXPECT_TRUE(balancer.TakeMoves(1300).empty());
 }
--- a/UnitTests/LogCheckTests.cpp
+++ b/UnitTests/LogCheckTests.cpp
@@ -194,7 +194,7 @@
 	EXPECT_EQ(KindsOf(unseen.Findings()), std::vector{EFinding::CoveredUnseen});
 }
 
-TEST(LogCheck, CopiesAndLastingTasksMayStartAgain)
+TEST(LogCheck, CopiesAndLongRunningTasksMayStartAgain)
 {
 	const RunChecker copies = CheckLines({
 		cStartedA,
--- a/UnitTests/OwnerSpreadTests.cpp
+++ b/UnitTests/OwnerSpreadTests.cpp
@@ -33,7 +33,7 @@
 		Millis next_read = 0;
 		size_t heard = 0; ///< Number of heartbeats of the log that it has read.
 		std::unique_ptr<OwnerTable> table;
-		HostBeat heartbeat;
+		HostHeartbeat heartbeat;
 	};
 
 	StartingFleet(size_t inHosts, size_t inLarge, uint32 inSeed, Millis inFirstClaimMs) : random(inSeed)
@@ -94,10 +94,10 @@
 	{
 		ioHost.next_read = inNow + cReadIntervalMs + this->Below(40);
 		for (; ioHost.heard < this->log.size(); ++ioHost.heard)
-			ioHost.table->OnBeat(this->log[ioHost.heard], inNow);
+			ioHost.table->OnHeartbeat(this->log[ioHost.heard], inNow);
 		if (ioHost.heartbeat.number == 0)
 			return this->SendHeartbeat(ioHost);
-		for (uint32 cell : ioHost.table->ToClaim(inCells, inNow, ioHost.heartbeat.cells.size()))
+		for (uint32 cell : ioHost.table->CellsToClaim(inCells, inNow, ioHost.heartbeat.cells.size()))
 		{
 			// The log accepts one of several claims
 			if (!this->owned.insert(cell).second)
@@ -121,7 +121,7 @@
 
 	std::mt19937 random;
 	std::vector<Host> hosts;
-	std::vector<HostBeat> log;
+	std::vector<HostHeartbeat> log;
 	std::set<uint32> owned;
 };
 
@@ -162,14 +162,14 @@
 namespace
 {
 
-HostBeat MakeHeartbeat(const std::string &inHost, uint32 inWeight, bool inShort, std::vector<OwnedCell> inCells)
+HostHeartbeat MakeHeartbeat(const std::string &inHost, uint32 inWeight, bool inShort, std::vector<OwnedCell> inCells)
 {
-	HostBeat heartbeat;
+	HostHeartbeat heartbeat;
 	heartbeat.host = inHost;
 	heartbeat.life = 1;
 	heartbeat.number = 1;
 	heartbeat.weight = inWeight;
-	heartbeat.short_of_time = inShort;
+	heartbeat.short_of_processor_time = inShort;
 	heartbeat.cells = std::move(inCells);
 	return heartbeat;
 }
@@ -184,13 +184,13 @@
 	OwnerTable idle("idle", tuning);
 	for (OwnerTable *table : {&drowned, &idle})
 	{
-		table->OnBeat(MakeHeartbeat("drowned", 500, true, {}), 1000);
-		table->OnBeat(MakeHeartbeat("idle", 500, false, {}), 1000);
+		table->OnHeartbeat(MakeHeartbeat("drowned", 500, true, {}), 1000);
+		table->OnHeartbeat(MakeHeartbeat("idle", 500, false, {}), 1000);
 	}
-	EXPECT_TRUE(drowned.ToClaim({7}, 1000, 0).empty());
-	EXPECT_EQ(idle.ToClaim({7}, 1000, 0), std::vector<uint32>{7});
+	EXPECT_TRUE(drowned.CellsToClaim({7}, 1000, 0).empty());
+	EXPECT_EQ(idle.CellsToClaim({7}, 1000, 0), std::vector<uint32>{7});
 	// If no other host claims the cell, it claims it nevertheless
-	EXPECT_EQ(drowned.ToClaim({7}, 1000 + tuning.rank_ms, 0), std::vector<uint32>{7});
+	EXPECT_EQ(drowned.CellsToClaim({7}, 1000 + tuning.rank_ms, 0), std::vector<uint32>{7});
 }
 
 TEST(OwnerTable, AReleasedCellDoesNotWaitAsAtTheFirstStart)
@@ -200,22 +200,22 @@
 	LeaseTuning tuning;
 	tuning.first_claim_ms = cFirstClaimWaitMs;
 	OwnerTable table("me", tuning);
-	table.OnBeat(MakeHeartbeat("me", 500, false, {}), 1000);
-	table.OnBeat(MakeHeartbeat("owner", 120, false, {{7, 1, true}}), 1000);
-	HostBeat gone = MakeHeartbeat("owner", 120, true, {});
+	table.OnHeartbeat(MakeHeartbeat("me", 500, false, {}), 1000);
+	table.OnHeartbeat(MakeHeartbeat("owner", 120, false, {{7, 1, true}}), 1000);
+	HostHeartbeat gone = MakeHeartbeat("owner", 120, true, {});
 	gone.number = 2;
-	table.OnBeat(gone, 2000);
-	EXPECT_EQ(table.ToClaim({7}, 2000, 0), std::vector<uint32>{7});
+	table.OnHeartbeat(gone, 2000);
+	EXPECT_EQ(table.CellsToClaim({7}, 2000, 0), std::vector<uint32>{7});
 	// A cell that was only being claimed has had no owner
-	table.OnBeat(MakeHeartbeat("third", 120, false, {{8, 1, false}}), 2000);
-	HostBeat lost = MakeHeartbeat("third", 120, false, {});
+	table.OnHeartbeat(MakeHeartbeat("third", 120, false, {{8, 1, false}}), 2000);
+	HostHeartbeat lost = MakeHeartbeat("third", 120, false, {});
 	lost.number = 2;
-	table.OnBeat(lost, 2100);
-	EXPECT_TRUE(table.ToClaim({8}, 2100, 0).empty());
-	HostBeat again = MakeHeartbeat("me", 500, false, {});
+	table.OnHeartbeat(lost, 2100);
+	EXPECT_TRUE(table.CellsToClaim({8}, 2100, 0).empty());
+	HostHeartbeat again = MakeHeartbeat("me", 500, false, {});
 	again.number = 2;
-	table.OnBeat(again, 2100 + cFirstClaimWaitMs);
-	EXPECT_EQ(table.ToClaim({8}, 2100 + cFirstClaimWaitMs, 0), std::vector<uint32>{8});
+	table.OnHeartbeat(again, 2100 + cFirstClaimWaitMs);
+	EXPECT_EQ(table.CellsToClaim({8}, 2100 + cFirstClaimWaitMs, 0), std::vector<uint32>{8});
 }
 
 TEST(OwnerTable, AHostClaimsOneOfSeveralFreeCellsAtATime)
@@ -225,23 +225,23 @@
 	LeaseTuning tuning;
 	OwnerTable table("a", tuning);
 	for (const char *host : {"a", "b", "c"})
-		table.OnBeat(MakeHeartbeat(host, 500, false, {}), 1000);
-	EXPECT_EQ(table.ToClaim({1, 2, 3}, 1000, 0).size(), 1u);
+		table.OnHeartbeat(MakeHeartbeat(host, 500, false, {}), 1000);
+	EXPECT_EQ(table.CellsToClaim({1, 2, 3}, 1000, 0).size(), 1u);
 	// With that cell it ranks behind the other two
-	EXPECT_LE(table.ToClaim({1, 2, 3}, 1000 + tuning.rank_ms, 1).size(), 1u);
+	EXPECT_LE(table.CellsToClaim({1, 2, 3}, 1000 + tuning.rank_ms, 1).size(), 1u);
 }
 
 /// Guards against choosing owners, hosts short of processor time, stopping hosts or unresponsive hosts as forwarders.
 TEST(OwnerTable, HostsWithoutCellsAreOfferedAsForwarders)
 {
 	OwnerTable table("me", LeaseTuning{});
-	table.OnBeat(MakeHeartbeat("me", 500, false, {}), 1000);
-	table.OnBeat(MakeHeartbeat("owner", 500, false, {{7, 1}}), 1000);
-	table.OnBeat(MakeHeartbeat("late", 120, true, {}), 1000);
-	table.OnBeat(MakeHeartbeat("idle", 120, false, {}), 1000);
-	HostBeat stopping = MakeHeartbeat("stopping", 120, false, {});
+	table.OnHeartbeat(MakeHeartbeat("me", 500, false, {}), 1000);
+	table.OnHeartbeat(MakeHeartbeat("owner", 500, false, {{7, 1}}), 1000);
+	table.OnHeartbeat(MakeHeartbeat("late", 120, true, {}), 1000);
+	table.OnHeartbeat(MakeHeartbeat("idle", 120, false, {}), 1000);
+	HostHeartbeat stopping = MakeHeartbeat("stopping", 120, false, {});
 	stopping.claims = false;
-	table.OnBeat(stopping, 1000);
+	table.OnHeartbeat(stopping, 1000);
 	ASSERT_EQ(table.IdleHosts(1100).size(), 1u);
 	// No longer once it is unresponsive
 	EXPECT_TRUE(table.IdleHosts(60'000).empty());
--- a/UnitTests/OwnershipTests.cpp
+++ b/UnitTests/OwnershipTests.cpp
@@ -22,7 +22,7 @@
 {
 	Claimant(FakeLog &ioLog, const std::string &inHost, uint64 inIncarnation) : log(ioLog, cName, HostProcess{inHost, inIncarnation, 1}) {}
 
-	void Claim(uint64 inMostEpoch = 100 * cTokensAnEpoch)
+	void Claim(uint64 inMostEpoch = 100 * cTokensPerEpoch)
 	{
 		this->log.Claim(
 			1, [inMostEpoch](const ClaimRecord &inSeen) { return inSeen.epoch < inMostEpoch; },
@@ -40,9 +40,9 @@
 	OwnedLog<FakeLog>::Records records;
 };
 
-HostBeat MakeHeartbeat(const std::string &inHost, uint64 inNumber, std::vector<OwnedCell> inCells, uint32 inWeight = 250)
+HostHeartbeat MakeHeartbeat(const std::string &inHost, uint64 inNumber, std::vector<OwnedCell> inCells, uint32 inWeight = 250)
 {
-	HostBeat heartbeat;
+	HostHeartbeat heartbeat;
 	heartbeat.host = inHost;
 	heartbeat.life = HashBytes(inHost);
 	heartbeat.number = inNumber;
@@ -144,16 +144,16 @@
 {
 	LeaseTuning tuning;
 	OwnerTable table("me", tuning);
-	table.OnBeat(MakeHeartbeat("other", 1, {{7, 3}}), 1000);
+	table.OnHeartbeat(MakeHeartbeat("other", 1, {{7, 3}}), 1000);
 	EXPECT_FALSE(table.IsFree(7, 1000 + tuning.lease_ms));
 	EXPECT_TRUE(table.IsFree(7, 1001 + tuning.lease_ms));
 	// A newer heartbeat restarts the lease; the same one read again does not
-	table.OnBeat(MakeHeartbeat("other", 2, {{7, 3}}), 2000);
-	table.OnBeat(MakeHeartbeat("other", 2, {{7, 3}}), 3500);
+	table.OnHeartbeat(MakeHeartbeat("other", 2, {{7, 3}}), 2000);
+	table.OnHeartbeat(MakeHeartbeat("other", 2, {{7, 3}}), 3500);
 	EXPECT_FALSE(table.IsFree(7, 2000 + tuning.lease_ms));
 	EXPECT_TRUE(table.IsFree(7, 2001 + tuning.lease_ms));
 	// Released
-	table.OnBeat(MakeHeartbeat("other", 3, {}), 4000);
+	table.OnHeartbeat(MakeHeartbeat("other", 3, {}), 4000);
 	EXPECT_TRUE(table.IsFree(7, 4000));
 }
 
@@ -173,10 +173,10 @@
 	LeaseTuning tuning;
 	OwnerTable table("me", tuning);
 	table.OnClaimSeen(7, {{"other", HashBytes("other"), 1}, 4, 5}, 1000);
-	table.OnBeat(MakeHeartbeat("other", 5, {}), 1100);
+	table.OnHeartbeat(MakeHeartbeat("other", 5, {}), 1100);
 	EXPECT_FALSE(table.IsFree(7, 1200));
 	// The next one was sent after the claim: it does not list the cell, so the claim was released
-	table.OnBeat(MakeHeartbeat("other", 6, {}), 1300);
+	table.OnHeartbeat(MakeHeartbeat("other", 6, {}), 1300);
 	EXPECT_TRUE(table.IsFree(7, 1300));
 }
 
@@ -186,10 +186,10 @@
 	// against that claim holding for a whole lease: nobody moved hosts for 2.3 s
 	LeaseTuning tuning;
 	OwnerTable table("me", tuning);
-	HostBeat successor = MakeHeartbeat("other", 1, {});
+	HostHeartbeat successor = MakeHeartbeat("other", 1, {});
 	successor.life = 77;
 	successor.start = 2;
-	table.OnBeat(successor, 1000);
+	table.OnHeartbeat(successor, 1000);
 	table.OnClaimSeen(7, {{"other", HashBytes("other"), 1}, 4, 5}, 1100);
 	EXPECT_TRUE(table.IsFree(7, 1100));
 	// The successor's own claim holds
@@ -206,10 +206,10 @@
 	// its cell would have no owner for two more seconds
 	LeaseTuning tuning;
 	OwnerTable table("me", tuning);
-	table.OnBeat(MakeHeartbeat("other", 5, {{7, 3}}), 1000);
+	table.OnHeartbeat(MakeHeartbeat("other", 5, {{7, 3}}), 1000);
 	// A direct message at 3000 ms says that the cell was released; the log still shows an earlier heartbeat
-	table.OnBeat(MakeHeartbeat("other", 7, {}), 3000);
-	table.OnBeat(MakeHeartbeat("other", 6, {{7, 3}}), 5000);
+	table.OnHeartbeat(MakeHeartbeat("other", 7, {}), 3000);
+	table.OnHeartbeat(MakeHeartbeat("other", 6, {{7, 3}}), 5000);
 	EXPECT_TRUE(table.IsFree(7, 5000));
 	// A claim that it had started before is over as well
 	table.OnClaimSeen(7, {{"other", HashBytes("other"), 0}, 3, 6}, 5100);
@@ -222,10 +222,10 @@
 	OwnerTable table("me", LeaseTuning{});
 	const auto receive = [&table](const std::string &inHost, const std::string &inZone, uint16 inPort)
 	{
-		HostBeat heartbeat = MakeHeartbeat(inHost, 1, {});
+		HostHeartbeat heartbeat = MakeHeartbeat(inHost, 1, {});
 		heartbeat.availability_zone = inZone;
 		heartbeat.address = {"127.0.0.1", inPort};
-		table.OnBeat(heartbeat, 1000);
+		table.OnHeartbeat(heartbeat, 1000);
 	};
 	receive("me", "a", 1);
 	receive("near-1", "a", 2);
@@ -249,34 +249,34 @@
 	// because they own none now: each delayed the others by 350 ms, and a claim of rank 3 came only after 1,184 ms
 	LeaseTuning tuning;
 	OwnerTable table("me", tuning);
-	table.OnBeat(MakeHeartbeat("me", 1, {}), 1000);
+	table.OnHeartbeat(MakeHeartbeat("me", 1, {}), 1000);
 	for (const char *name : {"owner1", "owner2", "owner3"})
 	{
-		HostBeat heartbeat = MakeHeartbeat(name, 5, {{name[5] - '0' + 6u, 1}});
+		HostHeartbeat heartbeat = MakeHeartbeat(name, 5, {{name[5] - '0' + 6u, 1}});
 		heartbeat.weight = 4;
-		table.OnBeat(heartbeat, 1000);
+		table.OnHeartbeat(heartbeat, 1000);
 	}
-	EXPECT_TRUE(table.ToClaim({7, 8, 9}, 1500, 0).empty());
+	EXPECT_TRUE(table.CellsToClaim({7, 8, 9}, 1500, 0).empty());
 	for (const char *name : {"owner1", "owner2", "owner3"})
 	{
-		HostBeat heartbeat = MakeHeartbeat(name, 6, {});
+		HostHeartbeat heartbeat = MakeHeartbeat(name, 6, {});
 		heartbeat.weight = 4;
-		table.OnBeat(LetGoBeat(heartbeat, std::nullopt, 1000), 1500);
+		table.OnHeartbeat(MakeReleaseHeartbeat(heartbeat, std::nullopt, 1000), 1500);
 	}
-	EXPECT_EQ(table.ToClaim({7, 8, 9}, 1500, 0), (std::vector<uint32>{7, 8, 9}));
+	EXPECT_EQ(table.CellsToClaim({7, 8, 9}, 1500, 0), (std::vector<uint32>{7, 8, 9}));
 }
 
 TEST(OwnerTable, TheFleetWaitsOnlyForOrdersInFlight)
 {
 	// Guards against counting a release as a heartbeat that renews the whole lease: the fleet had no owner for 2.3 s while demand rose
 	OwnerTable table("me", LeaseTuning{});
-	table.OnBeat(MakeHeartbeat("me", 1, {}), 1000);
-	table.OnBeat(MakeHeartbeat("owner", 5, {{cFleetCell, 1}}), 1000);
+	table.OnHeartbeat(MakeHeartbeat("me", 1, {}), 1000);
+	table.OnHeartbeat(MakeHeartbeat("owner", 5, {{cFleetCell, 1}}), 1000);
 	EXPECT_FALSE(table.IsFree(cFleetCell, 1500));
-	table.OnBeat(LetGoBeat(MakeHeartbeat("owner", 6, {{cFleetCell, 1}}), OwnedCell{cFleetCell, 1, true}, 400), 1500);
+	table.OnHeartbeat(MakeReleaseHeartbeat(MakeHeartbeat("owner", 6, {{cFleetCell, 1}}), OwnedCell{cFleetCell, 1, true}, 400), 1500);
 	EXPECT_FALSE(table.IsFree(cFleetCell, 1800));
 	EXPECT_TRUE(table.IsFree(cFleetCell, 2000));
-	table.OnBeat(LetGoBeat(MakeHeartbeat("owner", 7, {{cFleetCell, 1}}), std::nullopt, 400), 2000);
+	table.OnHeartbeat(MakeReleaseHeartbeat(MakeHeartbeat("owner", 7, {{cFleetCell, 1}}), std::nullopt, 400), 2000);
 	EXPECT_TRUE(table.IsFree(cFleetCell, 2000));
 }
 
@@ -290,30 +290,30 @@
 	const auto receive = [&](Millis inNow, bool inLargeClaims)
 	{
 		++number;
-		HostBeat small = MakeHeartbeat("small", number, {{7, 2}});
+		HostHeartbeat small = MakeHeartbeat("small", number, {{7, 2}});
 		small.weight = 120;
-		HostBeat large = MakeHeartbeat("large", number, {{8, 1}});
+		HostHeartbeat large = MakeHeartbeat("large", number, {{8, 1}});
 		large.weight = 500;
 		large.claims = inLargeClaims;
-		HostBeat other = MakeHeartbeat("other", number, {});
+		HostHeartbeat other = MakeHeartbeat("other", number, {});
 		other.weight = 120;
-		for (const HostBeat &heartbeat : {small, large, other})
-			table.OnBeat(heartbeat, inNow);
+		for (const HostHeartbeat &heartbeat : {small, large, other})
+			table.OnHeartbeat(heartbeat, inNow);
 	};
 	for (Millis now = 1000; now < 9000; now += 500)
 	{
 		receive(now, false);
-		EXPECT_FALSE(table.ShouldGiveOn(1, now)) << "only hosts as small are there";
+		EXPECT_FALSE(table.ShouldHandOver(1, now)) << "only hosts as small are there";
 	}
 	receive(9000, true);
-	EXPECT_FALSE(table.ShouldGiveOn(1, 9000));
+	EXPECT_FALSE(table.ShouldHandOver(1, 9000));
 	for (Millis now = 9500; now < 11000; now += 500)
 	{
 		receive(now, true);
-		EXPECT_FALSE(table.ShouldGiveOn(1, now));
+		EXPECT_FALSE(table.ShouldHandOver(1, now));
 	}
 	receive(11000, true);
-	EXPECT_TRUE(table.ShouldGiveOn(1, 11000));
+	EXPECT_TRUE(table.ShouldHandOver(1, 11000));
 }
 
 TEST(OwnerTable, EqualHostsDoNotPassCellsRound)
@@ -328,9 +328,9 @@
 			bool gives = false;
 			for (uint64 i = 1; i < 8; ++i)
 			{
-				table.OnBeat(MakeHeartbeat("me", i, {}), static_cast<Millis>(i) * 500);
-				table.OnBeat(MakeHeartbeat("other", i, cells), static_cast<Millis>(i) * 500);
-				gives = table.ShouldGiveOn(own, static_cast<Millis>(i) * 500);
+				table.OnHeartbeat(MakeHeartbeat("me", i, {}), static_cast<Millis>(i) * 500);
+				table.OnHeartbeat(MakeHeartbeat("other", i, cells), static_cast<Millis>(i) * 500);
+				gives = table.ShouldHandOver(own, static_cast<Millis>(i) * 500);
 			}
 			// The host that gets the cell would not pass it back
 			EXPECT_EQ(gives, 2 * (others + 1) < own) << own << " here, " << others << " there";
@@ -342,25 +342,25 @@
 	// Where all processes were killed, the last heartbeat of a host that was removed 38 s before may be read as a new one. Guards against
 	// its holding a cell that two others have owned since: the cell had no owner for two more seconds
 	OwnerTable table("me", LeaseTuning{});
-	table.OnBeat(MakeHeartbeat("removed", 9, {{7, 1}}), 1000);
-	table.OnBeat(MakeHeartbeat("other", 5, {{7, 3}}), 1000);
+	table.OnHeartbeat(MakeHeartbeat("removed", 9, {{7, 1}}), 1000);
+	table.OnHeartbeat(MakeHeartbeat("other", 5, {{7, 3}}), 1000);
 	// The later owner has released the cell
-	table.OnBeat(MakeHeartbeat("other", 6, {}), 1100);
+	table.OnHeartbeat(MakeHeartbeat("other", 6, {}), 1100);
 	EXPECT_FALSE(table.IsFree(7, 1100));
 	table.OnClaimSeen(7, {{"other", HashBytes("other"), 0}, 3, 4}, 1100);
 	EXPECT_TRUE(table.IsFree(7, 1100));
 	// A host that is only about to claim has no epoch yet
-	table.OnBeat(MakeHeartbeat("third", 1, {{7, 0, false}}), 1200);
+	table.OnHeartbeat(MakeHeartbeat("third", 1, {{7, 0, false}}), 1200);
 	EXPECT_FALSE(table.IsFree(7, 1200));
 }
 
 TEST(OwnerTable, ForgetsLostHosts)
 {
 	OwnerTable table("me", LeaseTuning{});
-	table.OnBeat(MakeHeartbeat("me", 1, {}), 1000);
-	table.OnBeat(MakeHeartbeat("gone", 9, {{7, 1}}), 1000);
-	table.OnBeat(MakeHeartbeat("here", 9, {{8, 1}}), 9000);
-	EXPECT_EQ(table.SilentFor(5000, 10000), std::vector<std::string>{"gone"});
+	table.OnHeartbeat(MakeHeartbeat("me", 1, {}), 1000);
+	table.OnHeartbeat(MakeHeartbeat("gone", 9, {{7, 1}}), 1000);
+	table.OnHeartbeat(MakeHeartbeat("here", 9, {{8, 1}}), 9000);
+	EXPECT_EQ(table.UnresponsiveFor(5000, 10000), std::vector<std::string>{"gone"});
 	table.Forget("gone");
 	EXPECT_FALSE(table.LastOwnerOf(7).has_value());
 	EXPECT_TRUE(table.LastOwnerOf(8).has_value());
@@ -372,11 +372,11 @@
 	// a second host claims it
 	OwnerTable table("me", LeaseTuning{});
 	table.OnClaimSeen(7, {{"other", HashBytes("other"), 1}, 4, 5}, 1000);
-	table.OnBeat(MakeHeartbeat("other", 6, {{7, 4, false}}), 1100);
+	table.OnHeartbeat(MakeHeartbeat("other", 6, {{7, 4, false}}), 1100);
 	EXPECT_FALSE(table.IsFree(7, 1200));
 	EXPECT_FALSE(table.OwnerOf(7, 1200).has_value());
 	EXPECT_FALSE(table.IsSuperseded(7, 1));
-	table.OnBeat(MakeHeartbeat("other", 7, {{7, 4, true}}), 1300);
+	table.OnHeartbeat(MakeHeartbeat("other", 7, {{7, 4, true}}), 1300);
 	EXPECT_TRUE(table.OwnerOf(7, 1400).has_value());
 }
 
@@ -384,7 +384,7 @@
 TEST(OwnerTable, AHigherEpochElsewhereEndsAnOwnership)
 {
 	OwnerTable table("me", LeaseTuning{});
-	table.OnBeat(MakeHeartbeat("other", 1, {{7, 4}}), 1000);
+	table.OnHeartbeat(MakeHeartbeat("other", 1, {{7, 4}}), 1000);
 	EXPECT_TRUE(table.IsSuperseded(7, 3));
 	EXPECT_FALSE(table.IsSuperseded(7, 4));
 	EXPECT_FALSE(table.IsSuperseded(8, 1));
@@ -393,7 +393,7 @@
 TEST(OwnerTable, AnEarlierIncarnationOfThisHostHoldsNothing)
 {
 	OwnerTable table("me", LeaseTuning{});
-	table.OnBeat(MakeHeartbeat("me", 1, {{7, 3}}), 1000);
+	table.OnHeartbeat(MakeHeartbeat("me", 1, {{7, 3}}), 1000);
 	EXPECT_TRUE(table.IsFree(7, 1001));
 }
 
@@ -404,13 +404,13 @@
 	OwnerTable large("large", tuning);
 	for (OwnerTable *table : {&small, &large})
 	{
-		table->OnBeat(MakeHeartbeat("small", 1, {}, 120), 1000);
-		table->OnBeat(MakeHeartbeat("large", 1, {{1, 1}}, 500), 1000);
+		table->OnHeartbeat(MakeHeartbeat("small", 1, {}, 120), 1000);
+		table->OnHeartbeat(MakeHeartbeat("large", 1, {{1, 1}}, 500), 1000);
 	}
-	EXPECT_TRUE(small.ToClaim({7}, 1000).empty());
-	EXPECT_EQ(large.ToClaim({7}, 1000, 1), std::vector<uint32>{7});
+	EXPECT_TRUE(small.CellsToClaim({7}, 1000).empty());
+	EXPECT_EQ(large.CellsToClaim({7}, 1000, 1), std::vector<uint32>{7});
 	// If the first does not claim, the next one does, a little later
-	EXPECT_EQ(small.ToClaim({7}, 1000 + tuning.rank_ms), std::vector<uint32>{7});
+	EXPECT_EQ(small.CellsToClaim({7}, 1000 + tuning.rank_ms), std::vector<uint32>{7});
 }
 
 TEST(OwnerTable, AHostCountsItsOwnCellsBeforeItsHeartbeatListsThem)
@@ -418,15 +418,15 @@
 	// Heartbeats are read half a second after they are sent. Guards against a host that claims a second cell meanwhile, while others of its
 	// size have none: it would be short of processor time from then on
 	OwnerTable table("me", LeaseTuning{});
-	table.OnBeat(MakeHeartbeat("me", 1, {}), 1000);
-	table.OnBeat(MakeHeartbeat("other", 1, {}), 1000);
-	EXPECT_TRUE(table.ToClaim({7}, 1000, 1).empty());
+	table.OnHeartbeat(MakeHeartbeat("me", 1, {}), 1000);
+	table.OnHeartbeat(MakeHeartbeat("other", 1, {}), 1000);
+	EXPECT_TRUE(table.CellsToClaim({7}, 1000, 1).empty());
 	// What an earlier process of this host owned does not count against it
-	HostBeat earlier = MakeHeartbeat("me", 9, {{1, 1}, {2, 1}});
+	HostHeartbeat earlier = MakeHeartbeat("me", 9, {{1, 1}, {2, 1}});
 	earlier.life = 77;
-	table.OnBeat(earlier, 1100);
-	table.OnBeat(MakeHeartbeat("other", 2, {{3, 1}}), 1100);
-	EXPECT_EQ(table.ToClaim({8}, 1100, 0), std::vector<uint32>{8});
+	table.OnHeartbeat(earlier, 1100);
+	table.OnHeartbeat(MakeHeartbeat("other", 2, {{3, 1}}), 1100);
+	EXPECT_EQ(table.CellsToClaim({8}, 1100, 0), std::vector<uint32>{8});
 }
 
 TEST(OwnLease, EndsBeforeAnyChallengersWait)
@@ -460,9 +460,9 @@
 {
 	LeaseTuning tuning;
 	OwnerTable table("me", tuning);
-	HostBeat heartbeat = MakeHeartbeat("other", 1, {{7, 3}});
+	HostHeartbeat heartbeat = MakeHeartbeat("other", 1, {{7, 3}});
 	heartbeat.lease_ms = 1500;
-	table.OnBeat(heartbeat, 1000);
+	table.OnHeartbeat(heartbeat, 1000);
 	EXPECT_FALSE(table.IsFree(7, 2500));
 	EXPECT_TRUE(table.IsFree(7, 2501));
 	EXPECT_LT(heartbeat.lease_ms, tuning.lease_ms);
@@ -471,7 +471,7 @@
 /// The logs and inboxes of 298 pools must fit into 100 topics of the store.
 TEST(CellNames, AllPoolsFitTheStoresTopics)
 {
-	std::set<std::string> topics{HostsLog(0).topic, CellLog(cFleetCell, 8).topic};
+	std::set<std::string> topics{HeartbeatLog(0).topic, CellLog(cFleetCell, 8).topic};
 	for (int i = 0; i < 298; ++i)
 	{
 		const uint32 cell = CellOf("pool" + std::to_string(i), 8);
@@ -487,17 +487,17 @@
 	// Heartbeats are spread over several partitions: one that an earlier process of a host left in one of them may be read after a newer
 	// one
 	OwnerTable table("me", LeaseTuning{});
-	HostBeat newer = MakeHeartbeat("other", 1, {});
+	HostHeartbeat newer = MakeHeartbeat("other", 1, {});
 	newer.life = 2;
 	newer.start = 5;
-	HostBeat older = MakeHeartbeat("other", 900, {{7, 3}});
+	HostHeartbeat older = MakeHeartbeat("other", 900, {{7, 3}});
 	older.life = 1;
 	older.start = 4;
-	table.OnBeat(newer, 1000);
-	table.OnBeat(older, 1010);
+	table.OnHeartbeat(newer, 1000);
+	table.OnHeartbeat(older, 1010);
 	EXPECT_FALSE(table.LastOwnerOf(7).has_value());
-	EXPECT_EQ(table.StartsOf("other"), 5u);
-	EXPECT_EQ(table.StartsOf("nobody"), 0u);
+	EXPECT_EQ(table.StartCountOf("other"), 5u);
+	EXPECT_EQ(table.StartCountOf("nobody"), 0u);
 }
 
 TEST(OwnerTable, OwnersShareOutThePartitionsOfHeartbeats)
@@ -510,16 +510,16 @@
 	{
 		OwnerTable table(self, LeaseTuning{});
 		for (uint32 i = 0; i < owners.size(); ++i)
-			table.OnBeat(MakeHeartbeat(owners[i], 1, {{i, 1}}), 1000);
-		table.OnBeat(MakeHeartbeat("idle", 1, {}), 1000);
-		++in_partition[table.BeatPart(4, true, 1100)];
+			table.OnHeartbeat(MakeHeartbeat(owners[i], 1, {{i, 1}}), 1000);
+		table.OnHeartbeat(MakeHeartbeat("idle", 1, {}), 1000);
+		++in_partition[table.HeartbeatPartition(4, true, 1100)];
 	}
 	for (const auto &[partition, count] : in_partition)
 		EXPECT_EQ(count, 2u) << partition;
 	EXPECT_EQ(in_partition.size(), 3u);
 	// Hosts without cells use other partitions
 	OwnerTable idle("idle", LeaseTuning{});
-	EXPECT_FALSE(in_partition.contains(idle.BeatPart(4, false, 1100)));
+	EXPECT_FALSE(in_partition.contains(idle.HeartbeatPartition(4, false, 1100)));
 }
 
 /// Guards against a fixed bound on the heartbeat interval of hosts without cells: what all of them read of all others grows with the square
@@ -531,9 +531,9 @@
 	{
 		OwnerTable table("host-z", LeaseTuning{});
 		for (size_t i = 0; i < fleet; ++i)
-			table.OnBeat(MakeHeartbeat("host-" + std::to_string(i), 1, {}), 1000);
-		table.OnBeat(MakeHeartbeat("host-z", 1, {}), 1000);
-		ASSERT_FALSE(table.IsHeir(1100));
+			table.OnHeartbeat(MakeHeartbeat("host-" + std::to_string(i), 1, {}), 1000);
+		table.OnHeartbeat(MakeHeartbeat("host-z", 1, {}), 1000);
+		ASSERT_FALSE(table.IsCandidateSuccessor(1100));
 		EXPECT_LT(static_cast<double>(fleet) * 1000.0 / static_cast<double>(table.IdleInterval(1100)), cMaxHeartbeatsPerS) << fleet;
 	}
 }
@@ -545,8 +545,8 @@
 	for (size_t i = 0; i < 400; ++i)
 	{
 		OwnerTable table("host-" + std::to_string(i), LeaseTuning{});
-		table.OnBeat(MakeHeartbeat("another", 1, {}), 1000);
-		++in_partition[table.BeatPart(4, false, 1100)];
+		table.OnHeartbeat(MakeHeartbeat("another", 1, {}), 1000);
+		++in_partition[table.HeartbeatPartition(4, false, 1100)];
 	}
 	EXPECT_EQ(in_partition.size(), 4u);
 	for (const auto &[partition, count] : in_partition)
@@ -557,12 +557,12 @@
 TEST(OwnerTable, AHostIsLostOnlyAfterSeveralOfItsOwnHeartbeats)
 {
 	OwnerTable table("self", LeaseTuning{});
-	HostBeat seldom = MakeHeartbeat("seldom", 1, {});
+	HostHeartbeat seldom = MakeHeartbeat("seldom", 1, {});
 	seldom.every_ms = 17'000;
-	table.OnBeat(seldom, 1000);
-	table.OnBeat(MakeHeartbeat("often", 1, {}), 1000);
-	EXPECT_EQ(table.SilentFor(12'000, 20'000), std::vector<std::string>{"often"});
-	EXPECT_EQ(table.SilentFor(12'000, 60'000).size(), 2u);
+	table.OnHeartbeat(seldom, 1000);
+	table.OnHeartbeat(MakeHeartbeat("often", 1, {}), 1000);
+	EXPECT_EQ(table.UnresponsiveFor(12'000, 20'000), std::vector<std::string>{"often"});
+	EXPECT_EQ(table.UnresponsiveFor(12'000, 60'000).size(), 2u);
 }
 
 } // namespace Loomreach::Jobs
--- a/UnitTests/PeerQueryTests.cpp
+++ b/UnitTests/PeerQueryTests.cpp
@@ -82,7 +82,7 @@
 			answer.not_entered = true;
 			inReply(answer);
 		},
-		[](EPeerNews, const std::string &) {});
+		[](EPeerMessage, const std::string &) {});
 	ASSERT_TRUE(helper.Open());
 	const UdpSocket client;
 	PeerQuestion question;
@@ -105,19 +105,19 @@
 TEST(PeerQuery, NotificationsReachTheirDestinations)
 {
 	Metrics metrics;
-	std::vector<std::pair<EPeerNews, std::string>> received;
+	std::vector<std::pair<EPeerMessage, std::string>> received;
 	const auto no_answer = [](const PeerQuestion &, const std::function<void(PeerAnswer)> &) {};
 	const uint16 port = FreePort();
 	PeerQuery listener({"127.0.0.1", port}, metrics, no_answer,
-					   [&received](EPeerNews inKind, const std::string &inNews) { received.emplace_back(inKind, inNews); });
+					   [&received](EPeerMessage inKind, const std::string &inMessage) { received.emplace_back(inKind, inMessage); });
 	ASSERT_TRUE(listener.Open());
-	PeerQuery sender({"127.0.0.1", FreePort()}, metrics, no_answer, [](EPeerNews, const std::string &) {});
+	PeerQuery sender({"127.0.0.1", FreePort()}, metrics, no_answer, [](EPeerMessage, const std::string &) {});
 	ASSERT_TRUE(sender.Open());
 	// A destination on which nobody listens does not affect the other one
-	sender.Tell({{"127.0.0.1", port}, {"127.0.0.1", FreePort()}}, EPeerNews::Beat, "news");
-	sender.Tell({{"127.0.0.1", port}}, EPeerNews::Ends, "ends");
+	sender.Tell({{"127.0.0.1", port}, {"127.0.0.1", FreePort()}}, EPeerMessage::Beat, "news");
+	sender.Tell({{"127.0.0.1", port}}, EPeerMessage::Ends, "ends");
 	FakeLog::Settle(20);
-	const std::vector<std::pair<EPeerNews, std::string>> expected = {{EPeerNews::Beat, "news"}, {EPeerNews::Ends, "ends"}};
+	const std::vector<std::pair<EPeerMessage, std::string>> expected = {{EPeerMessage::Beat, "news"}, {EPeerMessage::Ends, "ends"}};
 	EXPECT_EQ(received, expected);
 }
 
--- a/UnitTests/PlatformTests.cpp
+++ b/UnitTests/PlatformTests.cpp
@@ -13,7 +13,7 @@
 namespace Loomreach::Jobs::Platform
 {
 
-TEST(PlatformFeeds, DecodesTheConfiguration)
+TEST(PlatformStoreRecords, DecodesTheConfiguration)
 {
 	const std::string body = R"({"version":7,"routes":[{"name":"q","host":"h.example","pathPrefix":"/a/","service":"p","priority":1,
 		"maxAttempts":2,"stretch":1.6,"targetLatencyMs":600,"advice":{"decide_ms":50,"each_ms":5,"valid_ms":3000}},
@@ -32,7 +32,7 @@
 	EXPECT_TRUE(catalogue->pools.at("s").spare);
 }
 
-TEST(PlatformFeeds, RefusesDamagedConfigurations)
+TEST(PlatformStoreRecords, RefusesDamagedConfigurations)
 {
 	for (const char *body : {"", "[]", "{}", "{\"routes\":3}", "\xff\xfe", "{\"version\":"})
 		EXPECT_FALSE(DecodeCatalogue(body).has_value()) << body;
@@ -42,7 +42,7 @@
 	EXPECT_EQ(changed->queues.size(), 1u);
 }
 
-TEST(PlatformFeeds, DecodesAWorker)
+TEST(PlatformStoreRecords, DecodesAWorker)
 {
 	const std::optional<WorkerEntry> worker = DecodeWorker(
 		"i-1", R"({"service":"p","address":"10.0.0.1:80","zone":"z","state":"draining","capacity":{"cpu":16000,"memMb":32768,"gpu":2},
@@ -57,16 +57,16 @@
 	EXPECT_FALSE(DecodeWorker("i-1", R"({"service":"p"})").has_value());
 }
 
-TEST(PlatformFeeds, ReadsTheStartTimeOfAnIncarnation)
+TEST(PlatformStoreRecords, ReadsTheStartTimeOfAnIncarnation)
 {
 	const std::string entry =
 		R"({"service":"p","address":"10.0.0.1:80","zone":"z","state":"ready","labels":[],"capacity":{"cpu":1,"memMb":1})";
 	EXPECT_EQ(DecodeWorker("i-1", entry + R"(,"born":1790000000123})")->born_ms, 1790000000123);
-	EXPECT_EQ(DecodeWorker("i-1", entry + "}")->born_ms, cBirthUnknown);
+	EXPECT_EQ(DecodeWorker("i-1", entry + "}")->born_ms, cStartTimeUnknown);
 }
 
 /// Guards against a worker entry of another writer that makes tasks go to an address without a worker, or that hides the other entries.
-TEST(PlatformFeeds, RefusesWorkerEntriesOfAnotherWriter)
+TEST(PlatformStoreRecords, RefusesWorkerEntriesOfAnotherWriter)
 {
 	using Json = nlohmann::json;
 	const Json sound = {{"service", "p"},
@@ -101,9 +101,9 @@
 		EXPECT_FALSE(DecodeWorker("i-1", body).has_value()) << body;
 }
 
-TEST(PlatformFeeds, DecodesAWave)
+TEST(PlatformStoreRecords, DecodesAWave)
 {
-	const std::optional<UpkeepWave> wave = DecodeWave("wave/3", R"({"wave":3,"machines":["m-1","m-2"],"withinS":20.5,"atMost":2})");
+	const std::optional<MaintenanceWave> wave = DecodeWave("wave/3", R"({"wave":3,"machines":["m-1","m-2"],"withinS":20.5,"atMost":2})");
 	ASSERT_TRUE(wave.has_value());
 	EXPECT_EQ(wave->within_ms, 20500);
 	EXPECT_EQ(wave->at_most, 2u);
@@ -113,7 +113,7 @@
 }
 
 /// Guards against closing or opening a zone by a record that cannot be decoded, or by one of another kind.
-TEST(PlatformFeeds, DecodesAnOrderToEvacuate)
+TEST(PlatformStoreRecords, DecodesAnOrderToEvacuate)
 {
 	const std::optional<ZoneOrder> order = DecodeZoneOrder("evacuate/hall-a", "{}");
 	ASSERT_TRUE(order.has_value());
--- a/UnitTests/RequestTests.cpp
+++ b/UnitTests/RequestTests.cpp
@@ -189,7 +189,7 @@
 	EXPECT_EQ(this->Only().error, EError::NoEndpoint);
 	// An endpoint's own announcement counts before the log contains it
 	this->Update();
-	this->dispatcher.Endpoints().SawLeaving("h1", this->now);
+	this->dispatcher.Endpoints().RecordLeaving("h1", this->now);
 	this->Arrive();
 	EXPECT_TRUE(this->decisions.empty());
 }
--- a/UnitTests/RunEndReplicaTests.cpp
+++ b/UnitTests/RunEndReplicaTests.cpp
@@ -16,14 +16,14 @@
 constexpr uint32 cCell = 3;
 constexpr uint64 cEpoch = 7;
 
-EndedRow MakeEnd(uint64 inNumber, ERunEnd inEnd = ERunEnd::Done)
+EndedRun MakeEnd(uint64 inNumber, ERunEnd inEnd = ERunEnd::Done)
 {
 	return {inNumber, {"0123456789abcdef", 0, 0, static_cast<uint32>(inNumber)}, 1, inEnd, ""};
 }
 
-EndReplicator Owner()
+RunEndReplicator Owner()
 {
-	EndReplicator owner;
+	RunEndReplicator owner;
 	owner.Begin(cCell, cEpoch);
 	return owner;
 }
@@ -32,13 +32,13 @@
 bool IsOwnerRunning(uint32, uint64) { return false; }
 
 /// Delivers all pending updates of the owner to the host that keeps replicas.
-void Deliver(EndReplicator &ioOwner, EndReplicas &ioReplicas, Millis inNow)
+void Deliver(RunEndReplicator &ioOwner, RunEndReplicas &ioReplicas, Millis inNow)
 {
-	while (std::optional<EndsUpdate> update = ioOwner.Take(inNow))
+	while (std::optional<RunEndsUpdate> update = ioOwner.Take(inNow))
 		ioReplicas.OnUpdate(std::move(*update), inNow);
 }
 
-void Persist(EndReplicator &ioOwner)
+void Persist(RunEndReplicator &ioOwner)
 {
 	ioOwner.BeginWriting();
 	ioOwner.OnWriting();
@@ -48,15 +48,15 @@
 } // namespace
 
 /// Guards against losing the run ends that a killed owner had read and not persisted.
-TEST(EndReplicas, AnEndOutlivesTheOwnerThatReadIt)
+TEST(RunEndReplicas, AnEndOutlivesTheOwnerThatReadIt)
 {
-	EndReplicator owner = Owner();
-	EndReplicas replicas;
+	RunEndReplicator owner = Owner();
+	RunEndReplicas replicas;
 	owner.Note("w1", MakeEnd(1));
 	owner.Note("w2", MakeEnd(5, ERunEnd::Failed));
 	Deliver(owner, replicas, 100);
 	EXPECT_TRUE(replicas.TakeOrphans(&IsOwnerRunning, 200).empty());
-	const std::vector<OrphanedEnds> orphans = replicas.TakeOrphans(&HasOwnerStopped, 300);
+	const std::vector<OrphanedRunEnds> orphans = replicas.TakeOrphans(&HasOwnerStopped, 300);
 	ASSERT_EQ(orphans.size(), 2u);
 	EXPECT_EQ(orphans[0].cell, cCell);
 	EXPECT_EQ(orphans[0].report.worker, "w1");
@@ -66,10 +66,10 @@
 }
 
 /// Guards against keeping ends that the log contains: at each change of owner, all of them would be submitted again.
-TEST(EndReplicas, PersistedEndsAreNotKept)
+TEST(RunEndReplicas, PersistedEndsAreNotKept)
 {
-	EndReplicator owner = Owner();
-	EndReplicas replicas;
+	RunEndReplicator owner = Owner();
+	RunEndReplicas replicas;
 	owner.Note("w1", MakeEnd(1));
 	Deliver(owner, replicas, 100);
 	owner.BeginWriting();
@@ -85,12 +85,12 @@
 }
 
 /// A release may arrive before the ends that it refers to; they must not be kept for ever.
-TEST(EndReplicas, EndsThatArriveLateAreDroppedInTime)
+TEST(RunEndReplicas, EndsThatArriveLateAreDroppedInTime)
 {
-	EndReplicator owner = Owner();
-	EndReplicas replicas;
+	RunEndReplicator owner = Owner();
+	RunEndReplicas replicas;
 	owner.Note("w1", MakeEnd(1));
-	const std::optional<EndsUpdate> late = owner.Take(100);
+	const std::optional<RunEndsUpdate> late = owner.Take(100);
 	Persist(owner);
 	Deliver(owner, replicas, 2000);
 	ASSERT_TRUE(late.has_value());
@@ -101,13 +101,13 @@
 }
 
 /// A worker's answer may list more ends than fit into one datagram.
-TEST(EndReplicas, ManyEndsFitDatagrams)
+TEST(RunEndReplicas, ManyEndsFitDatagrams)
 {
-	EndReplicator owner = Owner();
+	RunEndReplicator owner = Owner();
 	for (uint64 number = 1; number <= 1000; ++number)
 		owner.Note("w1", MakeEnd(number));
 	size_t rows = 0;
-	while (const std::optional<EndsUpdate> update = owner.Take(100))
+	while (const std::optional<RunEndsUpdate> update = owner.Take(100))
 	{
 		EXPECT_LT(EncodeValue(*update).size(), 32000u);
 		for (const EndReport &report : update->reports)
@@ -117,10 +117,10 @@
 }
 
 /// Without a bound, unresponsive owners would exhaust the memory of the host that keeps their replicas.
-TEST(EndReplicas, TheirNumberIsBounded)
+TEST(RunEndReplicas, TheirNumberIsBounded)
 {
-	EndReplicator owner = Owner();
-	EndReplicas replicas;
+	RunEndReplicator owner = Owner();
+	RunEndReplicas replicas;
 	for (uint64 number = 1; number <= 5000; ++number)
 	{
 		owner.Note("w1", MakeEnd(number));
--- a/UnitTests/RunTimesTests.cpp
+++ b/UnitTests/RunTimesTests.cpp
@@ -83,9 +83,9 @@
 	EXPECT_EQ(times.Longest(spec, 1000, 6), 1000);
 }
 
-TEST(StepSeen, SumsUpTheRunsOfAStep)
+TEST(StepRunTimes, SumsUpTheRunsOfAStep)
 {
-	StepSeen seen;
+	StepRunTimes seen;
 	EXPECT_EQ(seen.Count(), 0u);
 	for (const Millis took : {800, 1000, 1200})
 		seen.Add(took);
--- a/UnitTests/SharedStoreTests.cpp
+++ b/UnitTests/SharedStoreTests.cpp
@@ -33,7 +33,7 @@
 /// One host. It follows the record, and makes a small read every second over the same kept connections.
 struct Host
 {
-	PeerTrust trust;
+	ResponseTimeTracker trust;
 	bool is_informed = false;
 	Millis informed_at = -1;
 	Millis follow_at = 0;         ///< Time of the next read of the record; -1 while one is in flight.
@@ -206,12 +206,12 @@
 	const StoreBudget budget({16'000, 80'000});
 	for (const size_t hosts : {585u, 1170u, 2340u, 3215u})
 	{
-		const Millis interval_ms = budget.RoundGap(hosts, 4);
+		const Millis interval_ms = budget.RoundInterval(hosts, 4);
 		EXPECT_LE(static_cast<int64>(hosts) * 4 * 1000 / interval_ms, 4100) << hosts;
 		EXPECT_LE(static_cast<int64>(hosts) * cRecordBytes / budget.Spread(hosts, cRecordBytes), 20'100) << hosts;
 	}
 	// A small fleet hardly waits
-	EXPECT_LT(budget.RoundGap(9, 4), 20);
+	EXPECT_LT(budget.RoundInterval(9, 4), 20);
 }
 
 } // namespace Loomreach::Jobs
