--- a/UnitTests/StateTests.cpp
+++ b/UnitTests/StateTests.cpp
@@ -24,7 +24,7 @@
 	return fleet;
 }
 
-TEST(Fold, SettingsNeedTheVersionInForce)
+TEST(ApplyProposal, SettingsNeedTheVersionInForce)
 {
 	TestFleet fleet = FleetOf(1, 50);
 	const LogPosition version = fleet.state.settings_version;
@@ -34,13 +34,13 @@
 	EXPECT_EQ(fleet.state.jobs.at("/pool/job").replicas, 3U);
 }
 
-TEST(Fold, ARemovedPoolMustBeEmpty)
+TEST(ApplyProposal, ARemovedPoolMustBeEmpty)
 {
 	TestFleet fleet = FleetOf(1, 50);
 	fleet.Reject(ApplySettings{fleet.state.settings_version, {}, "me"}, EError::BadSettings);
 }
 
-TEST(Fold, DrainKeepsTheBudget)
+TEST(ApplyProposal, DrainKeepsTheBudget)
 {
 	TestFleet fleet = FleetOf(4, 70); // 3 of 4 hosts must stay available
 	fleet.Step("h0", EHostStep::Drain);
@@ -52,7 +52,7 @@
 	fleet.Step("h1", EHostStep::Drain);
 }
 
-TEST(Fold, AHostCountsAgainOnlyWhenSeenHealthy)
+TEST(ApplyProposal, AHostCountsAgainOnlyWhenSeenHealthy)
 {
 	TestFleet fleet = FleetOf(4, 70);
 	fleet.Accept(StartWave{"w", "", "", ""});
@@ -67,7 +67,7 @@
 	fleet.Step("h1", EHostStep::Drain, "w");
 }
 
-TEST(Fold, StaleStepsAndRepeatedIdsChangeNothing)
+TEST(ApplyProposal, StaleStepsAndRepeatedIdsChangeNothing)
 {
 	TestFleet fleet = FleetOf(4, 50);
 	const StepHost early = fleet.MakeStep("h0", EHostStep::Drain);
@@ -76,11 +76,11 @@
 	fleet.Reject(early, EError::StaleGeneration);
 	const uint64 hash = fleet.state.Hash();
 	const Proposal again{{1, fleet.sequence}, fleet.MakeStep("h1", EHostStep::Drain)};
-	EXPECT_EQ(FoldProposal(fleet.state, 99'999'999, again).error, EError::DuplicateProposal);
+	EXPECT_EQ(ApplyProposal(fleet.state, 99'999'999, again).error, EError::DuplicateProposal);
 	EXPECT_EQ(fleet.state.Hash(), hash);
 }
 
-TEST(Fold, OnlyADrainedHostMoves)
+TEST(ApplyProposal, OnlyADrainedHostMoves)
 {
 	TestFleet fleet;
 	std::vector<SettingsNode> nodes = TestFleet::OnePool(0, 1);
@@ -103,7 +103,7 @@
 	fleet.state.CheckInvariants();
 }
 
-TEST(Fold, PlacementNeedsCapacityQuotaAndGeneration)
+TEST(ApplyProposal, PlacementNeedsCapacityQuotaAndGeneration)
 {
 	TestFleet fleet;
 	std::vector<SettingsNode> nodes = TestFleet::OnePool(0, 9, 9000);
@@ -124,7 +124,7 @@
 	fleet.state.CheckInvariants();
 }
 
-TEST(Fold, AFailureIsRecordedForTheHostAndTheJob)
+TEST(ApplyProposal, AFailureIsRecordedForTheHostAndTheJob)
 {
 	TestFleet fleet = FleetOf(2, 0);
 	const LogPosition generation = fleet.Accept(PlaceReplica{{"/pool/job", 0}, "h0", 0});
@@ -136,7 +136,7 @@
 	fleet.Reject(StopReplica{{"/pool/job", 0}, generation, EStopReason::Finished}, EError::StaleGeneration);
 }
 
-TEST(Fold, AViewKeepsAHolderOfEachClaimRange)
+TEST(ApplyProposal, AViewKeepsAHolderOfEachClaimRange)
 {
 	TestFleet fleet;
 	const auto member = [](const std::string &inName, uint64 inIncarnation)
@@ -175,8 +175,8 @@
 	EXPECT_FALSE(DecodeBatch(future).has_value());
 	EXPECT_EQ(LastReason().kind, EError::UnknownVersion);
 	FleetState state;
-	const std::vector<Verdict> verdicts = FoldRecord(state, 0, "rubbish");
-	EXPECT_EQ(verdicts.at(0).error, EError::Corrupt);
+	const std::vector<ProposalOutcome> outcomes = ApplyLogRecord(state, 0, "rubbish");
+	EXPECT_EQ(outcomes.at(0).error, EError::Corrupt);
 	EXPECT_EQ(state.next_offset, 1U);
 }
 
@@ -188,7 +188,7 @@
 	for (int i = 0; i < 9000; ++i)
 		nodes.push_back({"/pool/" + std::string(40, 'x') + std::to_string(i), ENodeKind::Job, {}});
 	fleet.Accept(ApplySettings{fleet.state.settings_version, nodes, "me"});
-	std::vector<std::string> pieces = CutSnapshot(fleet.state.next_offset, EncodeState(fleet.state));
+	std::vector<std::string> pieces = SplitSnapshot(fleet.state.next_offset, EncodeState(fleet.state));
 	ASSERT_GT(pieces.size(), 2U);
 	SnapshotAssembler assembler;
 	EXPECT_FALSE(assembler.Add("rubbish"));
@@ -297,9 +297,9 @@
 		const ProposalBody body = RandomProposal(fleet.state);
 		const StepHost *step = std::get_if<StepHost>(&body);
 		const bool own_act = step != nullptr && (step->step == EHostStep::Drain || step->step == EHostStep::Quarantine);
-		const Verdict verdict = fleet.Apply(body);
+		const ProposalOutcome outcome = fleet.Apply(body);
 		const PoolCounts after = fleet.state.pool_counts["/pool"];
-		if (verdict.Accepted() && own_act && after.available < before.available)
+		if (outcome.Accepted() && own_act && after.available < before.available)
 			RC_ASSERT(after.available >= fleet.state.RequiredAvailable("/pool"));
 		fleet.state.pool_counts.erase("/none");
 		std::erase_if(fleet.state.pool_counts, [](const auto &inEntry) { return inEntry.second.hosts == 0; });
--- a/UnitTests/StoreWatchTests.cpp
+++ b/UnitTests/StoreWatchTests.cpp
@@ -52,11 +52,11 @@
 	EXPECT_TRUE(watch.IsSilent(3900));
 }
 
-TEST(TurnedAwayWatch, AnOwnerThatTheStoreRefusesReleasesItsCellsBeforeItsLeaseExpires)
+TEST(StoreIsolationWatch, AnOwnerThatTheStoreRefusesReleasesItsCellsBeforeItsLeaseExpires)
 {
 	// The store refuses a third of the hosts for 9 s while demand rises. Owners that kept their cells until their leases expired left them
 	// without an owner for 2.3 s
-	TurnedAwayWatch watch;
+	StoreIsolationWatch watch;
 	EXPECT_FALSE(watch.Note(true, false, 0)); // No host reaches the store: releasing the cells would not help
 	EXPECT_FALSE(watch.Note(true, true, 100));
 	EXPECT_FALSE(watch.Note(true, true, 200));
--- a/UnitTests/TeamSharesTests.cpp
+++ b/UnitTests/TeamSharesTests.cpp
@@ -111,7 +111,7 @@
 	};
 	struct CellState
 	{
-		std::optional<TeamUse> owner;
+		std::optional<TeamUsage> owner;
 		uint64 epoch = 0;
 		Millis back_at = 0;
 		std::vector<int64> waiting;
@@ -390,7 +390,7 @@
 	RC_ASSERT(simulation.Waiting() == 0);
 }
 
-TEST(TeamUse, ACellStartsNothingBeyondItsTeamsShare)
+TEST(TeamUsage, ACellStartsNothingBeyondItsTeamsShare)
 {
 	static constexpr int64 cWallMs = 1'700'000'000'000;
 	Cell cell(CellTuning{});
--- a/UnitTests/TestFleet.h
+++ b/UnitTests/TestFleet.h
@@ -15,18 +15,18 @@
 {
 public:
 	/// Applies a proposal at the next log position.
-	Verdict Apply(ProposalBody inBody)
+	ProposalOutcome Apply(ProposalBody inBody)
 	{
 		const Proposal proposal{{1, ++this->sequence}, std::move(inBody)};
-		return FoldProposal(this->state, PositionAt(this->state.next_offset++, 0), proposal);
+		return ApplyProposal(this->state, PositionAt(this->state.next_offset++, 0), proposal);
 	}
 
 	/// Applies a proposal that must be accepted. Returns its position.
 	LogPosition Accept(ProposalBody inBody)
 	{
-		const Verdict verdict = this->Apply(std::move(inBody));
-		EXPECT_TRUE(verdict.Accepted()) << AnswerOf(verdict.error).name << ": " << verdict.detail;
-		return verdict.position;
+		const ProposalOutcome outcome = this->Apply(std::move(inBody));
+		EXPECT_TRUE(outcome.Accepted()) << AnswerOf(outcome.error).name << ": " << outcome.detail;
+		return outcome.position;
 	}
 
 	/// Applies a proposal that must be rejected with this error.
@@ -34,8 +34,8 @@
 	{
 		const std::string before = EncodeState(this->state);
 		FleetState untouched = this->state;
-		const Verdict verdict = this->Apply(std::move(inBody));
-		EXPECT_EQ(AnswerOf(verdict.error).name, AnswerOf(inError).name) << verdict.detail;
+		const ProposalOutcome outcome = this->Apply(std::move(inBody));
+		EXPECT_EQ(AnswerOf(outcome.error).name, AnswerOf(inError).name) << outcome.detail;
 		// A rejected proposal changes nothing but the proposer's entry and the next offset
 		untouched.proposers = this->state.proposers;
 		untouched.next_offset = this->state.next_offset;
--- a/UnitTests/WorkerCallsTests.cpp
+++ b/UnitTests/WorkerCallsTests.cpp
@@ -54,7 +54,7 @@
 		PollWith({R"({"clockMs":7,"born":1790000000123,"running":[],"ended":[]})", R"({"clockMs":7,"running":[],"ended":[]})"});
 	ASSERT_EQ(answers.size(), 2u);
 	EXPECT_EQ(answers[0].born_ms, 1790000000123);
-	EXPECT_EQ(answers[1].born_ms, cBirthUnknown);
+	EXPECT_EQ(answers[1].born_ms, cStartTimeUnknown);
 }
 
 TEST(PlatformWorkers, AnIncompleteAnswerProvesNothing)
