--- a/Loomreach/Core/Error.cpp
+++ b/Loomreach/Core/Error.cpp
@@ -45,7 +45,7 @@
 	{EError::PlatformDown, "platform-down", 503, EOutcome::NotRun, 10, true, "The platform's log cannot be reached."},
 	{EError::NotAccepted, "not-accepted", 503, EOutcome::NotRun, 10, true,
 	 "The change was not taken; a queue or table of this entry host is full."},
-	{EError::VerdictLost, "verdict-lost", 502, EOutcome::Unknown, 9, false,
+	{EError::OutcomeLost, "verdict-lost", 502, EOutcome::Unknown, 9, false,
 	 "The change is in the log, but whether it was accepted is not known here. Read the state."},
 	{EError::BudgetExceeded, "budget-exceeded", 409, EOutcome::NotRun, 7, true, "The pool's availability budget has no room."},
 	{EError::QuotaExceeded, "quota-exceeded", 409, EOutcome::NotRun, 7, false, "The team's quota has no room."},
--- a/Loomreach/Core/Error.h
+++ b/Loomreach/Core/Error.h
@@ -38,7 +38,7 @@
 	TooLarge,
 	PlatformDown,
 	NotAccepted,
-	VerdictLost,
+	OutcomeLost,
 	BudgetExceeded,
 	QuotaExceeded,
 	CapacityExceeded,
@@ -75,7 +75,7 @@
 	uint16 http_status;       ///< HTTP status sent to callers and operators.
 	EOutcome outcome;         ///< Value of the Loomreach-Outcome header.
 	uint8 exit_code;          ///< Exit code of a program that ends with this error.
-	bool come_back;           ///< Whether the same request may succeed later; a Retry-After header is then sent.
+	bool retryable;           ///< Whether the same request may succeed later; a Retry-After header is then sent.
 	std::string_view meaning; ///< Description for people, one sentence.
 };
 
--- a/Loomreach/Core/LogStream.h
+++ b/Loomreach/Core/LogStream.h
@@ -13,9 +13,9 @@
 {
 public:
 	/// Buffer limit, bytes: enough for one to two seconds of the busiest cell owner's lines while the reader is behind.
-	static constexpr size_t cMostBytes = size_t{512} * 1024;
+	static constexpr size_t cMaxBytes = size_t{512} * 1024;
 
-	explicit LogStream(int inDescriptor, size_t inMaxBytes = cMostBytes) : descriptor(inDescriptor), max_bytes(inMaxBytes) {}
+	explicit LogStream(int inDescriptor, size_t inMaxBytes = cMaxBytes) : descriptor(inDescriptor), max_bytes(inMaxBytes) {}
 
 	/// Adds a line, given without its line break. Never blocks.
 	void Write(std::string_view inLine);
--- a/Loomreach/Core/Metrics.cpp
+++ b/Loomreach/Core/Metrics.cpp
@@ -85,7 +85,7 @@
 	return found == family.end() ? 0 : found->second;
 }
 
-void Metrics::Time(ETiming inFamily, double inMillis)
+void Metrics::Observe(ETiming inFamily, double inMillis)
 {
 	const size_t family = static_cast<size_t>(inFamily);
 	this->histograms->families[family](std::max(inMillis, cLowestMs));
--- a/Loomreach/Core/Metrics.h
+++ b/Loomreach/Core/Metrics.h
@@ -10,19 +10,19 @@
 /// Counter families; each has one label.
 enum class ECounter : uint8
 {
-	Requests,      ///< By outcome.
-	Refusals,      ///< By error kind.
-	Proposals,     ///< Accepted proposals, by kind.
-	Rejections,    ///< Rejected proposals of this process, by error kind.
-	PeerRejects,   ///< Rejected datagrams and frames from peers, by error kind.
-	PeerBytes,     ///< Bytes sent to and received from peers, by direction.
-	PlatformCalls, ///< Calls to the platform, by result.
-	RecordsFolded, ///< Applied log records, by source: platform or peer.
-	Snapshots,     ///< By event.
-	Claims,        ///< By result.
-	Orders,        ///< Orders to workers, by result.
-	Duties,        ///< Orders to hosts, by result.
-	JobCalls,      ///< Callers' requests about jobs, by answer.
+	Requests,       ///< By outcome.
+	Refusals,       ///< By error kind.
+	Proposals,      ///< Accepted proposals, by kind.
+	Rejections,     ///< Rejected proposals of this process, by error kind.
+	PeerRejects,    ///< Rejected datagrams and frames from peers, by error kind.
+	PeerBytes,      ///< Bytes sent to and received from peers, by direction.
+	PlatformCalls,  ///< Calls to the platform, by result.
+	RecordsApplied, ///< Applied log records, by source: platform or peer.
+	Snapshots,      ///< By event.
+	Claims,         ///< By result.
+	Orders,         ///< Orders to workers, by result.
+	HostOrders,     ///< Orders to hosts, by result.
+	JobCalls,       ///< Callers' requests about jobs, by answer.
 	Count
 };
 
@@ -32,7 +32,7 @@
 	Request, ///< From arrival to the last byte.
 	Queue,   ///< From arrival to the first attempt.
 	Plan,    ///< One planning round.
-	Fold,    ///< Applying one batch of log records.
+	Apply,   ///< Applying one batch of log records.
 	Count
 };
 
@@ -48,7 +48,7 @@
 	void Count(ECounter inFamily, std::string_view inLabel, uint64 inBy = 1);
 	uint64 Value(ECounter inFamily, std::string_view inLabel) const;
 	/// Records a duration in a histogram.
-	void Time(ETiming inFamily, double inMillis);
+	void Observe(ETiming inFamily, double inMillis);
 	void Gauge(std::string_view inName, double inValue);
 	/// Returns all metrics in Prometheus' text format.
 	std::string Prometheus() const;
--- a/Loomreach/Entry/CellDriver.h
+++ b/Loomreach/Entry/CellDriver.h
@@ -39,9 +39,9 @@
 
 /// What a driver requires of an adviser client.
 template <class T>
-concept Adviser = requires(T &ioAdviser, const AdviceQuestion &inQuestion)
+concept Adviser = requires(T &ioAdviser, const AdviceRequest &inRequest)
 {
-	ioAdviser.Ask(inQuestion, [](const AdviceAnswer &) {});
+	ioAdviser.Ask(inRequest, [](const AdviceAnswer &) {});
 };
 
 /// Drives one cell. `Hub` is the platform, see JobHost.
@@ -69,13 +69,13 @@
 	PeerAnswer Answer(const PeerQuestion &inQuestion);
 	/// Lets the cell plan, then sends its orders and writes its log. Called by a timer, and shortly after each update.
 	void Step();
-	CellCounts Figures() const { return this->cell.Figures(); }
+	CellCounts Figures() const { return this->cell.Counts(); }
 	/// Whether the last planning found no capacity for some tasks, so that new workers are of use immediately.
 	bool IsShort() const { return this->cell.IsShort(); }
 	/// Run ends that workers have listed and the log does not contain yet.
 	std::vector<EndReport> UnloggedEnds() const { return this->cell.UnloggedEnds(); }
 	/// Prepares a planned hand-over: no further drain grants are given.
-	void Retire() { this->cell.Retire(); }
+	void BeginHandOver() { this->cell.BeginHandOver(); }
 	/// Whether a successor may start immediately: no append is in flight, the log contains every run end, and no grant is still relied on.
 	bool IsReadyToHandOver() const { return !this->log.IsBusy() && this->cell.CanHandOver(NowMillis()); }
 
--- a/Loomreach/Entry/CellDriver.inl
+++ b/Loomreach/Entry/CellDriver.inl
@@ -23,8 +23,8 @@
 {
 	CellTuning tuning;
 	tuning.lease_ms = inConfig.worker_lease_ms;
-	tuning.most_lease_ms = inConfig.worker_lease_ms;
-	tuning.granted_lease_ms = inConfig.worker_most_lease_ms;
+	tuning.max_lease_ms = inConfig.worker_lease_ms;
+	tuning.worker_lease_cap_ms = inConfig.worker_max_lease_ms;
 	tuning.demand_hold_ms = inConfig.demand_hold_ms;
 	tuning.keep_ended_ms = inConfig.keep_ended_ms + inConfig.keep_ended_ms / 4;
 	return tuning;
@@ -33,7 +33,7 @@
 template <class Hub>
 CellDriver<Hub>::CellDriver(Hub &inHub, const DriverContext &inContext, uint32 inCell)
 	: hub(inHub), context(inContext), number(inCell),
-	  log(inHub.store, CellLog(inCell, static_cast<uint32>(inContext.config.log_parts)), inContext.process),
+	  log(inHub.store, CellLog(inCell, static_cast<uint32>(inContext.config.log_partitions)), inContext.process),
 	  cell(CellTuningOf(inContext.config))
 {
 }
@@ -47,7 +47,7 @@
 		[this](const ClaimRecord &inSeen)
 		{
 			const Millis now = NowMillis();
-			if (inSeen.epoch != 0 && inSeen.by.life != this->context.process.life)
+			if (inSeen.epoch != 0 && inSeen.by.incarnation != this->context.process.incarnation)
 				this->context.owners.OnClaimSeen(this->number, inSeen, now);
 			return this->context.lease.MayAct(now) && this->context.owners.IsFree(this->number, now);
 		},
@@ -71,7 +71,7 @@
 	this->cell.Begin(this->log.Epoch(), NowMillis(), this->number);
 	this->held = true;
 	this->claimed_at = NowMillis();
-	const CellCounts figures = this->cell.Figures();
+	const CellCounts figures = this->cell.Counts();
 	LogEvent(ELogLevel::Info, "cell_owned")
 		.Field("cell", this->number)
 		.Field("epoch", this->log.Epoch())
@@ -89,7 +89,7 @@
 {
 	std::vector<WorkerEntry> own_workers;
 	for (const WorkerEntry &worker : inWorkers)
-		if (CellOf(worker.pool, static_cast<uint32>(this->context.config.log_parts)) == this->number)
+		if (CellOf(worker.pool, static_cast<uint32>(this->context.config.log_partitions)) == this->number)
 			own_workers.push_back(worker);
 	this->cell.SetWorkers(own_workers, NowMillis(), inTrustUntil);
 	this->ScheduleStep(cStepDelayMs);
@@ -99,7 +99,7 @@
 void CellDriver<Hub>::ReadInbox()
 {
 	const Millis sent_at = NowMillis();
-	const LogName inbox = InboxLog(this->number, static_cast<uint32>(this->context.config.log_parts));
+	const LogName inbox = InboxLog(this->number, static_cast<uint32>(this->context.config.log_partitions));
 	this->hub.store.Read(inbox, false, this->cell.InboxNext(), cInboxReadWaitMs,
 						 this->Guard(
 							 [this, sent_at](ReadAnswer inAnswer)
@@ -157,7 +157,7 @@
 	const double began = NowMillisExact();
 	this->cell.Plan(now, WallMillis());
 	const double planned = NowMillisExact();
-	this->context.metrics.Time(ETiming::Plan, planned - began);
+	this->context.metrics.Observe(ETiming::Plan, planned - began);
 	this->SendOrders();
 	this->ReplicateEnds();
 	this->AskShares(now);
@@ -170,7 +170,7 @@
 			.Field("plan_ms", static_cast<int64>(planned - began))
 			.Field("send_ms", static_cast<int64>(sent - planned))
 			.Field("write_ms", static_cast<int64>(written - sent));
-	for (const AdviceQuestion &question : this->cell.TakeAdvice())
+	for (const AdviceRequest &question : this->cell.TakeAdvice())
 		this->hub.adviser.Ask(question, this->Guard(
 											[this, question](const AdviceAnswer &inAnswer)
 											{
@@ -219,7 +219,7 @@
 template <class Hub>
 void CellDriver<Hub>::Write()
 {
-	if (this->log.IsBusy() || !this->cell.HasNews())
+	if (this->log.IsBusy() || !this->cell.HasUnwrittenChanges())
 		return;
 	const Millis since = NowMillis() - this->log.LastSentAt();
 	if (since < cAppendIntervalMs)
@@ -289,7 +289,7 @@
 	answer.owner = this->held && this->context.lease.MayAct(now);
 	if (!answer.owner)
 		return answer;
-	answer.sure = this->inbox_read_at >= 0 && now - this->inbox_read_at < 2 * cInboxReadWaitMs;
+	answer.inbox_current = this->inbox_read_at >= 0 && now - this->inbox_read_at < 2 * cInboxReadWaitMs;
 	switch (inQuestion.kind)
 	{
 	case EQuestion::Show:
@@ -302,15 +302,15 @@
 	}
 	case EQuestion::Count: answer.waiting = this->cell.Waiting(inQuestion.queue); break;
 	case EQuestion::Demand:
-		this->cell.NoteLeft(inQuestion.left, now);
+		this->cell.OnWorkersRemoved(inQuestion.departed, now);
 		answer.demand = this->cell.Demand(inQuestion.id, inQuestion.count, inQuestion.for_ms, now, WallMillis());
 		break;
-	case EQuestion::Shares: // Answered by the fleet driver
-	case EQuestion::Enter:  // Answered by the host itself; any host may append to an inbox
-	case EQuestion::Reach:
+	case EQuestion::Shares:      // Answered by the fleet driver
+	case EQuestion::AppendInbox: // Answered by the host itself; any host may append to an inbox
+	case EQuestion::StoreReach:
 	case EQuestion::Owners:
 	case EQuestion::Forward: break;
-	case EQuestion::Empty: answer.empty = this->cell.Vacate(inQuestion.id, inQuestion.for_ms, now); break;
+	case EQuestion::Drain: answer.drained = this->cell.DrainWorker(inQuestion.id, inQuestion.for_ms, now); break;
 	}
 	return answer;
 }
--- a/Loomreach/Entry/ControlLoop.cpp
+++ b/Loomreach/Entry/ControlLoop.cpp
@@ -175,7 +175,7 @@
 		return;
 	const Address peer = inHeartbeat.peers;
 	const LogOffset next = inHeartbeat.next_offset;
-	if (!this->tracker.Hear(std::move(inHeartbeat), NowMillis()))
+	if (!this->tracker.OnHeartbeat(std::move(inHeartbeat), NowMillis()))
 	{
 		this->metrics.Count(ECounter::PeerRejects, AnswerOf(LastReason().kind).name);
 		return;
@@ -199,7 +199,7 @@
 		this->claims_not_before = NowMillis() + this->config.claim_lease_ms + this->config.claim_quiet_ms;
 	}
 	this->claims.Update(state);
-	this->tracker.HearLog(state, NowMillis());
+	this->tracker.UpdateFromLog(state, NowMillis());
 	this->UpdateRoutes();
 	// Tell the peers without waiting for the next heartbeat, but gather what arrives within a few milliseconds
 	if (!this->update_timer.IsRunning())
@@ -211,7 +211,7 @@
 {
 	// Only one reader in each zone and the planner for the host list read it; the others learn of leaving hosts from heartbeats
 	const PlannerAssignment assignment = this->MakeAssignment(NowMillis());
-	if (assignment.IsMineIn("log-reader", this->config.availability_zone) || assignment.IsMine("hosts"))
+	if (assignment.IsAssignedInZone("log-reader", this->config.availability_zone) || assignment.IsAssigned("hosts"))
 		this->poller.ReadHosts(this->follower.State());
 }
 
@@ -269,7 +269,7 @@
 	if (!this->follower.IsReady())
 		return;
 	const PlannerAssignment assignment = this->MakeAssignment(now);
-	this->follower.SetInterval(assignment.IsMineIn("log-reader", this->config.availability_zone)
+	this->follower.SetInterval(assignment.IsAssignedInZone("log-reader", this->config.availability_zone)
 								   ? cReaderPollIntervalMs
 								   : std::min(cFollowerPollIntervalMs, this->config.claim_lease_ms / 3));
 	this->UpdateRoutes();
@@ -287,12 +287,12 @@
 	this->PlanHosts(assignment, now);
 	this->PlanPools(assignment, now);
 	this->PlanSnapshot(assignment, now);
-	this->metrics.Time(ETiming::Plan, NowMillisExact() - began);
+	this->metrics.Observe(ETiming::Plan, NowMillisExact() - began);
 }
 
 void ControlLoop::PlanMembership(const PlannerAssignment &inAssignment, Millis inNow)
 {
-	const Millis listening_since = this->listening.Note(inNow, this->config.suspect_after_ms);
+	const Millis listening_since = this->listening.Update(inNow, this->config.suspect_after_ms);
 	if (!this->follower.ReachesPlatform(inNow) || !this->proposer.IsIdle())
 		return;
 	const FleetState &state = this->follower.State();
@@ -305,7 +305,7 @@
 	const std::string &zone = this->config.availability_zone;
 	const Millis silence = this->config.remove_after_ms / 2;
 	const bool due = inNow - this->log_heartbeat_sent >= this->config.remove_after_ms / 3 && inNow - listening_since >= silence;
-	if (!due || !inAssignment.IsMineIn("log-beat", zone) || !NeedsLogHeartbeat(state.view, this->tracker, zone, silence, inNow))
+	if (!due || !inAssignment.IsAssignedInZone("log-beat", zone) || !NeedsLogHeartbeat(state.view, this->tracker, zone, silence, inNow))
 		return;
 	this->log_heartbeat_sent = inNow;
 	this->proposer.Propose(ZoneAlive{zone});
@@ -317,7 +317,7 @@
 	this->poller.SetLeaving(this->LeavingHosts());
 	const HostLifecycleBounds bounds{this->poller.FailedAfter(), this->config.worker_poll_ms / 2, 10 * this->poller.FailedAfter()};
 	const HostLifecycle lifecycle(state, this->poller.Seen(), bounds, inNow);
-	if (inAssignment.IsMine("hosts"))
+	if (inAssignment.IsAssigned("hosts"))
 		for (ProposalBody &body : lifecycle.FollowHostList())
 			this->proposer.Propose(std::move(body));
 	for (const auto &[name, observation] : this->poller.Seen().hosts)
@@ -370,7 +370,7 @@
 	this->wave_blockers.clear();
 	for (const auto &[path, pool] : state.pools)
 	{
-		if (!inAssignment.IsMine("pool:" + path))
+		if (!inAssignment.IsAssigned("pool:" + path))
 			continue;
 		PlacementPlan placements = PlacementPlanner(state, path, &this->last_plan_inputs.backed_off_jobs).Plan();
 		if (std::optional<StartWave> turn = PlanRolling(state, pool, g_get_real_time() / G_USEC_PER_SEC); turn.has_value())
@@ -387,7 +387,7 @@
 
 void ControlLoop::PlanSnapshot(const PlannerAssignment &inAssignment, Millis inNow)
 {
-	if (!inAssignment.IsMine("snapshot"))
+	if (!inAssignment.IsAssigned("snapshot"))
 		return;
 	const LogOffset next = this->follower.State().next_offset;
 	const bool many = next - this->follower.SnapshotOffset() >= static_cast<uint64>(this->config.snapshot_every_records);
@@ -398,7 +398,7 @@
 
 void ControlLoop::TakeOverClaims()
 {
-	const std::vector<std::pair<uint32, std::string>> missing = this->claims.Missing();
+	const std::vector<std::pair<uint32, std::string>> missing = this->claims.MissingRanges();
 	if (missing.empty() || this->taking_over || !this->proposer.IsIdle())
 		return;
 	// One holder at a time, with all ranges that are missing from it in one request
@@ -423,7 +423,7 @@
 							   TakeOver take{view, this->config.name, {}};
 							   for (const auto &[range, list] : reply->ranges)
 							   {
-								   this->claims.TakeIn(range, list, NowMillis());
+								   this->claims.ImportClaims(range, list, NowMillis());
 								   take.ranges.push_back(range);
 							   }
 							   if (!take.ranges.empty())
--- a/Loomreach/Entry/EndsSubmitter.h
+++ b/Loomreach/Entry/EndsSubmitter.h
@@ -21,9 +21,9 @@
 	explicit EndsSubmitter(WriterOf inWriterOf) : writer_of(std::move(inWriterOf)) {}
 
 	/// Appends a report to the inbox of a cell; retries until the store has accepted it or `cGiveUpAfterMs` is over.
-	void HandIn(uint32 inCell, EndReport inReport);
+	void Submit(uint32 inCell, EndReport inReport);
 	/// Number of reports without an outcome yet.
-	size_t UnderWay() const { return this->in_flight; }
+	size_t InFlight() const { return this->in_flight; }
 
 private:
 	/// A report without an outcome yet.
--- a/Loomreach/Entry/EndsSubmitter.inl
+++ b/Loomreach/Entry/EndsSubmitter.inl
@@ -7,7 +7,7 @@
 {
 
 template <class Store>
-void EndsSubmitter<Store>::HandIn(uint32 inCell, EndReport inReport)
+void EndsSubmitter<Store>::Submit(uint32 inCell, EndReport inReport)
 {
 	++this->in_flight;
 	this->Try(std::make_shared<const Item>(Item{inCell, std::move(inReport), NowMillis() + cGiveUpAfterMs}));
@@ -18,8 +18,8 @@
 {
 	std::string record = EncodeValue(InboxRecord{EInbox::Ends, {}, inItem->report});
 	this->writer_of(inItem->cell)
-		.Enter(std::move(record), cAttemptTimeoutMs,
-			   this->Guard([this, item = inItem](const AppendAnswer &inAnswer) { this->OnAnswer(item, inAnswer); }));
+		.Append(std::move(record), cAttemptTimeoutMs,
+				this->Guard([this, item = inItem](const AppendAnswer &inAnswer) { this->OnAnswer(item, inAnswer); }));
 }
 
 template <class Store>
--- a/Loomreach/Entry/Exchange.cpp
+++ b/Loomreach/Entry/Exchange.cpp
@@ -83,7 +83,7 @@
 	const ErrorAnswer &row = AnswerOf(inError);
 	const nlohmann::json body = {
 		{"error", row.name}, {"outcome", OutcomeName(row.outcome)}, {"meaning", row.meaning}, {"detail", inDetail}};
-	if (row.come_back)
+	if (row.retryable)
 	{
 		SoupMessageHeaders *headers = soup_server_message_get_response_headers(this->message.get());
 		soup_message_headers_replace(headers, "Retry-After", std::to_string(std::max<uint32>(1, inRetryAfterS)).c_str());
--- a/Loomreach/Entry/FleetDriver.h
+++ b/Loomreach/Entry/FleetDriver.h
@@ -35,7 +35,7 @@
 	/// Answers a question for teams' shares. The answer's `owner` is false while this host may not act as owner.
 	PeerAnswer Answer(const PeerQuestion &inQuestion);
 	/// Prepares a planned hand-over: no new orders to hosts.
-	void Retire() { this->retiring = true; }
+	void BeginHandOver() { this->retiring = true; }
 	/// Whether a successor may start immediately: no append and no order to a host is in flight.
 	bool IsReadyToHandOver() const { return !this->log.IsBusy() && !this->HasOrdersInFlight(); }
 	/// Whether an order to a host may still be carried out.
@@ -75,7 +75,7 @@
 	std::map<std::string, std::map<std::string, Millis>> departed; ///< Workers whose hosts were moved or taken down, and when, by pool.
 	uint32 host_orders_in_flight = 0;
 	Millis last_unknown_at = std::numeric_limits<Millis>::min() / 2; ///< When an order last ended without an answer.
-	bool retiring = false;                                           ///< Set by Retire.
+	bool retiring = false;                                           ///< Set by BeginHandOver.
 	bool listing = false;
 	Millis listed_at = 0;
 	Timer tick;
--- a/Loomreach/Entry/FleetDriver.inl
+++ b/Loomreach/Entry/FleetDriver.inl
@@ -43,7 +43,7 @@
 		[this](const ClaimRecord &inSeen)
 		{
 			const Millis now = NowMillis();
-			if (inSeen.epoch != 0 && inSeen.by.life != this->context.process.life)
+			if (inSeen.epoch != 0 && inSeen.by.incarnation != this->context.process.incarnation)
 				this->context.owners.OnClaimSeen(cFleetCell, inSeen, now);
 			return this->context.lease.MayAct(now) && this->context.owners.IsFree(cFleetCell, now);
 		},
@@ -82,7 +82,7 @@
 		if (pool.spare)
 			spare.insert(name);
 		else
-			cells.insert(CellOf(name, static_cast<uint32>(this->context.config.log_parts)));
+			cells.insert(CellOf(name, static_cast<uint32>(this->context.config.log_partitions)));
 	}
 	this->planner.SetSpare(std::move(spare));
 	if (!this->shares.has_value())
@@ -148,18 +148,18 @@
 template <class Hub>
 void FleetDriver<Hub>::RequestDrains(Millis inNow)
 {
-	this->planner.SetPoolsInDeficit(this->balancer.Tight(inNow));
+	this->planner.SetPoolsInDeficit(this->balancer.PoolsInDeficit(inNow));
 	this->planner.SetMoving(this->balancer.Moving());
 	std::vector<HostEntry> hosts = this->planner.HostsToDrain(inNow);
 	// A move with an unknown outcome may still be carried out, so its worker must stay drained until then
-	for (HostEntry &host : this->balancer.InDoubt())
+	for (HostEntry &host : this->balancer.UncertainMoves())
 		hosts.push_back(std::move(host));
 	for (const HostEntry &host : hosts)
 	{
 		if (!this->awaiting_drain.insert(host.name).second)
 			continue;
 		PeerQuestion question;
-		question.kind = EQuestion::Empty;
+		question.kind = EQuestion::Drain;
 		question.id = host.worker;
 		question.for_ms = cDrainGrantMs;
 		this->ask(host.pool, question,
@@ -167,7 +167,7 @@
 					  [this, name = host.name, asked_at = inNow](const std::optional<PeerAnswer> &inAnswer)
 					  {
 						  this->awaiting_drain.erase(name);
-						  if (inAnswer.has_value() && inAnswer->owner && inAnswer->empty)
+						  if (inAnswer.has_value() && inAnswer->owner && inAnswer->drained)
 							  this->planner.OnDrained(name, asked_at, NowMillis());
 					  }));
 	}
@@ -188,7 +188,7 @@
 		question.id = pool;
 		question.count = std::min(spare, cMaxSparedWorkers);
 		question.for_ms = cDrainGrantMs;
-		question.left = this->RecentlyDeparted(pool, inNow);
+		question.departed = this->RecentlyDeparted(pool, inNow);
 		this->ask(pool, question,
 				  this->Guard(
 					  [this, name = pool, asked_at = inNow](const std::optional<PeerAnswer> &inAnswer)
@@ -217,7 +217,7 @@
 {
 	const auto report = [this, host_order = inHostOrder](EHostOrderResult inResult)
 	{
-		this->context.metrics.Count(ECounter::Duties, NameOf(cHostOrderResultNames, inResult));
+		this->context.metrics.Count(ECounter::HostOrders, NameOf(cHostOrderResultNames, inResult));
 		if (inResult == EHostOrderResult::Done && !host_order.worker.empty())
 			this->departed[host_order.from][host_order.worker] = NowMillis();
 		if (host_order.kind == EHostOrder::Move)
--- a/Loomreach/Entry/HelperSearch.cpp
+++ b/Loomreach/Entry/HelperSearch.cpp
@@ -7,13 +7,13 @@
 namespace Loomreach::Jobs
 {
 
-std::vector<Address> HelperSearch::ToAsk(const std::vector<Address> &inHosts, Millis inNow)
+std::vector<Address> HelperSearch::HostsToAsk(const std::vector<Address> &inHosts, Millis inNow)
 {
 	if (inHosts.empty() || inNow - this->asked_at < cAskIntervalMs)
 		return {};
 	this->asked_at = inNow;
 	// Hosts that recently reached the store are asked in every round
-	std::vector<Address> to_ask = this->Known(inNow);
+	std::vector<Address> to_ask = this->Reaching(inNow);
 	to_ask.resize(std::min(to_ask.size(), cAskPerRound));
 	for (size_t i = 0; i < std::min(cAskPerRound, inHosts.size()); ++i)
 	{
@@ -32,7 +32,7 @@
 		this->reached.erase(inHost);
 }
 
-std::vector<Address> HelperSearch::Known(Millis inNow) const
+std::vector<Address> HelperSearch::Reaching(Millis inNow) const
 {
 	std::vector<std::pair<Millis, Address>> by_age;
 	for (const auto &[host, at] : this->reached)
--- a/Loomreach/Entry/HelperSearch.h
+++ b/Loomreach/Entry/HelperSearch.h
@@ -14,11 +14,11 @@
 {
 public:
 	/// Selects the hosts to ask now whether they reach the store: a few at a time, in rotation.
-	std::vector<Address> ToAsk(const std::vector<Address> &inHosts, Millis inNow);
+	std::vector<Address> HostsToAsk(const std::vector<Address> &inHosts, Millis inNow);
 	/// Handles a host's answer.
 	void OnAnswer(const Address &inHost, bool inReachesStore, Millis inNow);
 	/// Hosts that recently confirmed that they reach the store, the most recent first.
-	std::vector<Address> Known(Millis inNow) const;
+	std::vector<Address> Reaching(Millis inNow) const;
 
 private:
 	static constexpr Millis cAskIntervalMs = 200; ///< A question and its answer are two datagrams.
--- a/Loomreach/Entry/InboxWriter.h
+++ b/Loomreach/Entry/InboxWriter.h
@@ -24,7 +24,7 @@
 	InboxWriter(Store &inStore, LogName inInbox) : store(inStore), inbox(std::move(inInbox)) {}
 
 	/// Appends a record, or gives up `inTimeoutMs` from now.
-	void Enter(std::string inRecord, Millis inTimeoutMs, OnOutcome inDone);
+	void Append(std::string inRecord, Millis inTimeoutMs, OnOutcome inDone);
 
 	/// Whether recent calls were slow. One host that appends for all hosts is then faster than all of them one by one.
 	bool IsSlow() const { return this->latency_ms > cSlowLatencyMs && NowMillis() - this->answered_at < cSlowExpiryMs; }
--- a/Loomreach/Entry/InboxWriter.inl
+++ b/Loomreach/Entry/InboxWriter.inl
@@ -4,7 +4,7 @@
 {
 
 template <class Store>
-void InboxWriter<Store>::Enter(std::string inRecord, Millis inTimeoutMs, OnOutcome inDone)
+void InboxWriter<Store>::Append(std::string inRecord, Millis inTimeoutMs, OnOutcome inDone)
 {
 	this->waiting.push_back({std::move(inRecord), NowMillis() + inTimeoutMs, std::move(inDone)});
 	this->Flush();
--- a/Loomreach/Entry/JobHost.h
+++ b/Loomreach/Entry/JobHost.h
@@ -55,7 +55,7 @@
 		JobReply reply;
 	};
 
-	uint32 PartitionCount() const { return static_cast<uint32>(this->config.log_parts); }
+	uint32 PartitionCount() const { return static_cast<uint32>(this->config.log_partitions); }
 	// The operator's records and the workers' entries
 	void LoadOperator();
 	/// Delay between two reads of the operator's records; 0: long polls follow each other without a delay.
@@ -140,7 +140,7 @@
 	/// answer lists are submitted to the inbox.
 	void SubmitLateEnds(uint32 inCell, uint64 inEpoch, const std::string &inWorker, const std::vector<EndedRun> &inEnded);
 	/// Whether run ends may still have to be submitted: a poll or a submission is in flight.
-	bool HasEndsToSubmit() const { return this->polls_in_flight > 0 || this->ends_submitter.UnderWay() > 0; }
+	bool HasEndsToSubmit() const { return this->polls_in_flight > 0 || this->ends_submitter.InFlight() > 0; }
 	// Callers
 	void AppendToInbox(std::shared_ptr<PendingRequest> inRequest);
 	void OnAppendAnswer(const std::shared_ptr<PendingRequest> &inRequest, const AppendAnswer &inAnswer, Millis inSentAt);
--- a/Loomreach/Entry/JobHost.inl
+++ b/Loomreach/Entry/JobHost.inl
@@ -84,8 +84,8 @@
 	LeaseTuning tuning;
 	tuning.lease_ms = inConfig.owner_lease_ms;
 	tuning.slack_ms = inConfig.owner_slack_ms;
-	tuning.beat_ms = inConfig.owner_short_lease_ms / cHeartbeatsPerLease;
-	tuning.first_claim_ms = cFirstClaimDelayMs;
+	tuning.heartbeat_interval_ms = inConfig.owner_short_lease_ms / cHeartbeatsPerLease;
+	tuning.first_claim_delay_ms = cFirstClaimDelayMs;
 	return tuning;
 }
 
@@ -152,8 +152,8 @@
 	}
 	if (this->Owned() > 0 && !this->lease.MayAct(now))
 		this->AbandonCells("ownership lease expired");
-	const bool others_reach_store = !this->helper_search.Known(now).empty();
-	if (this->store_isolation.Note(this->store_watch.IsSilent(now), others_reach_store, now) && this->Owned() > 0)
+	const bool others_reach_store = !this->helper_search.Reaching(now).empty();
+	if (this->store_isolation.Update(this->store_watch.IsUnresponsive(now), others_reach_store, now) && this->Owned() > 0)
 		this->AbandonCells("the store answers other hosts but not this host");
 	// Hosts without cells send heartbeats too: a host that is known to be alive may take over immediately
 	const Millis heartbeat_delay_percent = this->Owned() > 0 ? cPercent : this->heartbeat_delay_percent;
@@ -210,13 +210,13 @@
 {
 	if (!this->store_watch.IsLate(inNow))
 		return;
-	for (const Address &host : this->helper_search.ToAsk(this->owners.Helpers(cFleetCell), inNow))
+	for (const Address &host : this->helper_search.HostsToAsk(this->owners.Helpers(cFleetCell), inNow))
 	{
 		PeerQuestion question;
-		question.kind = EQuestion::Reach;
+		question.kind = EQuestion::StoreReach;
 		this->peers.Ask(host, std::move(question), cReachTimeoutMs,
 						[this, host](const std::optional<PeerAnswer> &inAnswer)
-						{ this->helper_search.OnAnswer(host, inAnswer.has_value() && inAnswer->reaches, NowMillis()); });
+						{ this->helper_search.OnAnswer(host, inAnswer.has_value() && inAnswer->reaches_store, NowMillis()); });
 	}
 }
 
@@ -225,7 +225,7 @@
 template <class Hub>
 void JobHost<Hub>::Stop(std::function<void()> inDone)
 {
-	LogEvent(ELogLevel::Info, "stopping").Field("cells", this->Owned()).Field("under_way", this->caller_listener.UnderWay());
+	LogEvent(ELogLevel::Info, "stopping").Field("cells", this->Owned()).Field("under_way", this->caller_listener.InFlight());
 	this->on_stopped = std::move(inDone);
 	this->stopping = true;
 	this->stop_at = NowMillis();
@@ -236,12 +236,12 @@
 {
 	const Millis since = NowMillis() - this->stop_at;
 	if (this->fleet_driver != nullptr)
-		this->fleet_driver->Retire();
+		this->fleet_driver->BeginHandOver();
 	bool quiet = this->fleet_driver == nullptr || this->fleet_driver->IsReadyToHandOver();
 	for (const auto &[cell, driver] : this->drivers)
 	{
 		// A cell may have been claimed after the stop began
-		driver->Retire();
+		driver->BeginHandOver();
 		quiet = quiet && driver->IsReadyToHandOver();
 	}
 	// A heartbeat without cells releases them immediately: successors need not wait for the lease to expire
@@ -251,7 +251,7 @@
 		this->SendHeartbeat(true);
 	}
 	const bool ends_pending = this->HasEndsToSubmit() && since < cStopSubmitEndsMs;
-	if (since < cStopServeMs || ends_pending || this->caller_listener.UnderWay() > 0 || this->on_stopped == nullptr)
+	if (since < cStopServeMs || ends_pending || this->caller_listener.InFlight() > 0 || this->on_stopped == nullptr)
 		return;
 	LogEvent(ELogLevel::Info, "stopped").Field("after_ms", since);
 	const std::function<void()> done = std::exchange(this->on_stopped, nullptr);
--- a/Loomreach/Entry/JobHostCallers.inl
+++ b/Loomreach/Entry/JobHostCallers.inl
@@ -95,15 +95,15 @@
 	const Millis sent_at = NowMillis();
 	// The outcome of an append to an unresponsive store would be unknown. Another host may reach the store; if none does, the caller is
 	// refused immediately
-	if (this->store_watch.IsSilent(sent_at))
+	if (this->store_watch.IsUnresponsive(sent_at))
 		return this->AppendByHelper(inRequest, 0);
 	this->store_watch.OnSent(sent_at);
 	const Millis time_left = std::clamp<Millis>(inRequest->give_up_at - sent_at, cMinAppendTimeoutMs, cMaxAppendTimeoutMs);
 	InboxWriter<decltype(Hub::store)> &writer = this->WriterOf(inRequest->cell);
 	std::string record = EncodeValue(inRequest->record);
-	writer.Enter(std::move(record), time_left,
-				 [this, request = std::move(inRequest), sent_at](const AppendAnswer &inAnswer)
-				 { this->OnAppendAnswer(request, inAnswer, sent_at); });
+	writer.Append(std::move(record), time_left,
+				  [this, request = std::move(inRequest), sent_at](const AppendAnswer &inAnswer)
+				  { this->OnAppendAnswer(request, inAnswer, sent_at); });
 }
 
 template <class Hub>
@@ -149,7 +149,7 @@
 std::vector<Address> JobHost<Hub>::HelpersFor(uint32 inCell) const
 {
 	const Millis now = NowMillis();
-	return this->store_watch.IsSilent(now) ? this->helper_search.Known(now) : this->owners.Helpers(inCell);
+	return this->store_watch.IsUnresponsive(now) ? this->helper_search.Reaching(now) : this->owners.Helpers(inCell);
 }
 
 template <class Hub>
@@ -163,7 +163,7 @@
 		return this->RetryOrRefuse(inRequest);
 	// The store may be unreachable for this host alone
 	PeerQuestion question;
-	question.kind = EQuestion::Enter;
+	question.kind = EQuestion::AppendInbox;
 	question.cell = inRequest->cell;
 	question.record = EncodeValue(inRequest->record);
 	question.version = this->catalogue->version;
@@ -172,10 +172,9 @@
 	this->peers.Ask(helpers[inHelper], std::move(question), std::min(left, wait_ms),
 					[this, inRequest, inHelper](const std::optional<PeerAnswer> &inAnswer)
 					{
-						const bool entered = inAnswer.has_value() && inAnswer->entered;
+						const bool entered = inAnswer.has_value() && inAnswer->appended;
 						inRequest->owner_unresponsive = inRequest->owner_unresponsive || (inHelper == 0 && !inAnswer.has_value());
-						inRequest->maybe_appended =
-							inRequest->maybe_appended || !inAnswer.has_value() || (!entered && !inAnswer->not_entered);
+						inRequest->maybe_appended = inRequest->maybe_appended || !inAnswer.has_value() || (!entered && !inAnswer->not_done);
 						const EError refusal = inAnswer.has_value() ? inAnswer->refusal : EError::None;
 						if (refusal != EError::None && !inRequest->maybe_appended)
 							return this->RefuseByNewerConfig(inRequest, refusal);
@@ -196,7 +195,7 @@
 	const bool is_cancel = inRequest->record.kind == EInbox::Cancel;
 	const Millis now = NowMillis();
 	// No host is known that reaches the store: the caller finds another way sooner than this host does
-	const bool store_unreachable = this->store_watch.IsSilent(now) && this->helper_search.Known(now).empty();
+	const bool store_unreachable = this->store_watch.IsUnresponsive(now) && this->helper_search.Reaching(now).empty();
 	// A record that may have been appended is appended again: its id keeps it one job, and only a confirmed append settles the outcome
 	const bool time_left = now + cSubmissionRetryMs < inRequest->give_up_at;
 	if ((inRequest->maybe_appended || is_cancel) && time_left && !store_unreachable)
@@ -204,14 +203,14 @@
 		return After(cSubmissionRetryMs, [this, inRequest] { this->AppendToInbox(inRequest); });
 	}
 	JobOutcome outcome;
-	outcome.error = inRequest->maybe_appended ? EError::VerdictLost : EError::PlatformDown;
+	outcome.error = inRequest->maybe_appended ? EError::OutcomeLost : EError::PlatformDown;
 	LogEvent(ELogLevel::Warning, "job_not_accepted")
 		.Field("request", inRequest->record.spec.id)
 		.Field("queue", inRequest->record.spec.queue)
 		.Field("outcome", AnswerOf(outcome.error).name)
 		.Field("store_heard_ms_ago", now - this->store_answered_at)
-		.Field("store_silent", this->store_watch.IsSilent(now) ? 1 : 0)
-		.Field("helpers", this->helper_search.Known(now).size());
+		.Field("store_silent", this->store_watch.IsUnresponsive(now) ? 1 : 0)
+		.Field("helpers", this->helper_search.Reaching(now).size());
 	this->Answer(inRequest->reply, outcome);
 }
 
@@ -244,27 +243,27 @@
 {
 	if (inQuestion.kind == EQuestion::Forward)
 		return this->orders.SendFor(inQuestion, this->incarnation, std::move(inReply));
-	if (inQuestion.kind != EQuestion::Enter)
+	if (inQuestion.kind != EQuestion::AppendInbox)
 		return inReply(this->AnswerPeer(inQuestion));
 	// Appends only records that can be decoded and that the newest configuration known here allows, and only while the store answers
 	const std::optional<InboxRecord> record = DecodeValue<InboxRecord>(inQuestion.record);
 	const EError refusal = record.has_value() ? this->RefusalOf(*record, inQuestion) : EError::Corrupt;
-	if (refusal != EError::None || this->store_watch.IsSilent(NowMillis()))
+	if (refusal != EError::None || this->store_watch.IsUnresponsive(NowMillis()))
 	{
 		PeerAnswer answer;
-		answer.not_entered = true;
+		answer.not_done = true;
 		answer.refusal = record.has_value() ? refusal : EError::None;
 		return inReply(answer);
 	}
 	this->WriterOf(inQuestion.cell)
-		.Enter(inQuestion.record, std::clamp(inQuestion.for_ms, cMinAppendTimeoutMs, cSlowHelperTimeoutMs),
-			   [reply = std::move(inReply)](const AppendAnswer &inAnswer)
-			   {
-				   PeerAnswer answer;
-				   answer.entered = inAnswer.result == EAppend::Done;
-				   answer.not_entered = inAnswer.result == EAppend::Refused;
-				   reply(answer);
-			   });
+		.Append(inQuestion.record, std::clamp(inQuestion.for_ms, cMinAppendTimeoutMs, cSlowHelperTimeoutMs),
+				[reply = std::move(inReply)](const AppendAnswer &inAnswer)
+				{
+					PeerAnswer answer;
+					answer.appended = inAnswer.result == EAppend::Done;
+					answer.not_done = inAnswer.result == EAppend::Refused;
+					reply(answer);
+				});
 }
 
 template <class Hub>
@@ -299,7 +298,7 @@
 		answer = driver->second->Answer(inQuestion);
 	if (inQuestion.cell == cFleetCell && this->fleet_driver != nullptr)
 		answer = this->fleet_driver->Answer(inQuestion);
-	answer.reaches = !this->stopping && !this->store_watch.IsSilent(NowMillis());
+	answer.reaches_store = !this->stopping && !this->store_watch.IsUnresponsive(NowMillis());
 	if (inQuestion.kind == EQuestion::Owners && this->IsWellInformed(NowMillis()))
 		answer.record = EncodeValue(this->owners.OwnerHeartbeats(NowMillis()));
 	const std::optional<CellOwner> owner = this->owners.OwnerOf(inQuestion.cell, NowMillis());
@@ -322,7 +321,7 @@
 				  {
 					  JobOutcome outcome;
 					  // Only an owner that has read its whole inbox can tell that a job does not exist
-					  if (!inAnswer.has_value() || !inAnswer->owner || (!inAnswer->known && !inAnswer->sure))
+					  if (!inAnswer.has_value() || !inAnswer->owner || (!inAnswer->known && !inAnswer->inbox_current))
 						  outcome.error = EError::NotReady;
 					  else if (!inAnswer->known)
 						  outcome.error = EError::JobGone;
@@ -359,7 +358,7 @@
 template <class Hub>
 bool JobHost<Hub>::IsReady()
 {
-	return this->catalogue != nullptr && !this->stopping && !this->store_watch.IsSilent(NowMillis());
+	return this->catalogue != nullptr && !this->stopping && !this->store_watch.IsUnresponsive(NowMillis());
 }
 
 template <class Hub>
--- a/Loomreach/Entry/JobHostFeeds.inl
+++ b/Loomreach/Entry/JobHostFeeds.inl
@@ -28,7 +28,7 @@
 	// Owners base their decisions on these records, and there are few of them
 	if (this->Owned() > 0)
 		return 0;
-	const Millis spread = this->budget.Spread(this->owners.LiveHostCount(inNow), this->catalogue_bytes);
+	const Millis spread = this->budget.SpreadTime(this->owners.LiveHostCount(inNow), this->catalogue_bytes);
 	// Reading more often than a long poll returns would cost more calls than it saves
 	return spread < cOperatorReadWaitMs ? 0 : std::min(spread, cMaxOperatorReadDelayMs);
 }
@@ -110,7 +110,7 @@
 		LogEvent(ELogLevel::Error, "zone_order_refused").Field("offset", inRecord.offset).Field("why", LastReasonText());
 		return;
 	}
-	if (!this->evacuations.Note(*order, inRecord.offset))
+	if (!this->evacuations.Apply(*order, inRecord.offset))
 		return;
 	LogEvent(ELogLevel::Info, order->evacuate ? "zone_evacuated" : "zone_taken_back")
 		.Field("zone", order->availability_zone)
@@ -127,7 +127,7 @@
 		if (Hub::IsZoneOrderKey(record.key))
 			if (const std::optional<ZoneOrder> order = Hub::DecodeZoneOrder(record.key, record.value))
 				named.insert(order->availability_zone);
-	if (!this->evacuations.Keep(named, inAnswer.end))
+	if (!this->evacuations.RetainNamed(named, inAnswer.end))
 		return;
 	LogEvent(ELogLevel::Info, "zone_taken_back").Field("evacuated", this->evacuations.Zones().size()).Field("offset", inAnswer.end);
 	this->UpdateZones();
@@ -207,7 +207,7 @@
 	std::optional<WorkerEntry> entry = Hub::DecodeWorker(inRecord.key, inRecord.value);
 	// Entries of two incarnations may be written in any order
 	auto known = this->workers.find(inRecord.key);
-	if (entry.has_value() && known != this->workers.end() && IsStartedAfter(known->second.born_ms, entry->born_ms))
+	if (entry.has_value() && known != this->workers.end() && IsStartedAfter(known->second.started_ms, entry->started_ms))
 		return;
 	if (entry.has_value())
 	{
--- a/Loomreach/Entry/JobHostOwnership.inl
+++ b/Loomreach/Entry/JobHostOwnership.inl
@@ -218,7 +218,7 @@
 	const auto send = [this, inCell](const Order &inOrder, std::function<void(const OrderAnswer &)> inDone)
 	{
 		// Only answers to polls list run ends
-		if (inOrder.kind != EOrder::Hold)
+		if (inOrder.kind != EOrder::Poll)
 			return this->orders.Send(inOrder, std::move(inDone));
 		++this->polls_in_flight;
 		this->orders.Send(
@@ -233,7 +233,7 @@
 	const auto ask_fleet = [this](PeerQuestion inQuestion, PeerQuery::OnAnswer inDone)
 	{ this->AskCell(cFleetCell, std::move(inQuestion), cAskSharesTimeoutMs, std::move(inDone)); };
 	const auto replicate_ends = [this](const RunEndsUpdate &inUpdate)
-	{ this->peers.Tell(this->owners.ReplicaHosts(NowMillis()), EPeerMessage::Ends, EncodeValue(inUpdate)); };
+	{ this->peers.Notify(this->owners.ReplicaHosts(NowMillis()), EPeerMessage::Ends, EncodeValue(inUpdate)); };
 	return {this->config, this->metrics, this->lease,   this->owners, {this->config.name, this->incarnation, this->start},
 			send,         ask_fleet,     replicate_ends};
 }
@@ -248,7 +248,7 @@
 	// The answer came after the lease was over, because the process was paused or the cell was handed over. If the worker is shutting down,
 	// nobody else will receive these ends
 	if (!received)
-		this->ends_submitter.HandIn(inCell, {inWorker, inEpoch, inEnded});
+		this->ends_submitter.Submit(inCell, {inWorker, inEpoch, inEnded});
 }
 
 template <class Hub>
@@ -276,7 +276,7 @@
 			.Field("count", orphan.report.ended.size())
 			.Field("cell", orphan.cell)
 			.Field("epoch", orphan.report.epoch);
-		this->ends_submitter.HandIn(orphan.cell, std::move(orphan.report));
+		this->ends_submitter.Submit(orphan.cell, std::move(orphan.report));
 	}
 }
 
@@ -287,7 +287,7 @@
 	if (driver == this->drivers.end())
 		return;
 	for (EndReport &report : driver->second->UnloggedEnds())
-		this->ends_submitter.HandIn(inCell, std::move(report));
+		this->ends_submitter.Submit(inCell, std::move(report));
 	this->drivers.erase(driver);
 }
 
@@ -346,7 +346,7 @@
 Millis JobHost<Hub>::HeartbeatInterval(Millis inNow) const
 {
 	if (this->Owned() > 0)
-		return this->lease_tuning.beat_ms;
+		return this->lease_tuning.heartbeat_interval_ms;
 	// A slow store handles appends one by one: owners' heartbeats would wait behind those of hosts without cells
 	const bool slow = this->heartbeat_latency_ms > cSlowStoreMs;
 	return this->owners.IdleInterval(inNow) * (slow ? cIdleSlowFactor : 1);
@@ -373,7 +373,7 @@
 {
 	HostHeartbeat heartbeat;
 	heartbeat.host = this->config.name;
-	heartbeat.life = this->incarnation;
+	heartbeat.incarnation = this->incarnation;
 	heartbeat.start = this->start;
 	heartbeat.number = ++this->heartbeat_number;
 	heartbeat.address = this->config.peers;
@@ -381,7 +381,7 @@
 	heartbeat.claims = !this->stopping;
 	heartbeat.short_of_processor_time = this->IsCpuStarved(inNow);
 	heartbeat.availability_zone = this->config.availability_zone;
-	heartbeat.every_ms = this->HeartbeatInterval(inNow);
+	heartbeat.interval_ms = this->HeartbeatInterval(inNow);
 	heartbeat.lease_ms = this->HeartbeatLease(inNow);
 	// Also during a planned stop: a cell that the heartbeat does not list counts as released, and other hosts claim it
 	for (const auto &[cell, driver] : this->drivers)
@@ -478,7 +478,7 @@
 			return;
 		this->handover_cell = this->drivers.begin()->first;
 		this->handover_since = inNow;
-		this->drivers.begin()->second->Retire();
+		this->drivers.begin()->second->BeginHandOver();
 		LogEvent(ELogLevel::Info, "cell_given_on").Field("cell", *this->handover_cell).Field("owned", this->Owned());
 		return;
 	}
@@ -501,8 +501,8 @@
 	// Nothing more is done under these claims, so successors need not wait for a lease counted from when they read of them
 	const HostHeartbeat heartbeat = MakeReleaseHeartbeat(this->NewHeartbeat(NowMillis()), inFleetCell, cOrderInFlightMs);
 	const std::string message = EncodeValue(heartbeat);
-	this->peers.Tell(this->owners.Others(), EPeerMessage::Beat, message);
-	After(cReleaseRepeatMs, [this, message] { this->peers.Tell(this->owners.Others(), EPeerMessage::Beat, message); });
+	this->peers.Notify(this->owners.Others(), EPeerMessage::Heartbeat, message);
+	After(cReleaseRepeatMs, [this, message] { this->peers.Notify(this->owners.Others(), EPeerMessage::Heartbeat, message); });
 }
 
 } // namespace Loomreach::Jobs
--- a/Loomreach/Entry/LogFollower.cpp
+++ b/Loomreach/Entry/LogFollower.cpp
@@ -176,8 +176,8 @@
 	}
 	if (applied == 0)
 		return;
-	this->metrics.Count(ECounter::RecordsFolded, inSource, applied);
-	this->metrics.Time(ETiming::Fold, NowMillisExact() - started);
+	this->metrics.Count(ECounter::RecordsApplied, inSource, applied);
+	this->metrics.Observe(ETiming::Apply, NowMillisExact() - started);
 	this->on_records_applied(outcomes);
 }
 
--- a/Loomreach/Entry/OperatorServer.cpp
+++ b/Loomreach/Entry/OperatorServer.cpp
@@ -183,7 +183,7 @@
 	Json members = Json::array();
 	for (const auto &[name, member] : this->follower.State().view.members)
 	{
-		const bool live = name == this->config.name || this->control.Tracker().IsHeard(member, now);
+		const bool live = name == this->config.name || this->control.Tracker().IsConsideredLive(member, now);
 		members.push_back({{"name", name}, {"availability_zone", member.availability_zone}, {"heard", live}});
 	}
 	body["members"] = std::move(members);
@@ -289,7 +289,8 @@
 		if (next > offset)
 			++reached;
 		else
-			behind.push_back({{"name", name}, {"heard", name == this->config.name || this->control.Tracker().IsHeard(member, now)}});
+			behind.push_back(
+				{{"name", name}, {"heard", name == this->config.name || this->control.Tracker().IsConsideredLive(member, now)}});
 	}
 	this->Reply(inCall.message, {{"reached", reached}, {"behind", std::move(behind)}});
 }
--- a/Loomreach/Entry/PeerLink.cpp
+++ b/Loomreach/Entry/PeerLink.cpp
@@ -196,7 +196,7 @@
 			return this->link->Reject();
 		auto writer = std::make_unique<FrameWriter>();
 		writer->stream = Share(g_io_stream_get_output_stream(G_IO_STREAM(this->connection.get())));
-		writer->bytes = this->link->codec.SealReply({frame->nonce, this->link->on_request(frame->ask)});
+		writer->bytes = this->link->codec.SealReply({frame->nonce, this->link->on_request(frame->request)});
 		writer->done = [self = this->shared_from_this()](bool)
 		{ g_io_stream_close(G_IO_STREAM(self->connection.get()), nullptr, nullptr); };
 		this->link->metrics.Count(ECounter::PeerBytes, "tcp-out", writer->bytes.size());
--- a/Loomreach/Entry/PeerQuery.cpp
+++ b/Loomreach/Entry/PeerQuery.cpp
@@ -92,7 +92,7 @@
 {
 	const std::string_view body = std::string_view(inBytes).substr(1);
 	if (inBytes[0] == cHeartbeatMark || inBytes[0] == cEndsMark)
-		return this->message_handler(inBytes[0] == cHeartbeatMark ? EPeerMessage::Beat : EPeerMessage::Ends, std::string(body));
+		return this->message_handler(inBytes[0] == cHeartbeatMark ? EPeerMessage::Heartbeat : EPeerMessage::Ends, std::string(body));
 	if (inBytes[0] == cAnswerMark)
 	{
 		const std::optional<PeerAnswer> answer = DecodeValue<PeerAnswer>(body);
@@ -102,7 +102,7 @@
 		// A late or duplicate answer
 		if (found == this->pending.end())
 			return;
-		if (answer->under_way)
+		if (answer->in_progress)
 		{
 			found->second.in_progress = true;
 			found->second.give_up_at = found->second.limit_at;
@@ -124,7 +124,7 @@
 		this->ReportInProgress(sender, question->nonce, to);
 	this->question_handler(*question,
 						   [this, to, sender, nonce = question->nonce,
-							changes = question->kind == EQuestion::Enter || question->kind == EQuestion::Forward,
+							changes = question->kind == EQuestion::AppendInbox || question->kind == EQuestion::Forward,
 							alive = std::weak_ptr<bool>(this->alive)](PeerAnswer inAnswer)
 						   {
 							   if (alive.expired())
@@ -149,7 +149,7 @@
 				  return;
 			  PeerAnswer answer;
 			  answer.nonce = nonce;
-			  answer.under_way = true;
+			  answer.in_progress = true;
 			  answer.clock_ms = NowMillis();
 			  this->SendTo(to.get(), cAnswerMark + EncodeValue(answer));
 		  });
@@ -199,9 +199,9 @@
 		this->resend_timer.Every(cResendMs / 2, [this] { this->ResendPending(); });
 }
 
-void PeerQuery::Tell(const std::vector<Address> &inTo, EPeerMessage inKind, const std::string &inMessage)
+void PeerQuery::Notify(const std::vector<Address> &inTo, EPeerMessage inKind, const std::string &inMessage)
 {
-	const std::string bytes = (inKind == EPeerMessage::Beat ? cHeartbeatMark : cEndsMark) + inMessage;
+	const std::string bytes = (inKind == EPeerMessage::Heartbeat ? cHeartbeatMark : cEndsMark) + inMessage;
 	for (const Address &to : inTo)
 		this->SendTo(ToSocketAddress(to).get(), bytes);
 }
--- a/Loomreach/Entry/PeerQuery.h
+++ b/Loomreach/Entry/PeerQuery.h
@@ -17,15 +17,15 @@
 /// Kinds of questions.
 enum class EQuestion : uint8
 {
-	Show,    ///< Phase of a job.
-	Count,   ///< Number of jobs of a queue that have not begun.
-	Empty,   ///< Drains a worker for maintenance; asks whether it is drained.
-	Demand,  ///< Demand of a pool, and workers that it can spare.
-	Enter,   ///< Appends a record to a cell's inbox for a host that does not reach the store or finds it slow.
-	Reach,   ///< Whether the asked host reaches the store; also asked to read its clock.
-	Shares,  ///< To the owner of the fleet cell: how much teams may have running in the asking cell.
-	Forward, ///< Sends an order to a worker for an owner that lacks processor time.
-	Owners   ///< Which hosts own cells, for a host that seldom reads their heartbeats.
+	Show,        ///< Phase of a job.
+	Count,       ///< Number of jobs of a queue that have not begun.
+	Drain,       ///< Drains a worker for maintenance; asks whether it is drained.
+	Demand,      ///< Demand of a pool, and workers that it can spare.
+	AppendInbox, ///< Appends a record to a cell's inbox for a host that does not reach the store or finds it slow.
+	StoreReach,  ///< Whether the asked host reaches the store; also asked to read its clock.
+	Shares,      ///< To the owner of the fleet cell: how much teams may have running in the asking cell.
+	Forward,     ///< Sends an order to a worker for an owner that lacks processor time.
+	Owners       ///< Which hosts own cells, for a host that seldom reads their heartbeats.
 };
 
 /// A question. Fields that its kind does not use are empty.
@@ -42,16 +42,16 @@
 	int64 for_ms = 0;    ///< Empty, Demand: how long workers must stay drained. Enter: time left for the append.
 	uint32 count = 0;    ///< Demand: number of workers that should be spared.
 	/// Demand: workers whose hosts have just been moved or taken down, although the worker list still shows them.
-	std::vector<std::string> left;
-	std::string record;   ///< Enter: the encoded record. Forward: the encoded order.
-	uint64 life = 0;      ///< Forward: incarnation of the process that is asked.
-	ShareQuestion shares; ///< Only for Shares.
+	std::vector<std::string> departed;
+	std::string record;     ///< Enter: the encoded record. Forward: the encoded order.
+	uint64 incarnation = 0; ///< Forward: incarnation of the process that is asked.
+	ShareQuestion shares;   ///< Only for Shares.
 
 	template <class Archive>
 	void serialize(Archive &ioArchive)
 	{
 		ioArchive(this->nonce, this->kind, this->cell, this->queue, this->id, this->team, this->version, this->key_hash, this->for_ms,
-				  this->count, this->left, this->record, this->life, this->shares);
+				  this->count, this->departed, this->record, this->incarnation, this->shares);
 	}
 };
 
@@ -59,39 +59,39 @@
 struct PeerAnswer
 {
 	uint64 nonce = 0;
-	bool owner = false;       ///< Whether the answering host owns the cell.
-	Address owner_address;    ///< Any host: the cell's owner as the answering host knows it; port 0: none.
-	bool entered = false;     ///< Any host: the record is in the inbox.
-	bool not_entered = false; ///< Any host: the record is certainly not in the inbox. Forward: the order was certainly not sent.
-	bool reaches = false;     ///< Any host: the answering host reaches the store.
-	bool under_way = false;   ///< Any host: the question is being handled, and its answer will follow.
-	int64 clock_ms = 0;       ///< Any host: steady clock of the answering host.
+	bool owner = false;         ///< Whether the answering host owns the cell.
+	Address owner_address;      ///< Any host: the cell's owner as the answering host knows it; port 0: none.
+	bool appended = false;      ///< Any host: the record is in the inbox.
+	bool not_done = false;      ///< Any host: the record is certainly not in the inbox. Forward: the order was certainly not sent.
+	bool reaches_store = false; ///< Any host: the answering host reaches the store.
+	bool in_progress = false;   ///< Any host: the question is being handled, and its answer will follow.
+	int64 clock_ms = 0;         ///< Any host: steady clock of the answering host.
 	/// Any host. Forward: the worker's encoded answer. Owners: the encoded heartbeats of hosts that own cells. Empty: not available here.
 	std::string record;
-	bool sure = false;             ///< Whether the owner has recently read its inbox to the end.
+	bool inbox_current = false;    ///< Whether the owner has recently read its inbox to the end.
 	EError refusal = EError::None; ///< Any host. Enter: why a newer configuration does not allow the record.
 	bool known = false;            ///< Show: the owner knows the job.
 	bool other_team = false;       ///< Show: the job belongs to another team.
 	EJobPhase phase = EJobPhase::Queued;
-	uint32 waiting = 0; ///< Count: jobs that have not begun.
-	bool empty = false; ///< Empty: the worker is drained and will stay so for the time asked.
+	uint32 waiting = 0;   ///< Count: jobs that have not begun.
+	bool drained = false; ///< Empty: the worker is drained and will stay so for the time asked.
 	PoolDemand demand;
 	ShareAnswer shares;
 
 	template <class Archive>
 	void serialize(Archive &ioArchive)
 	{
-		ioArchive(this->nonce, this->owner, this->owner_address, this->entered, this->not_entered, this->reaches, this->under_way,
-				  this->clock_ms, this->record, this->sure, this->refusal, this->known, this->other_team, this->phase, this->waiting,
-				  this->empty, this->demand, this->shares);
+		ioArchive(this->nonce, this->owner, this->owner_address, this->appended, this->not_done, this->reaches_store, this->in_progress,
+				  this->clock_ms, this->record, this->inbox_current, this->refusal, this->known, this->other_team, this->phase,
+				  this->waiting, this->drained, this->demand, this->shares);
 	}
 };
 
 /// Messages that hosts send without being asked.
 enum class EPeerMessage : uint8
 {
-	Beat, ///< A heartbeat (HostHeartbeat).
-	Ends  ///< Run ends for replication (RunEndsUpdate).
+	Heartbeat, ///< A heartbeat (HostHeartbeat).
+	Ends       ///< Run ends for replication (RunEndsUpdate).
 };
 
 /// Asks questions and answers those of other hosts.
@@ -116,7 +116,7 @@
 	/// above 0: gives up after this if the other host has not reported that it is handling the question.
 	void Ask(const Address &inTo, PeerQuestion inQuestion, Millis inTimeoutMs, OnAnswer inDone, Millis inInProgressMs = 0);
 	/// Sends a message to other hosts, once each.
-	void Tell(const std::vector<Address> &inTo, EPeerMessage inKind, const std::string &inMessage);
+	void Notify(const std::vector<Address> &inTo, EPeerMessage inKind, const std::string &inMessage);
 
 private:
 	/// A question without an answer yet.
--- a/Loomreach/Entry/Proposer.cpp
+++ b/Loomreach/Entry/Proposer.cpp
@@ -69,10 +69,10 @@
 	auto progress = inState.proposers.find(this->incarnation);
 	if (progress == inState.proposers.end())
 		return;
-	for (const DroppedTicket &unresolved : this->queue.OnAdopted(progress->second.sequence))
+	for (const DroppedTicket &unresolved : this->queue.OnStateLoaded(progress->second.sequence))
 		this->Complete(
 			unresolved.ticket,
-			{{}, unresolved.kind, 0, EError::VerdictLost, "the state was taken over from a snapshot before the outcome was read"});
+			{{}, unresolved.kind, 0, EError::OutcomeLost, "the state was taken over from a snapshot before the outcome was read"});
 }
 
 void Proposer::OnOutcomes(const std::vector<ProposalOutcome> &inOutcomes)
@@ -81,7 +81,7 @@
 	{
 		if (outcome.id.incarnation != this->incarnation || outcome.kind == EProposal::Count)
 			continue;
-		const std::optional<Ticket> ticket = this->queue.OnSeen(outcome.id.sequence);
+		const std::optional<Ticket> ticket = this->queue.OnReadBack(outcome.id.sequence);
 		// Already seen: the batch was appended again because the answer to its first append was lost
 		if (!ticket.has_value())
 			continue;
--- a/Loomreach/Entry/Proposer.h
+++ b/Loomreach/Entry/Proposer.h
@@ -31,7 +31,7 @@
 	/// Sets this process's share of the append rate, appends per second.
 	void SetRate(double inPerSecond) { this->queue.SetRate(inPerSecond); }
 	/// Whether the outcomes of all proposals have been read, so that the state shows what they changed.
-	bool IsIdle() const { return this->queue.Waiting() == 0 && this->queue.Unseen() == 0; }
+	bool IsIdle() const { return this->queue.QueuedCount() == 0 && this->queue.UnconfirmedCount() == 0; }
 	const AppendQueue &Queue() const { return this->queue; }
 
 private:
--- a/Loomreach/Entry/Relay.cpp
+++ b/Loomreach/Entry/Relay.cpp
@@ -306,7 +306,7 @@
 void Relay::StartAttempt(const std::shared_ptr<Exchange> &inExchange, const Decision &inDecision)
 {
 	if (inDecision.attempt == 1)
-		this->metrics.Time(ETiming::Queue, NowMillisExact() - inExchange->arrived_exact);
+		this->metrics.Observe(ETiming::Queue, NowMillisExact() - inExchange->arrived_exact);
 	auto attempt = std::make_shared<Attempt>();
 	attempt->relay = this;
 	attempt->exchange = inExchange;
@@ -354,7 +354,7 @@
 	if (found == this->exchanges.end())
 		return;
 	this->metrics.Count(ECounter::Requests, found->second->IsCallerDisconnected() ? "abandoned" : "answered");
-	this->metrics.Time(ETiming::Request, NowMillisExact() - found->second->arrived_exact);
+	this->metrics.Observe(ETiming::Request, NowMillisExact() - found->second->arrived_exact);
 	const std::shared_ptr<Exchange> exchange = std::move(found->second);
 	this->exchanges.erase(found);
 	if (exchange->IsCallerDisconnected())
--- a/Loomreach/Entry/StateReport.cpp
+++ b/Loomreach/Entry/StateReport.cpp
@@ -45,10 +45,10 @@
 						{"available", hosts.available},
 						{"required", inState.RequiredAvailable(path)},
 						{"capacity_cpu_milli", buffer.capacity},
-						{"services_cpu_milli", buffer.firm},
-						{"batch_cpu_milli", buffer.soft},
+						{"services_cpu_milli", buffer.service_cpu},
+						{"batch_cpu_milli", buffer.batch_cpu},
 						{"spare_cpu_milli", buffer.Spare()},
-						{"buffer_cpu_milli", buffer.wanted},
+						{"buffer_cpu_milli", buffer.required},
 						{"buffer_is_for", buffer_purpose},
 						{"held_by", blocker == inWaveBlockers.end() ? "" : blocker->second}});
 	}
--- a/Loomreach/Entry/StoreWatch.cpp
+++ b/Loomreach/Entry/StoreWatch.cpp
@@ -21,19 +21,22 @@
 	this->unanswered_since = -1;
 }
 
-Millis StoreWatch::Patience() const
+Millis StoreWatch::AnswerTimeout() const
 {
 	return std::clamp(static_cast<Millis>(this->latency_ms * cTimeoutPerLatency), cMinAnswerTimeoutMs, cMaxAnswerTimeoutMs);
 }
 
 bool StoreWatch::IsLate(Millis inNow) const
 {
-	return this->unanswered_since >= 0 && inNow - this->unanswered_since > this->Patience() / cLateDivisor;
+	return this->unanswered_since >= 0 && inNow - this->unanswered_since > this->AnswerTimeout() / cLateDivisor;
 }
 
-bool StoreWatch::IsSilent(Millis inNow) const { return this->unanswered_since >= 0 && inNow - this->unanswered_since > this->Patience(); }
+bool StoreWatch::IsUnresponsive(Millis inNow) const
+{
+	return this->unanswered_since >= 0 && inNow - this->unanswered_since > this->AnswerTimeout();
+}
 
-bool StoreIsolationWatch::Note(bool inSilent, bool inOthersReach, Millis inNow)
+bool StoreIsolationWatch::Update(bool inSilent, bool inOthersReach, Millis inNow)
 {
 	if (!inSilent || !inOthersReach)
 	{
--- a/Loomreach/Entry/StoreWatch.h
+++ b/Loomreach/Entry/StoreWatch.h
@@ -17,11 +17,11 @@
 	/// A call sent at `inSentAt` succeeded.
 	void OnAnswered(Millis inSentAt, Millis inNow);
 	/// Whether calls have gone without any success for so long that another one would hardly succeed.
-	bool IsSilent(Millis inNow) const;
+	bool IsUnresponsive(Millis inNow) const;
 	/// Whether an answer is late enough to look for helpers, although it may still arrive.
 	bool IsLate(Millis inNow) const;
 	/// How long a call may take before the store counts as unresponsive.
-	Millis Patience() const;
+	Millis AnswerTimeout() const;
 
 private:
 	static constexpr Millis cMinAnswerTimeoutMs = 350;  ///< The users' stores answer within 4 ms; two lost packets cost 300 ms.
@@ -42,7 +42,7 @@
 public:
 	/// Takes the current state: whether the store is unresponsive for this host, and whether other hosts say that they reach it. Returns
 	/// whether both have held for long enough.
-	bool Note(bool inSilent, bool inOthersReach, Millis inNow);
+	bool Update(bool inSilent, bool inOthersReach, Millis inNow);
 
 private:
 	/// How long both must hold: enough for another round of questions to other hosts (HelperSearch).
--- a/Loomreach/Entry/WorkerPoller.cpp
+++ b/Loomreach/Entry/WorkerPoller.cpp
@@ -36,7 +36,7 @@
 	std::set<std::string> assigned;
 	for (const auto &[name, host] : inState.hosts)
 	{
-		if (!inAssignment.IsMineIn("host:" + name, host.spec.availability_zone))
+		if (!inAssignment.IsAssignedInZone("host:" + name, host.spec.availability_zone))
 			continue;
 		assigned.insert(name);
 		this->PollOne(inState, host, inNow);
@@ -71,8 +71,8 @@
 	if (observation.first_polled == 0)
 		observation.first_polled = inNow;
 	// The host is out for its reboot but has not gone down yet. The request is repeated; the platform accepts it once per boot
-	if (inHost.phase == EHostPhase::Out && observation.boot == inHost.out_boot)
-		this->platform.Reboot(name, inHost.out_boot, [](bool) {});
+	if (inHost.phase == EHostPhase::Out && observation.boot == inHost.boot_before_reboot)
+		this->platform.Reboot(name, inHost.boot_before_reboot, [](bool) {});
 	const WorkerOrder order = OrderFor(inState, inHost, this->Lease());
 	const uint64 order_hash = HashOrder(order);
 	if (!this->IsDue(inHost, order_hash, inNow) || !this->polls_in_progress.insert(name).second)
--- a/Loomreach/Fleet/HostLifecycle.cpp
+++ b/Loomreach/Fleet/HostLifecycle.cpp
@@ -89,7 +89,7 @@
 	case EHostPhase::Out:
 	{
 		const bool answers = inSeen.last_answer.has_value() && !this->IsUnresponsive(inSeen, this->bounds.failed_after / 2);
-		const bool rebooted = answers && inSeen.boot != inHost.out_boot;
+		const bool rebooted = answers && inSeen.boot != inHost.boot_before_reboot;
 		if (rebooted)
 			return MakeStep(inHost, EHostStep::Returned, "the host has rebooted");
 		return std::nullopt;
--- a/Loomreach/Fleet/MaintenancePlanner.cpp
+++ b/Loomreach/Fleet/MaintenancePlanner.cpp
@@ -26,7 +26,7 @@
 		.Field("wave", inWave.number)
 		.Field("hosts", inWave.hosts.size())
 		.Field("done", inDone.size())
-		.Field("at_most", inWave.at_most)
+		.Field("at_most", inWave.max_down)
 		.Field("within_ms", inWave.within_ms);
 }
 
@@ -83,7 +83,7 @@
 	int64 left = 0;
 	for (const auto &[name, item] : inWave.items)
 		left += item.step == EMaintenanceStep::Done ? 0 : 1;
-	const int64 rounds = (left + inWave.asked.at_most - 1) / inWave.asked.at_most;
+	const int64 rounds = (left + inWave.asked.max_down - 1) / inWave.asked.max_down;
 	return inNow + rounds * this->tuning.per_host_ms + this->tuning.reserve_ms >= inWave.begun_at + inWave.asked.within_ms;
 }
 
@@ -92,7 +92,7 @@
 	std::vector<HostEntry> wanted;
 	for (auto &[number, wave] : this->waves)
 	{
-		const uint32 max_under_way = wave.asked.at_most + this->tuning.drains_ahead;
+		const uint32 max_under_way = wave.asked.max_down + this->tuning.drains_ahead;
 		const bool behind_schedule = this->IsBehindSchedule(wave, inNow);
 		uint32 under_way = this->CountDown(wave);
 		for (const auto &[name, item] : wave.items)
@@ -161,7 +161,7 @@
 		for (auto &[name, item] : wave.items)
 		{
 			const bool resend = this->ShouldResend(name, item, inNow);
-			const bool first = item.step == EMaintenanceStep::Draining && inNow < item.empty_until && down < wave.asked.at_most;
+			const bool first = item.step == EMaintenanceStep::Draining && inNow < item.empty_until && down < wave.asked.max_down;
 			if (!resend && !first)
 				continue;
 			down += first ? 1 : 0;
--- a/Loomreach/Fleet/MaintenancePlanner.h
+++ b/Loomreach/Fleet/MaintenancePlanner.h
@@ -92,7 +92,7 @@
 	int64 number = 0;
 	std::vector<std::string> hosts;
 	Millis within_ms = 0; ///< Time within which all its hosts are to be maintained.
-	uint32 at_most = 1;   ///< Maximum number of its hosts that are down at the same time.
+	uint32 max_down = 1;  ///< Maximum number of its hosts that are down at the same time.
 };
 
 /// Times of the planner, ms.
--- a/Loomreach/Fleet/PlacementPlanner.cpp
+++ b/Loomreach/Fleet/PlacementPlanner.cpp
@@ -25,15 +25,16 @@
 	if (found == inState.jobs.end())
 		return "The settings declare no such job.";
 	const JobSpec &job = found->second;
-	const std::string size = std::to_string(job.need.cpu_milli) + " thousandths of a core, " + std::to_string(job.need.memory_mb) +
-							 " MB and " + std::to_string(job.need.accelerators) + " accelerators";
+	const std::string size = std::to_string(job.requested.cpu_milli) + " thousandths of a core, " +
+							 std::to_string(job.requested.memory_mb) + " MB and " + std::to_string(job.requested.accelerators) +
+							 " accelerators";
 	switch (inUnplaced.why)
 	{
 	case EUnplaced::NeverFits: return "It can never run: no host of " + job.pool + " has " + size + ", even empty.";
 	case EUnplaced::QuotaTooSmall: return "It can never run: team " + job.team + "'s quota is smaller than one replica (" + size + ").";
 	case EUnplaced::QuotaFull: return "Team " + job.team + "'s quota is taken by its other replicas.";
 	case EUnplaced::NoHosts: return "Pool " + job.pool + " has no available host.";
-	case EUnplaced::NoRoom:
+	case EUnplaced::NoCapacity:
 		return "Every host of " + job.pool + " that could hold " + size + " is full with work of priority " + std::to_string(job.priority) +
 			   " or higher.";
 	case EUnplaced::WaitsForHosts:
--- a/Loomreach/Fleet/PlacementPlanner.h
+++ b/Loomreach/Fleet/PlacementPlanner.h
@@ -11,7 +11,7 @@
 /// Reason why a replica is not placed.
 enum class EUnplaced : uint8
 {
-	NoRoom,        ///< Every host that could hold it is full with work of the same or a higher priority.
+	NoCapacity,    ///< Every host that could hold it is full with work of the same or a higher priority.
 	NeverFits,     ///< No host of the pool is large enough, even empty.
 	QuotaTooSmall, ///< The team's quota is smaller than one replica.
 	QuotaFull,     ///< The team's quota is used up by its other replicas.
@@ -24,7 +24,7 @@
 struct Unplaced
 {
 	ReplicaKey replica;
-	EUnplaced why = EUnplaced::NoRoom;
+	EUnplaced why = EUnplaced::NoCapacity;
 };
 
 /// Result of a planning round.
--- a/Loomreach/Fleet/PlacementPlanner.inl
+++ b/Loomreach/Fleet/PlacementPlanner.inl
@@ -62,10 +62,10 @@
 			const Placement &placement = this->state.placements.find(replica)->second;
 			this->plan.proposals.emplace_back(StopReplica{replica, placement.generation, EStopReason::Undeclared});
 			this->stopped.insert(replica);
-			this->team_used[placement.team] -= placement.need.cpu_milli;
+			this->team_used[placement.team] -= placement.requested.cpu_milli;
 			for (Candidate &candidate : this->candidates)
 				if (candidate.host == &host)
-					candidate.free += placement.need;
+					candidate.free += placement.requested;
 		}
 	}
 }
@@ -100,7 +100,7 @@
 std::optional<EUnplaced> BasicPlacementPlanner<P>::CheckFeasible(const JobSpec &inJob) const
 {
 	auto quota = this->state.team_quota_cpu.find(inJob.team);
-	if (quota != this->state.team_quota_cpu.end() && inJob.need.cpu_milli > quota->second)
+	if (quota != this->state.team_quota_cpu.end() && inJob.requested.cpu_milli > quota->second)
 		return EUnplaced::QuotaTooSmall;
 	bool any_host = false;
 	for (const auto &[name, host] : this->state.hosts)
@@ -108,7 +108,7 @@
 		if (host.pool != this->pool)
 			continue;
 		any_host = true;
-		if (inJob.need.FitIn(host.spec.capacity))
+		if (inJob.requested.FitsInto(host.spec.capacity))
 			return std::nullopt;
 	}
 	return any_host ? EUnplaced::NeverFits : EUnplaced::NoHosts;
@@ -123,8 +123,8 @@
 	auto used = this->team_used.find(inReplica.job->team);
 	int64 total = used == this->team_used.end() ? 0 : used->second;
 	if (inReplica.old != nullptr && inReplica.old->team == inReplica.job->team)
-		total -= inReplica.old->need.cpu_milli;
-	return total + inReplica.job->need.cpu_milli <= quota->second;
+		total -= inReplica.old->requested.cpu_milli;
+	return total + inReplica.job->requested.cpu_milli <= quota->second;
 }
 
 template <PlacementPolicy P>
@@ -147,7 +147,7 @@
 	auto history = this->state.history.find(inReplica.replica.job);
 	for (Candidate &candidate : this->candidates)
 	{
-		if (!inReplica.job->need.FitIn(candidate.free))
+		if (!inReplica.job->requested.FitsInto(candidate.free))
 			continue;
 		const HostSpec &spec = candidate.host->spec;
 		HostScore score;
@@ -182,27 +182,27 @@
 			  {
 				  if (inA.second->priority != inB.second->priority)
 					  return inA.second->priority < inB.second->priority;
-				  if (inA.second->need.cpu_milli != inB.second->need.cpu_milli)
-					  return inA.second->need.cpu_milli > inB.second->need.cpu_milli;
+				  if (inA.second->requested.cpu_milli != inB.second->requested.cpu_milli)
+					  return inA.second->requested.cpu_milli > inB.second->requested.cpu_milli;
 				  return inA.first < inB.first;
 			  });
 	Resources free_capacity = inCandidate.free;
 	std::vector<ReplicaKey> victims;
 	for (const auto &[replica, placement] : lower)
 	{
-		if (inReplica.job->need.FitIn(free_capacity))
+		if (inReplica.job->requested.FitsInto(free_capacity))
 			break;
-		free_capacity += placement->need;
+		free_capacity += placement->requested;
 		victims.push_back(replica);
 	}
-	if (!inReplica.job->need.FitIn(free_capacity))
+	if (!inReplica.job->requested.FitsInto(free_capacity))
 		return {};
 	// Do not preempt victims that turned out not to be needed
 	for (size_t i = 0; i < victims.size();)
 	{
 		Resources without = free_capacity;
-		without -= this->state.placements.find(victims[i])->second.need;
-		if (!inReplica.job->need.FitIn(without))
+		without -= this->state.placements.find(victims[i])->second.requested;
+		if (!inReplica.job->requested.FitsInto(without))
 		{
 			++i;
 			continue;
@@ -232,8 +232,8 @@
 		LOOM_INVARIANT(placement.priority < inReplica.job->priority, "only replicas of lower priority are preempted");
 		this->plan.proposals.emplace_back(StopReplica{victim, placement.generation, EStopReason::Preempted});
 		this->stopped.insert(victim);
-		this->team_used[placement.team] -= placement.need.cpu_milli;
-		best->free += placement.need;
+		this->team_used[placement.team] -= placement.requested.cpu_milli;
+		best->free += placement.requested;
 		++this->plan.preempted;
 	}
 	return best;
@@ -244,11 +244,11 @@
 {
 	const LogPosition base = inReplica.old == nullptr ? 0 : inReplica.old->generation;
 	this->plan.proposals.emplace_back(PlaceReplica{inReplica.replica, ioCandidate.host->spec.name, base});
-	ioCandidate.free -= inReplica.job->need;
+	ioCandidate.free -= inReplica.job->requested;
 	++ioCandidate.planned[inReplica.replica.job];
-	this->team_used[inReplica.job->team] += inReplica.job->need.cpu_milli;
+	this->team_used[inReplica.job->team] += inReplica.job->requested.cpu_milli;
 	if (inReplica.old != nullptr)
-		this->team_used[inReplica.old->team] -= inReplica.old->need.cpu_milli;
+		this->team_used[inReplica.old->team] -= inReplica.old->requested.cpu_milli;
 	Siblings &job_siblings = this->siblings[inReplica.replica.job];
 	++job_siblings.racks[ioCandidate.host->spec.rack];
 	++job_siblings.zones[ioCandidate.host->spec.availability_zone];
@@ -266,7 +266,7 @@
 	{
 		const bool is_starting =
 			host.pool == this->pool && host.phase == EHostPhase::Active && host.health == EHostHealth::Unknown && !host.quarantined;
-		if (is_starting && inReplica.job->need.FitIn(host.Free()))
+		if (is_starting && inReplica.job->requested.FitsInto(host.Free()))
 			return true;
 	}
 	return false;
@@ -304,7 +304,7 @@
 		this->Place(inReplica, *candidate);
 		return;
 	}
-	this->plan.unplaced.push_back({inReplica.replica, this->candidates.empty() ? EUnplaced::NoHosts : EUnplaced::NoRoom});
+	this->plan.unplaced.push_back({inReplica.replica, this->candidates.empty() ? EUnplaced::NoHosts : EUnplaced::NoCapacity});
 }
 
 } // namespace Loomreach
--- a/Loomreach/Fleet/PoolBalancer.cpp
+++ b/Loomreach/Fleet/PoolBalancer.cpp
@@ -72,11 +72,11 @@
 			const int64 mean_capacity = std::max<int64>(1, inTotal / host_count);
 			return (inNeed * this->tuning.headroom_percent / 100 + mean_capacity - 1) / mean_capacity;
 		};
-		Resources need = latest.demand.need;
+		Resources need = latest.demand.in_time;
 		if (inScope == EDemandScope::All)
 			need.Add(latest.demand.late);
 		int64 wanted = std::max(hosts_for(need.cpu_milli, total.cpu_milli), hosts_for(need.memory_mb, total.memory_mb));
-		wanted = std::max<int64>(wanted, latest.demand.least_hosts) + this->tuning.margin;
+		wanted = std::max<int64>(wanted, latest.demand.min_hosts) + this->tuning.margin;
 		sizes[pool] = {current[pool], wanted};
 	}
 	return sizes;
@@ -106,7 +106,7 @@
 			.Field("hosts", size.current)
 			.Field("wanted", size.wanted)
 			.Field("wanted_with_late", late.at(pool).wanted)
-			.Field("least", this->demands.at(pool).demand.least_hosts)
+			.Field("least", this->demands.at(pool).demand.min_hosts)
 			.Field("asked_ms_ago", inNow - this->demands.at(pool).asked_at);
 	}
 }
@@ -115,7 +115,7 @@
 {
 	std::vector<std::pair<std::string, uint32>> ask;
 	// Jobs that can only be late yield hosts while another pool lacks hosts for jobs that can be in time
-	const bool has_deficit = !this->Tight(inNow).empty();
+	const bool has_deficit = !this->PoolsInDeficit(inNow).empty();
 	const std::map<std::string, int64> deficits = this->Deficits(has_deficit ? EDemandScope::InTime : EDemandScope::All, inNow);
 	for (const auto &[name, pool] : this->pools)
 	{
@@ -128,7 +128,7 @@
 	return ask;
 }
 
-std::set<std::string> PoolBalancer::Tight(Millis inNow) const
+std::set<std::string> PoolBalancer::PoolsInDeficit(Millis inNow) const
 {
 	std::set<std::string> pools_in_deficit;
 	for (const auto &[pool, deficit] : this->Deficits(EDemandScope::InTime, inNow))
@@ -154,7 +154,7 @@
 	auto found = this->demands.find(inFrom);
 	if (found == this->demands.end() || inNow - found->second.asked_at > this->tuning.grant_trusted_ms)
 		return nullptr;
-	for (const std::string &worker : found->second.demand.spared)
+	for (const std::string &worker : found->second.demand.releasable)
 		for (const auto &[name, host] : this->hosts)
 		{
 			const bool free = host.worker == worker && host.pool == inFrom && host.state == EHostState::Up && !this->moves.contains(name) &&
@@ -242,7 +242,7 @@
 	return orders;
 }
 
-std::vector<HostEntry> PoolBalancer::InDoubt() const
+std::vector<HostEntry> PoolBalancer::UncertainMoves() const
 {
 	std::vector<HostEntry> in_doubt;
 	for (const auto &[name, move] : this->moves)
--- a/Loomreach/Fleet/PoolBalancer.h
+++ b/Loomreach/Fleet/PoolBalancer.h
@@ -45,13 +45,13 @@
 	/// Pools to ask, and how many workers each should drain and grant.
 	std::vector<std::pair<std::string, uint32>> ToAsk(Millis inNow) const;
 	/// Pools that cannot spare a host.
-	std::set<std::string> Tight(Millis inNow) const;
+	std::set<std::string> PoolsInDeficit(Millis inNow) const;
 	/// Orders of moves to send now.
 	std::vector<HostOrder> TakeMoves(Millis inNow);
 	/// Call with the outcome of an ordered move.
 	void OnMove(const HostOrder &inOrder, EHostOrderResult inResult, Millis inNow);
 	/// Hosts whose ordered move has an unknown outcome and may still happen: their workers are to stay drained.
-	std::vector<HostEntry> InDoubt() const;
+	std::vector<HostEntry> UncertainMoves() const;
 
 private:
 	/// The latest demand of a pool.
--- a/Loomreach/Fleet/TeamShares.cpp
+++ b/Loomreach/Fleet/TeamShares.cpp
@@ -26,17 +26,17 @@
 	for (const auto &[name, team] : *inCatalogue.teams)
 	{
 		const Resources *before = this->limits.Find(name);
-		if (before != nullptr && *before == team.at_most)
+		if (before != nullptr && *before == team.limit)
 			continue;
 		LogEvent(ELogLevel::Info, "team_limit")
 			.Field("team", name)
 			.Field("version", inCatalogue.version)
-			.Field("cpu_milli", team.at_most.cpu_milli)
-			.Field("memory_mb", team.at_most.memory_mb)
-			.Field("accelerators", team.at_most.accelerators)
+			.Field("cpu_milli", team.limit.cpu_milli)
+			.Field("memory_mb", team.limit.memory_mb)
+			.Field("accelerators", team.limit.accelerators)
 			.Field("weight", team.weight);
 	}
-	this->limits.Take(inCatalogue);
+	this->limits.Update(inCatalogue);
 }
 
 bool TeamShares::KnowsAllGrants(Millis inNow) const
--- a/Loomreach/Fleet/WavePlanner.cpp
+++ b/Loomreach/Fleet/WavePlanner.cpp
@@ -51,19 +51,19 @@
 			const Placement &placement = inState.placements.find(replica)->second;
 			auto job = inState.jobs.find(replica.job);
 			const bool is_service = job != inState.jobs.end() && job->second.is_service;
-			(is_service ? buffer.firm : buffer.soft) += placement.need.cpu_milli;
+			(is_service ? buffer.service_cpu : buffer.batch_cpu) += placement.requested.cpu_milli;
 			if (is_service && stays)
-				rack_service_cpu[host.spec.rack] += placement.need.cpu_milli;
+				rack_service_cpu[host.spec.rack] += placement.requested.cpu_milli;
 		}
 	}
 	if (inPool.buffer_percent >= 0)
 	{
-		buffer.wanted = buffer.capacity * inPool.buffer_percent / 100;
+		buffer.required = buffer.capacity * inPool.buffer_percent / 100;
 		return buffer;
 	}
 	// The largest rack may be lost during the wave
 	for (const auto &[rack, service_cpu] : rack_service_cpu)
-		buffer.wanted = std::max(buffer.wanted, service_cpu);
+		buffer.required = std::max(buffer.required, service_cpu);
 	return buffer;
 }
 
--- a/Loomreach/Fleet/WavePlanner.h
+++ b/Loomreach/Fleet/WavePlanner.h
@@ -13,7 +13,7 @@
 {
 	std::vector<ProposalBody> proposals;
 	uint32 drains = 0;
-	uint32 taken_back = 0;
+	uint32 cancelled_drains = 0;
 	std::string held_by; ///< What keeps the next host from being drained, for `wave status`; empty: nothing.
 };
 
@@ -62,11 +62,11 @@
 /// Spare capacity of a pool, as `pool show` and the planner compute it. Processor time in thousandths of a core.
 struct Buffer
 {
-	int64 capacity = 0; ///< Of available hosts.
-	int64 firm = 0;     ///< Used by replicas of services, which are not displaced for the buffer.
-	int64 soft = 0;     ///< Used by batch replicas, which are displaced first.
-	int64 wanted = 0;   ///< Required spare capacity: the service load of the largest rack, or the stated percentage of the capacity.
-	int64 Spare() const { return this->capacity - this->firm; }
+	int64 capacity = 0;    ///< Of available hosts.
+	int64 service_cpu = 0; ///< Used by replicas of services, which are not displaced for the buffer.
+	int64 batch_cpu = 0;   ///< Used by batch replicas, which are displaced first.
+	int64 required = 0;    ///< Required spare capacity: the service load of the largest rack, or the stated percentage of the capacity.
+	int64 Spare() const { return this->capacity - this->service_cpu; }
 };
 
 /// Computes the spare capacity of a pool as if the hosts in `inExcluded` were unavailable and their service load still had to be placed.
--- a/Loomreach/Fleet/WavePlanner.inl
+++ b/Loomreach/Fleet/WavePlanner.inl
@@ -100,7 +100,7 @@
 			return;
 		this->plan.proposals.emplace_back(
 			StepHost{host->spec.name, EHostStep::Undrain, host->generation, host->wave, "failures used up the budget"});
-		++this->plan.taken_back;
+		++this->plan.cancelled_drains;
 		--missing;
 	}
 }
@@ -140,7 +140,7 @@
 bool BasicWavePlanner<P>::KeepsBuffer(const PoolSpec &inPool, const std::set<std::string> &inUnavailable, bool inAnyOut) const
 {
 	const Buffer buffer = ComputeBuffer(this->state, inPool, inUnavailable);
-	return buffer.Spare() >= (inAnyOut ? buffer.wanted : 0);
+	return buffer.Spare() >= (inAnyOut ? buffer.required : 0);
 }
 
 template <WavePolicy P>
--- a/Loomreach/Forward/ForwardPlan.cpp
+++ b/Loomreach/Forward/ForwardPlan.cpp
@@ -19,13 +19,13 @@
 	{
 		auto found = known.find(idle.address);
 		// Another process may run on another clock, so its clock is queried again
-		const bool same = found != known.end() && found->second.idle.life == idle.life;
+		const bool same = found != known.end() && found->second.idle.incarnation == idle.incarnation;
 		this->hosts[idle.address] = same ? found->second : Host{idle, false, -1, 0, 0, 0};
 		this->by_zone[idle.availability_zone].push_back(idle.address);
 	}
 }
 
-std::vector<Address> ForwardPlan::ToAsk()
+std::vector<Address> ForwardPlan::TakeHostsToQuery()
 {
 	std::vector<Address> ask;
 	if (this->hosts.size() < this->tuning.min_idle_hosts)
@@ -46,7 +46,7 @@
 	found->second.clock_at = inNow;
 }
 
-void ForwardPlan::OnSilent(const Address &inHost, Millis inNow)
+void ForwardPlan::OnUnresponsive(const Address &inHost, Millis inNow)
 {
 	auto found = this->hosts.find(inHost);
 	if (found == this->hosts.end())
@@ -102,7 +102,7 @@
 		// later than here
 		const Millis left = inOrder.not_after - host.clock_at;
 		const Millis slack = std::abs(left) * cClockSlackPerMille / 1000 + 1;
-		return Forwarder{host.idle.address, host.idle.life, host.clock_ms + left - slack};
+		return Forwarder{host.idle.address, host.idle.incarnation, host.clock_ms + left - slack};
 	}
 	return std::nullopt;
 }
--- a/Loomreach/Forward/ForwardPlan.h
+++ b/Loomreach/Forward/ForwardPlan.h
@@ -32,7 +32,7 @@
 struct Forwarder
 {
 	Address address;
-	uint64 life = 0;
+	uint64 incarnation = 0;
 	Millis not_after = 0; ///< The expiry of the order on the clock of the forwarder, no later than on that of the sender.
 };
 
@@ -45,11 +45,11 @@
 	/// Sets the hosts that can forward now.
 	void SetHosts(const std::vector<IdleHost> &inHosts);
 	/// Hosts whose clock is unknown, to be queried: they cannot forward before it is heard. Each host is returned once.
-	std::vector<Address> ToAsk();
+	std::vector<Address> TakeHostsToQuery();
 	/// Call when a host has told the time of its steady clock.
 	void OnClock(const Address &inHost, Millis inClockMs, Millis inNow);
 	/// Call when a host did not accept what was sent to it.
-	void OnSilent(const Address &inHost, Millis inNow);
+	void OnUnresponsive(const Address &inHost, Millis inNow);
 	/// Counts an order and chooses its forwarder; std::nullopt: this host sends it itself.
 	std::optional<Forwarder> Choose(const Order &inOrder, Millis inNow);
 	bool IsForwarding() const { return this->forwarding; }
--- a/Loomreach/Forward/OrderSender.inl
+++ b/Loomreach/Forward/OrderSender.inl
@@ -21,8 +21,8 @@
 /// first one was running it.
 inline OrderAnswer AsUncertain(OrderAnswer inAnswer)
 {
-	const bool is_certain =
-		inAnswer.result == EOrderResult::Done || inAnswer.result == EOrderResult::StaleRun || inAnswer.result == EOrderResult::OtherLife;
+	const bool is_certain = inAnswer.result == EOrderResult::Done || inAnswer.result == EOrderResult::StaleRun ||
+							inAnswer.result == EOrderResult::OtherIncarnation;
 	inAnswer.result = is_certain ? inAnswer.result : EOrderResult::Unknown;
 	return inAnswer;
 }
@@ -31,10 +31,10 @@
 void OrderSender<Agent>::SetHosts(const std::vector<IdleHost> &inHosts)
 {
 	this->plan.SetHosts(inHosts);
-	for (const Address &host : this->plan.ToAsk())
+	for (const Address &host : this->plan.TakeHostsToQuery())
 	{
 		PeerQuestion question;
-		question.kind = EQuestion::Reach;
+		question.kind = EQuestion::StoreReach;
 		this->peers.Ask(host, std::move(question), cClockQueryTimeoutMs,
 						this->Guard(
 							[this, host](const std::optional<PeerAnswer> &inAnswer)
@@ -61,7 +61,7 @@
 	order.not_after = inBy.not_after;
 	PeerQuestion question;
 	question.kind = EQuestion::Forward;
-	question.life = inBy.life;
+	question.incarnation = inBy.incarnation;
 	question.record = EncodeValue(order);
 	if (question.record.size() > cMaxForwardedBytes)
 		return this->agent.Send(inOrder, std::move(inDone));
@@ -69,7 +69,7 @@
 	{
 		const Millis now = NowMillis();
 		if (!inAnswer.has_value())
-			this->plan.OnSilent(by, now);
+			this->plan.OnUnresponsive(by, now);
 		else
 			this->plan.OnClock(by, inAnswer->clock_ms, now);
 		const std::optional<OrderAnswer> answer = inAnswer.has_value() ? DecodeValue<OrderAnswer>(inAnswer->record) : std::nullopt;
@@ -79,7 +79,7 @@
 		if (now >= inOrder.not_after)
 			return done(OrderAnswer{});
 		// The forwarder may have sent it all the same; a second sending is the same order
-		const bool uncertain = !inAnswer.has_value() || !inAnswer->not_entered;
+		const bool uncertain = !inAnswer.has_value() || !inAnswer->not_done;
 		this->agent.Send(inOrder, [uncertain, done](const OrderAnswer &inOwn) { done(uncertain ? AsUncertain(inOwn) : inOwn); });
 	};
 	this->peers.Ask(inBy.address, std::move(question), order.wait_ms + cForwardMarginMs, this->Guard(on_answer), cAcceptTimeoutMs);
@@ -90,10 +90,10 @@
 {
 	const std::optional<Order> order = DecodeValue<Order>(inQuestion.record);
 	// Refused: meant for an earlier process at this address, damaged, or expired
-	if (!order.has_value() || inQuestion.life != inOwnIncarnation || NowMillis() >= order->not_after)
+	if (!order.has_value() || inQuestion.incarnation != inOwnIncarnation || NowMillis() >= order->not_after)
 	{
 		PeerAnswer refusal;
-		refusal.not_entered = true;
+		refusal.not_done = true;
 		return inReply(refusal);
 	}
 	this->agent.Send(*order,
--- a/Loomreach/Job/JobRecord.cpp
+++ b/Loomreach/Job/JobRecord.cpp
@@ -32,7 +32,7 @@
 	const std::string name = "step " + std::to_string(inNumber);
 	if (inStep.count == 0 || inStep.count > cMaxTasksPerStep)
 		return FailFalse(EError::BadRequest, name + ": count must be from 1 to " + std::to_string(cMaxTasksPerStep));
-	if (inStep.need.cpu_milli < 0 || inStep.need.memory_mb < 0 || inStep.need.accelerators < 0)
+	if (inStep.requested.cpu_milli < 0 || inStep.requested.memory_mb < 0 || inStep.requested.accelerators < 0)
 		return FailFalse(EError::BadRequest, name + ": resources must not be negative");
 	for (uint32 before : inStep.after)
 		if (before >= inNumber)
--- a/Loomreach/Job/JobSpec.h
+++ b/Loomreach/Job/JobSpec.h
@@ -43,29 +43,29 @@
 struct StepSpec
 {
 	uint32 count = 0;          ///< Number of tasks; at least 1.
-	Resources need;            ///< Requested resources of each task.
+	Resources requested;       ///< Requested resources of each task.
 	Millis estimate_ms = 0;    ///< The caller's estimate of a task's run time; often far off.
 	std::vector<uint32> after; ///< Earlier steps whose tasks must all be done before this step starts.
 	bool checkpoints = false;  ///< Tasks report checkpoints of their progress.
 	bool gang = false;         ///< Tasks run only all together.
 	bool one_rack = false;     ///< Tasks are slower when spread over more than one rack.
 	bool may_copy = false;     ///< Copies of a task may run at the same time.
-	bool lasting = false;      ///< Long-running: tasks run until the job is cancelled.
+	bool long_running = false; ///< Long-running: tasks run until the job is cancelled.
 	/// Best-effort: tasks use processor time that others leave idle; only their memory and accelerators are reserved.
-	bool fills = false;
+	bool best_effort = false;
 	std::string needs_label;         ///< Label that the worker must have; empty: any worker.
 	std::string data_rack;           ///< Rack of the data; tasks are slower on other racks. Empty: none.
 	std::string image;               ///< Tasks of the same image behave alike.
 	uint32 max_per_worker = 0;       ///< Maximum number of tasks of the step on one worker; 0: no limit.
-	uint32 may_miss = 0;             ///< Maximum number of long-running tasks that the system itself may make unavailable at the same time.
-	bool limits_unavailable = false; ///< Whether `may_miss` was set.
-	Millis target_ms = 0;            ///< Target for the tail latency of the task's own answers; 0: none.
+	uint32 max_unavailable = 0;      ///< Maximum number of long-running tasks that the system itself may make unavailable at the same time.
+	bool limits_unavailable = false; ///< Whether `max_unavailable` was set.
+	Millis latency_target_ms = 0;    ///< Target for the tail latency of the task's own answers; 0: none.
 
 	/// Resources that one task reserves on its worker. Best-effort tasks reserve no processor time: they use what others leave idle.
-	Resources Room() const
+	Resources Reserved() const
 	{
-		Resources room = this->need;
-		if (this->fills)
+		Resources room = this->requested;
+		if (this->best_effort)
 			room.cpu_milli = 0;
 		return room;
 	}
@@ -73,9 +73,9 @@
 	template <class Archive>
 	void serialize(Archive &ioArchive)
 	{
-		ioArchive(this->count, this->need, this->estimate_ms, this->after, this->checkpoints, this->gang, this->one_rack, this->may_copy,
-				  this->lasting, this->fills, this->needs_label, this->data_rack, this->image, this->max_per_worker, this->may_miss,
-				  this->limits_unavailable, this->target_ms);
+		ioArchive(this->count, this->requested, this->estimate_ms, this->after, this->checkpoints, this->gang, this->one_rack,
+				  this->may_copy, this->long_running, this->best_effort, this->needs_label, this->data_rack, this->image,
+				  this->max_per_worker, this->max_unavailable, this->limits_unavailable, this->latency_target_ms);
 	}
 };
 
@@ -88,7 +88,7 @@
 	std::string team;    ///< Team that owns the job; empty: none.
 	std::string payload; ///< Passed to every task uninterpreted.
 	std::vector<StepSpec> steps;
-	uint32 times = 0;        ///< Number of rounds, each running all steps; 0: one round, immediately.
+	uint32 round_count = 0;  ///< Number of rounds, each running all steps; 0: one round, immediately.
 	int64 first_wall_ms = 0; ///< Wall-clock time at which round 0 is due, ms since 1970.
 	int64 interval_ms = 0;   ///< Between the due times of two rounds.
 	uint32 max_attempts = 1; ///< The job fails after this many failed runs of a task.
@@ -99,11 +99,11 @@
 	int64 accepted_wall_ms = 0; ///< Wall-clock time at which the entry host accepted the job, ms since 1970.
 
 	/// Number of rounds.
-	uint32 Rounds() const { return std::max<uint32>(this->times, 1); }
+	uint32 Rounds() const { return std::max<uint32>(this->round_count, 1); }
 	template <class Archive>
 	void serialize(Archive &ioArchive)
 	{
-		ioArchive(this->id, this->queue, this->pool, this->team, this->payload, this->steps, this->times, this->first_wall_ms,
+		ioArchive(this->id, this->queue, this->pool, this->team, this->payload, this->steps, this->round_count, this->first_wall_ms,
 				  this->interval_ms, this->max_attempts, this->priority, this->stretch, this->target_ms, this->advised,
 				  this->accepted_wall_ms);
 	}
--- a/Loomreach/Member/PeerMessages.h
+++ b/Loomreach/Member/PeerMessages.h
@@ -192,12 +192,12 @@
 struct RequestFrame
 {
 	uint64 nonce = 0;
-	PeerRequest ask;
+	PeerRequest request;
 
 	template <class Archive>
 	void serialize(Archive &ioArchive)
 	{
-		ioArchive(this->nonce, this->ask);
+		ioArchive(this->nonce, this->request);
 	}
 };
 
--- a/Loomreach/Member/PeerTracker.cpp
+++ b/Loomreach/Member/PeerTracker.cpp
@@ -13,7 +13,7 @@
 /// heartbeat messages, and a late one must not make the zone unresponsive.
 static constexpr Millis cLogHeartbeatTimeoutFactor = 3;
 
-bool PeerTracker::Hear(HeartbeatMessage inHeartbeat, Millis inNow)
+bool PeerTracker::OnHeartbeat(HeartbeatMessage inHeartbeat, Millis inNow)
 {
 	auto known = this->incarnations.find(inHeartbeat.incarnation);
 	if (known != this->incarnations.end() && inHeartbeat.sequence <= known->second.sequence)
@@ -45,7 +45,7 @@
 	return true;
 }
 
-void PeerTracker::HearLog(const FleetState &inState, Millis inNow)
+void PeerTracker::UpdateFromLog(const FleetState &inState, Millis inNow)
 {
 	for (const auto &[zone_name, position] : inState.zones_alive)
 	{
@@ -131,7 +131,7 @@
 	return latest == nullptr ? nullptr : &latest->heartbeat;
 }
 
-bool PeerTracker::IsHeard(const Member &inMember, Millis inNow) const
+bool PeerTracker::IsConsideredLive(const Member &inMember, Millis inNow) const
 {
 	if (inMember.availability_zone == this->zone)
 		return this->IsLive(inMember.name, inNow);
@@ -187,7 +187,7 @@
 	this->zones.assign(eligible.begin(), eligible.end());
 }
 
-bool PlannerAssignment::IsMineIn(std::string_view inKey, const std::string &inZone) const
+bool PlannerAssignment::IsAssignedInZone(std::string_view inKey, const std::string &inZone) const
 {
 	if (!this->is_candidate)
 		return false;
@@ -196,9 +196,9 @@
 	return zone == this->self_zone && RendezvousOwner(inKey, this->zone_members) == this->self;
 }
 
-bool PlannerAssignment::IsMine(std::string_view inKey) const
+bool PlannerAssignment::IsAssigned(std::string_view inKey) const
 {
-	return this->IsMineIn(inKey, std::string(RendezvousOwner(inKey, this->zones)));
+	return this->IsAssignedInZone(inKey, std::string(RendezvousOwner(inKey, this->zones)));
 }
 
 } // namespace Loomreach
--- a/Loomreach/Member/PeerTracker.h
+++ b/Loomreach/Member/PeerTracker.h
@@ -29,9 +29,9 @@
 
 	/// Processes a heartbeat message. Fails with replayed if it is not newer than the last one of its incarnation, or if the incarnation
 	/// has been replaced by a live one of the same name.
-	bool Hear(HeartbeatMessage inHeartbeat, Millis inNow);
+	bool OnHeartbeat(HeartbeatMessage inHeartbeat, Millis inNow);
 	/// Processes the log heartbeats of zones.
-	void HearLog(const FleetState &inState, Millis inNow);
+	void UpdateFromLog(const FleetState &inState, Millis inNow);
 	/// Whether a zone has written a recent log heartbeat: it reaches the platform even if it is not heard over UDP.
 	bool HasRecentLogHeartbeat(const std::string &inZone, Millis inNow) const;
 	/// Returns the peer, or nullptr if it has never been heard.
@@ -42,7 +42,7 @@
 	const HeartbeatMessage *LatestHeartbeatOf(const std::string &inZone, Millis inNow) const;
 	/// Whether a member of the view is considered live: in the own zone by its own heartbeat messages, in another zone by those of any
 	/// member of that zone.
-	bool IsHeard(const Member &inMember, Millis inNow) const;
+	bool IsConsideredLive(const Member &inMember, Millis inNow) const;
 	/// Time of a peer's last heartbeat message, if any.
 	std::optional<Millis> LastHeard(const std::string &inName) const;
 	/// Time of an incarnation's last heartbeat message, if any.
@@ -93,10 +93,10 @@
 	PlannerAssignment(const View &inView, const PeerTracker &inTracker, const std::string &inSelf, bool inSelfReachesPlatform,
 					  bool inSelfStopping, Millis inNow);
 	/// Whether this entry host is the assigned planner of a key, chosen from all availability zones.
-	bool IsMine(std::string_view inKey) const;
+	bool IsAssigned(std::string_view inKey) const;
 	/// Whether this entry host is the assigned planner of a key that belongs to an availability zone. If that zone has no eligible member,
 	/// the planner is chosen from the other zones.
-	bool IsMineIn(std::string_view inKey, const std::string &inZone) const;
+	bool IsAssignedInZone(std::string_view inKey, const std::string &inZone) const;
 	/// Availability zones of the view from which no recent heartbeat was received, by message or by log.
 	const std::set<std::string> &UnresponsiveZones() const { return this->unresponsive_zones; }
 
--- a/Loomreach/Member/ViewPlanner.h
+++ b/Loomreach/Member/ViewPlanner.h
@@ -26,7 +26,7 @@
 {
 public:
 	/// To be called in each round. Returns the start of the time without pauses longer than `inMaxGap` ms.
-	Millis Note(Millis inNow, Millis inMaxGap)
+	Millis Update(Millis inNow, Millis inMaxGap)
 	{
 		if (this->last == 0 || inNow - this->last > inMaxGap)
 			this->since = inNow;
--- a/Loomreach/Ownership/LogTypes.h
+++ b/Loomreach/Ownership/LogTypes.h
@@ -12,7 +12,7 @@
 struct LogName
 {
 	std::string topic;
-	uint32 part = 0;
+	uint32 partition = 0;
 
 	auto operator<=>(const LogName &) const = default;
 	bool operator==(const LogName &) const = default;
@@ -49,7 +49,7 @@
 {
 	std::string name;
 	uint64 epoch = 0;
-	uint64 number = 0; ///< Sequence number of this append within the epoch, from 0.
+	uint64 sequence = 0; ///< Sequence number of this append within the epoch, from 0.
 };
 
 /// One append. Atomic: either all records are appended, or none.
@@ -58,7 +58,7 @@
 	LogName log;
 	bool keyed = false;
 	std::vector<LogRecord> records;
-	std::optional<uint64> at; ///< Append only if the partition ends at this offset.
+	std::optional<uint64> expected_end; ///< Append only if the partition ends at this offset.
 	std::optional<Producer> producer;
 	Millis timeout_ms = 1000;
 };
--- a/Loomreach/Ownership/OwnedLog.inl
+++ b/Loomreach/Ownership/OwnedLog.inl
@@ -21,7 +21,7 @@
 template <JobLog Log>
 void OwnedLog<Log>::FailClaim(std::string_view inWhy)
 {
-	LogEvent(ELogLevel::Info, "claim_lost").Field("topic", this->name.topic).Field("part", this->name.part).Field("why", inWhy);
+	LogEvent(ELogLevel::Info, "claim_lost").Field("topic", this->name.topic).Field("part", this->name.partition).Field("why", inWhy);
 	const OnClaimed done = std::move(this->on_claimed);
 	done(false, this->records);
 }
@@ -82,7 +82,7 @@
 void OwnedLog<Log>::TryClaim()
 {
 	// The newest claim in the log is that of this process
-	if (this->epoch != 0 && this->newest_claim.by.life == this->process.life && this->newest_claim.epoch == this->epoch)
+	if (this->epoch != 0 && this->newest_claim.by.incarnation == this->process.incarnation && this->newest_claim.epoch == this->epoch)
 	{
 		this->number = 1;
 		const OnClaimed done = std::move(this->on_claimed);
@@ -95,7 +95,7 @@
 	call.log = this->name;
 	call.keyed = true;
 	call.records.push_back({std::string(cClaimKey), EncodeValue(ClaimRecord{this->process, this->epoch, this->heartbeat_number}), 0});
-	call.at = this->end;
+	call.expected_end = this->end;
 	call.producer = Producer{"owner", this->epoch, 0};
 	call.timeout_ms = cAppendTimeoutMs;
 	this->log.Append(call, this->Guard(
@@ -125,7 +125,7 @@
 		bytes += record.key.size() + record.value.size();
 	LogEvent(ELogLevel::Warning, "append_again")
 		.Field("topic", this->name.topic)
-		.Field("part", this->name.part)
+		.Field("part", this->name.partition)
 		.Field("result", NameOf(cAppendNames, inResult))
 		.Field("took_ms", NowMillis() - this->last_sent_at)
 		.Field("records", this->batch.size())
--- a/Loomreach/Ownership/OwnerTable.cpp
+++ b/Loomreach/Ownership/OwnerTable.cpp
@@ -29,8 +29,8 @@
 void OwnerTable::OnHeartbeat(const HostHeartbeat &inHeartbeat, Millis inNow)
 {
 	HeardHost &heard = this->hosts[inHeartbeat.host];
-	const bool same = heard.heartbeat.life == inHeartbeat.life && heard.heartbeat.number >= inHeartbeat.number;
-	const bool older = heard.heartbeat.life != inHeartbeat.life && heard.heartbeat.start > inHeartbeat.start;
+	const bool same = heard.heartbeat.incarnation == inHeartbeat.incarnation && heard.heartbeat.number >= inHeartbeat.number;
+	const bool older = heard.heartbeat.incarnation != inHeartbeat.incarnation && heard.heartbeat.start > inHeartbeat.start;
 	if (!heard.heartbeat.host.empty() && (same || older))
 		return;
 	const bool unchanged = heard.heartbeat.host == inHeartbeat.host && heard.heartbeat.cells.size() == inHeartbeat.cells.size() &&
@@ -74,7 +74,8 @@
 std::optional<CellOwner> OwnerTable::OwnerOf(uint32 inCell, Millis inNow) const
 {
 	std::optional<CellOwner> owner = this->LastOwnerOf(inCell);
-	if (owner.has_value() && inNow - this->hosts.at(owner->host).at > this->LeaseOf(this->hosts.at(owner->host)) + this->tuning.beat_ms)
+	if (owner.has_value() &&
+		inNow - this->hosts.at(owner->host).at > this->LeaseOf(this->hosts.at(owner->host)) + this->tuning.heartbeat_interval_ms)
 		return std::nullopt;
 	return owner;
 }
@@ -111,7 +112,7 @@
 		const HostHeartbeat &heartbeat = heard.heartbeat;
 		if (name != this->self && heartbeat.claims && heartbeat.cells.empty() && !heartbeat.short_of_processor_time &&
 			this->IsLive(heard, inNow))
-			idle.push_back({heartbeat.availability_zone, heartbeat.address, heartbeat.life});
+			idle.push_back({heartbeat.availability_zone, heartbeat.address, heartbeat.incarnation});
 	}
 	return idle;
 }
@@ -144,14 +145,14 @@
 
 bool OwnerTable::IsLive(const HeardHost &inHeard, Millis inNow) const
 {
-	return inNow - inHeard.at <= std::max(this->LeaseOf(inHeard), cHeartbeatsUntilUnresponsive * inHeard.heartbeat.every_ms);
+	return inNow - inHeard.at <= std::max(this->LeaseOf(inHeard), cHeartbeatsUntilUnresponsive * inHeard.heartbeat.interval_ms);
 }
 
 std::vector<std::string> OwnerTable::UnresponsiveFor(Millis inMillis, Millis inNow) const
 {
 	std::vector<std::string> silent;
 	for (const auto &[name, heard] : this->hosts)
-		if (name != this->self && inNow - heard.at > std::max(inMillis, cHeartbeatsUntilUnresponsive * heard.heartbeat.every_ms))
+		if (name != this->self && inNow - heard.at > std::max(inMillis, cHeartbeatsUntilUnresponsive * heard.heartbeat.interval_ms))
 			silent.push_back(name);
 	return silent;
 }
@@ -249,9 +250,10 @@
 Millis OwnerTable::IdleInterval(Millis inNow) const
 {
 	if (this->IsCandidateSuccessor(inNow))
-		return this->tuning.beat_ms;
+		return this->tuning.heartbeat_interval_ms;
 	// There is no upper bound: with twice the hosts, each of which reads all the others, the total would be four times as large
-	return std::max(this->tuning.beat_ms, static_cast<Millis>(this->LiveHostCount(inNow)) * this->tuning.idle_interval_per_host_ms);
+	return std::max(this->tuning.heartbeat_interval_ms,
+					static_cast<Millis>(this->LiveHostCount(inNow)) * this->tuning.idle_interval_per_host_ms);
 }
 
 Millis OwnerTable::ReadInterval(bool inOwner, Millis inNow) const
@@ -303,7 +305,7 @@
 		if (newest.start > claim.by.start)
 			return false;
 		// Sent after the claim and without the cell: the cell was released
-		if (newest.life == claim.by.life && newest.number > claim.heartbeat_number)
+		if (newest.incarnation == claim.by.incarnation && newest.number > claim.heartbeat_number)
 			return false;
 	}
 	// A claim that no heartbeat has listed yet may have been made just now
@@ -384,8 +386,8 @@
 			++rank;
 		const Millis since = this->free_since.try_emplace(cell, inNow).first->second;
 		// After a restart, the heartbeats of the hosts' earlier processes can still be read
-		const Millis first_wait = first_start && !this->WasOwned(cell) ? this->tuning.first_claim_ms : 0;
-		const Millis wait = static_cast<Millis>(rank) * this->tuning.rank_ms + first_wait;
+		const Millis first_wait = first_start && !this->WasOwned(cell) ? this->tuning.first_claim_delay_ms : 0;
+		const Millis wait = static_cast<Millis>(rank) * this->tuning.rank_delay_ms + first_wait;
 		const bool claims_now = rank < order.size() && inNow - since >= wait;
 		if (!order.empty())
 		{
--- a/Loomreach/Ownership/OwnerTable.h
+++ b/Loomreach/Ownership/OwnerTable.h
@@ -19,7 +19,7 @@
 	Millis lease_ms = 2000; ///< Longest lease that an owner may announce. Setting `owner_lease_ms`.
 	/// The owner stops this long before its lease ends: covers a freeze of 300 ms (users' figure), and clocks that are 2% apart.
 	Millis slack_ms = 300;
-	Millis beat_ms = 500;                  ///< Interval between heartbeats of an owner.
+	Millis heartbeat_interval_ms = 500;    ///< Interval between heartbeats of an owner.
 	Millis idle_interval_per_host_ms = 30; ///< Interval between heartbeats of a host without cells, for each host that there is.
 	Millis read_interval_per_host_ms = 30; ///< Interval between its reads of the heartbeats of the others, for each host that there is.
 	Millis min_read_interval_ms = 500;     ///< Shortest interval between such reads; that of owners.
@@ -29,9 +29,9 @@
 	uint32 candidate_successors = 10;
 	/// A cell is handed over only after its owner has been overloaded this long: short imbalances cause no move.
 	Millis hand_over_after_ms = 2000;
-	Millis rank_ms = 350; ///< A challenger waits this long for each host that ranks before it.
+	Millis rank_delay_ms = 350; ///< A challenger waits this long for each host that ranks before it.
 	/// Wait for a cell that was never owned, on the first start of the fleet, when hosts hear of each other one by one.
-	Millis first_claim_ms = 0;
+	Millis first_claim_delay_ms = 0;
 };
 
 /// A cell that a host owns.
@@ -52,7 +52,7 @@
 struct HostHeartbeat
 {
 	std::string host;
-	uint64 life = 0; ///< Incarnation: differs for each process of the host.
+	uint64 incarnation = 0; ///< Incarnation: differs for each process of the host.
 	/// Start count of the host, which orders its processes: their heartbeats are in several partitions and read in any order.
 	uint64 start = 0;
 	uint64 number = 0;                    ///< Sequence number within the incarnation.
@@ -61,15 +61,15 @@
 	bool claims = true;                   ///< Whether the host takes cells; false while it stops.
 	bool short_of_processor_time = false; ///< Whether it ran out of processor time recently: it then counts as owner of one cell more.
 	std::string availability_zone;
-	Millis every_ms = 0; ///< Time until its next heartbeat is due.
-	Millis lease_ms = 0; ///< Lease that this heartbeat renews; 0: the longest.
+	Millis interval_ms = 0; ///< Time until its next heartbeat is due.
+	Millis lease_ms = 0;    ///< Lease that this heartbeat renews; 0: the longest.
 	std::vector<OwnedCell> cells;
 
 	template <class Archive>
 	void serialize(Archive &ioArchive)
 	{
-		ioArchive(this->host, this->life, this->start, this->number, this->address, this->weight, this->claims,
-				  this->short_of_processor_time, this->availability_zone, this->every_ms, this->lease_ms, this->cells);
+		ioArchive(this->host, this->incarnation, this->start, this->number, this->address, this->weight, this->claims,
+				  this->short_of_processor_time, this->availability_zone, this->interval_ms, this->lease_ms, this->cells);
 	}
 };
 
@@ -82,13 +82,13 @@
 struct HostProcess
 {
 	std::string host;
-	uint64 life = 0;  ///< As in its heartbeats.
-	uint64 start = 0; ///< As in its heartbeats. A heartbeat with a later start shows that this process has ended.
+	uint64 incarnation = 0; ///< As in its heartbeats.
+	uint64 start = 0;       ///< As in its heartbeats. A heartbeat with a later start shows that this process has ended.
 
 	template <class Archive>
 	void serialize(Archive &ioArchive)
 	{
-		ioArchive(this->host, this->life, this->start);
+		ioArchive(this->host, this->incarnation, this->start);
 	}
 };
 
@@ -120,7 +120,7 @@
 {
 	std::string availability_zone;
 	Address address;
-	uint64 life = 0;
+	uint64 incarnation = 0;
 
 	bool operator==(const IdleHost &) const = default;
 };
--- a/Loomreach/Ownership/StoreBudget.cpp
+++ b/Loomreach/Ownership/StoreBudget.cpp
@@ -23,7 +23,7 @@
 	return TimeFor(static_cast<int64>(inHosts) * inCalls, this->limits.reads_per_s, cSharePercent);
 }
 
-Millis StoreBudget::Spread(size_t inHosts, size_t inBytes) const
+Millis StoreBudget::SpreadTime(size_t inHosts, size_t inBytes) const
 {
 	return TimeFor(static_cast<int64>(inHosts * inBytes), this->limits.read_kb_per_s * cBytesPerKb, cSharePercent);
 }
--- a/Loomreach/Ownership/StoreBudget.h
+++ b/Loomreach/Ownership/StoreBudget.h
@@ -26,7 +26,7 @@
 	/// Time between two rounds of `inCalls` reads, made by each of `inHosts` hosts, ms.
 	Millis RoundInterval(size_t inHosts, uint32 inCalls) const;
 	/// Time over which `inHosts` hosts should spread their reads of the same `inBytes`, ms.
-	Millis Spread(size_t inHosts, size_t inBytes) const;
+	Millis SpreadTime(size_t inHosts, size_t inBytes) const;
 
 private:
 	/// Percent of a limit that one purpose may use: searches for free cells, a new configuration and the reads of a takeover may
--- a/Loomreach/Platform/HttpClient.cpp
+++ b/Loomreach/Platform/HttpClient.cpp
@@ -237,7 +237,7 @@
 
 void HttpClient::CloseIdleConnections(Peer &ioPeer)
 {
-	ioPeer.response_times.OnGivenUp();
+	ioPeer.response_times.OnConnectionsClosed();
 	// libcurl notices the shutdown before it uses one of them
 	for (curl_socket_t idle : ioPeer.idle_sockets)
 		shutdown(idle, SHUT_RDWR);
@@ -328,7 +328,7 @@
 	if (!pending->opened)
 		pending->peer->response_times.OnSent(pending, pending->wait_ms, pending->sent_at);
 	else
-		pending->peer->response_times.OnOver(pending);
+		pending->peer->response_times.OnFinished(pending);
 	pending->client->StartOverdueTimer(pending->peer->response_times.OverdueAt());
 	return CURL_PREREQFUNC_OK;
 }
@@ -389,7 +389,7 @@
 	std::unique_ptr<Pending> pending = std::move(found->second);
 	this->in_flight.erase(found);
 	this->deadlines.erase({pending->deadline, inEasy});
-	pending->peer->response_times.OnOver(pending.get());
+	pending->peer->response_times.OnFinished(pending.get());
 	curl_multi_remove_handle(this->multi, inEasy);
 	return pending;
 }
--- a/Loomreach/Platform/ResponseTimeTracker.cpp
+++ b/Loomreach/Platform/ResponseTimeTracker.cpp
@@ -23,7 +23,7 @@
 
 void ResponseTimeTracker::OnSent(Key inCall, Millis inWaitMs, Millis inNow)
 {
-	this->OnOver(inCall);
+	this->OnFinished(inCall);
 	this->expected.emplace_back(inNow + inWaitMs + this->AnswerTimeout(), inCall);
 }
 
@@ -33,12 +33,12 @@
 	this->typical_ms += difference * (difference > 0 ? cSlowerWeight : cFasterWeight);
 }
 
-void ResponseTimeTracker::OnOver(Key inCall)
+void ResponseTimeTracker::OnFinished(Key inCall)
 {
 	std::erase_if(this->expected, [inCall](const auto &inExpected) { return inExpected.second == inCall; });
 }
 
-void ResponseTimeTracker::OnGivenUp()
+void ResponseTimeTracker::OnConnectionsClosed()
 {
 	this->expected.clear();
 	const double increased = std::min(static_cast<double>(this->AnswerTimeout()) * cBackoff, static_cast<double>(cMaxBackoffMs));
--- a/Loomreach/Platform/ResponseTimeTracker.h
+++ b/Loomreach/Platform/ResponseTimeTracker.h
@@ -23,14 +23,14 @@
 	/// A call without a wait was answered, `inTookMs` after it was sent.
 	void OnAnswered(Millis inTookMs);
 	/// A call has ended, with an answer or without.
-	void OnOver(Key inCall);
+	void OnFinished(Key inCall);
 	/// Whether the answer to a call is expected over a kept connection, and no connections were closed since the call was sent.
 	bool IsExpected(Key inCall) const;
 	/// When the first of the expected answers becomes overdue; nothing if none is expected.
 	std::optional<Millis> OverdueAt() const;
 	/// The kept connections have just been closed: calls sent before say nothing about the connections that are open now. Until answers
 	/// arrive again, the next ones get twice the time, so that a server that is only slow does not get more and more repeated calls.
-	void OnGivenUp();
+	void OnConnectionsClosed();
 
 private:
 	/// Time after which an answer is overdue, ms.
--- a/Loomreach/Request/ClaimTable.cpp
+++ b/Loomreach/Request/ClaimTable.cpp
@@ -89,7 +89,7 @@
 	return all;
 }
 
-void ClaimTable::TakeIn(uint32 inRange, const std::vector<Claim> &inClaims, Millis inNow)
+void ClaimTable::ImportClaims(uint32 inRange, const std::vector<Claim> &inClaims, Millis inNow)
 {
 	for (const Claim &claim : inClaims)
 	{
@@ -100,7 +100,7 @@
 	}
 }
 
-std::vector<std::pair<uint32, std::string>> ClaimTable::Missing() const
+std::vector<std::pair<uint32, std::string>> ClaimTable::MissingRanges() const
 {
 	std::vector<std::pair<uint32, std::string>> missing;
 	for (uint32 range = 0; range < cClaimRanges; ++range)
--- a/Loomreach/Request/ClaimTable.h
+++ b/Loomreach/Request/ClaimTable.h
@@ -53,9 +53,9 @@
 	/// applied that view or a later one.
 	std::optional<std::vector<Claim>> HandOver(uint32 inRange, uint64 inView) const;
 	/// Stores claims that a holder has handed over.
-	void TakeIn(uint32 inRange, const std::vector<Claim> &inClaims, Millis inNow);
+	void ImportClaims(uint32 inRange, const std::vector<Claim> &inClaims, Millis inNow);
 	/// Ranges whose group this member belongs to under its view and that it does not hold yet, each with a holder to ask.
-	std::vector<std::pair<uint32, std::string>> Missing() const;
+	std::vector<std::pair<uint32, std::string>> MissingRanges() const;
 	size_t Size() const { return this->size; }
 
 private:
--- a/Loomreach/Request/Dispatcher.cpp
+++ b/Loomreach/Request/Dispatcher.cpp
@@ -246,7 +246,7 @@
 	if (auto queue = this->queues.find(found->second.spec.job); queue != this->queues.end())
 	{
 		this->Dequeue(found->second);
-		if (AnswerOf(inError).come_back)
+		if (AnswerOf(inError).retryable)
 		{
 			// The caller should retry when the requests that wait now have been started
 			const Millis wait = this->ExpectedWait(queue->second, queue->second.waiting.size());
--- a/Loomreach/Schedule/Advice.h
+++ b/Loomreach/Schedule/Advice.h
@@ -8,7 +8,7 @@
 {
 
 /// Request: which of these workers may run this step.
-struct AdviceQuestion
+struct AdviceRequest
 {
 	std::string job;
 	uint32 round = 0;
@@ -29,7 +29,7 @@
 struct Ticket
 {
 	std::string text;
-	Millis good_until = 0;
+	Millis valid_until = 0;
 };
 
 /// The adviser's answers for one step.
--- a/Loomreach/Schedule/ArrivalRate.cpp
+++ b/Loomreach/Schedule/ArrivalRate.cpp
@@ -9,7 +9,7 @@
 namespace Loomreach::Jobs
 {
 
-void ArrivalRate::Note(Millis inNow, int64 inWork)
+void ArrivalRate::AddJob(Millis inNow, int64 inWork)
 {
 	this->arrived.push_back(inNow);
 	++this->jobs;
--- a/Loomreach/Schedule/ArrivalRate.h
+++ b/Loomreach/Schedule/ArrivalRate.h
@@ -14,7 +14,7 @@
 {
 public:
 	/// Adds an arrived job. `inWork`: its total work, thousandths of a core times seconds.
-	void Note(Millis inNow, int64 inWork);
+	void AddJob(Millis inNow, int64 inWork);
 	/// Predicted work per second at `inLead` ms from now, thousandths of a core.
 	int64 Forecast(Millis inLead, Millis inNow);
 
--- a/Loomreach/Schedule/Catalogue.h
+++ b/Loomreach/Schedule/Catalogue.h
@@ -10,9 +10,9 @@
 /// Policy of a queue whose steps only run on workers that the adviser admits.
 struct AdvicePolicy
 {
-	Millis decide_ms = 0; ///< Fixed time of a call to the adviser.
-	Millis each_ms = 0;   ///< Additional time for each worker in the call.
-	Millis valid_ms = 0;  ///< Validity of a ticket.
+	Millis base_ms = 0;       ///< Fixed time of a call to the adviser.
+	Millis per_worker_ms = 0; ///< Additional time for each worker in the call.
+	Millis valid_ms = 0;      ///< Validity of a ticket.
 };
 
 /// A queue, to which callers submit jobs.
@@ -34,8 +34,8 @@
 struct Pool
 {
 	std::string name;
-	bool guards_capacity = false; ///< Workers reject runs beyond their capacity; otherwise they start every run.
-	bool spare = false;           ///< Pool of unused hosts, which are off and cost nothing.
+	bool enforces_capacity = false; ///< Workers reject runs beyond their capacity; otherwise they start every run.
+	bool spare = false;             ///< Pool of unused hosts, which are off and cost nothing.
 };
 
 /// A team, which submits jobs with any of its keys and pays for them.
@@ -43,7 +43,7 @@
 {
 	std::string name;
 	std::vector<std::string> keys; ///< Secrets; must not appear in log lines.
-	Resources at_most;             ///< Limit of the resources of its runs over all pools; 0: no limit.
+	Resources limit;               ///< Limit of the resources of its runs over all pools; 0: no limit.
 	int64 weight = 0;              ///< Its share under full load, jobs a second; 0: not given.
 };
 
--- a/Loomreach/Schedule/Cell.cpp
+++ b/Loomreach/Schedule/Cell.cpp
@@ -133,7 +133,7 @@
 	worker.entry.id = inWorker;
 	worker.listed = false;
 	worker.location_logged = true;
-	worker.born_ms = *born;
+	worker.started_ms = *born;
 	worker.logged_started_ms = *born;
 	return true;
 }
@@ -159,7 +159,7 @@
 	this->epoch = inEpoch;
 	this->run_events.Begin(inCell, inEpoch);
 	this->replicator.Begin(inCell, inEpoch);
-	this->leases.Begin(this->tuning.lease_ms, this->tuning.most_lease_ms, inNow);
+	this->leases.Begin(this->tuning.lease_ms, this->tuning.max_lease_ms, inNow);
 	for (auto it = this->jobs.begin(); it != this->jobs.end();)
 	{
 		CellJob &job = it->second;
@@ -213,7 +213,7 @@
 				worker.listed = false;
 				worker.unlisted_at = inNow;
 				// A previous owner may have extended the lease just now
-				worker.lease_expires_at = inNow + LongestLease(this->leases.Longest(inNow));
+				worker.lease_expires_at = inNow + LongestLease(this->leases.LongestGranted(inNow));
 				const size_t steps = ioJob.spec.steps.size();
 				const RunId id{{ioJob.spec.id, static_cast<uint32>(unit / steps), static_cast<uint32>(unit % steps), index}, run.run};
 				Run inherited = NewRun(ioJob.spec, step, ERunState::Inherited, inNow);
@@ -250,7 +250,7 @@
 				.Field("pool", entry.pool)
 				.Field("cpu_milli", entry.capacity.cpu_milli)
 				.Field("rack", entry.rack)
-				.Field("born_ms", entry.born_ms)
+				.Field("born_ms", entry.started_ms)
 				.Field("clock_ms", entry.clock_ms);
 	}
 	for (auto it = this->workers.begin(); it != this->workers.end();)
@@ -393,7 +393,7 @@
 	for (size_t unit = 0; unit < job.volatile_state.size(); ++unit)
 		job.volatile_state[unit].resize(job.record.steps[unit].tasks.size());
 	job.arrived_at = inNow;
-	this->arrivals[job.spec.pool].Note(inNow, this->WorkLeft(job));
+	this->arrivals[job.spec.pool].AddJob(inNow, this->WorkLeft(job));
 	this->MarkChanged(job);
 	LogEvent(ELogLevel::Info, "job_taken")
 		.Field("request", id)
@@ -402,14 +402,14 @@
 		.Field("team", job.spec.team)
 		.Field("steps", job.spec.steps.size())
 		.Field("tasks", job.spec.steps[0].count)
-		.Field("cpu_milli", job.spec.steps[0].need.cpu_milli)
-		.Field("memory_mb", job.spec.steps[0].need.memory_mb)
+		.Field("cpu_milli", job.spec.steps[0].requested.cpu_milli)
+		.Field("memory_mb", job.spec.steps[0].requested.memory_mb)
 		.Field("estimates_ms", EstimatesText(job.spec))
 		.Field("due_ms", this->DueWall(job) - job.spec.accepted_wall_ms)
-		.Field("lasting", job.spec.steps[0].lasting ? 1 : 0)
-		.Field("fills", job.spec.steps.back().fills ? 1 : 0)
-		.Field("target_ms", job.spec.steps[0].target_ms)
-		.Field("may_miss", job.spec.steps[0].limits_unavailable ? static_cast<int64>(job.spec.steps[0].may_miss) : -1)
+		.Field("lasting", job.spec.steps[0].long_running ? 1 : 0)
+		.Field("fills", job.spec.steps.back().best_effort ? 1 : 0)
+		.Field("target_ms", job.spec.steps[0].latency_target_ms)
+		.Field("may_miss", job.spec.steps[0].limits_unavailable ? static_cast<int64>(job.spec.steps[0].max_unavailable) : -1)
 		.Field("offset", inOffset)
 		.Field("age_ms", inWallNow - job.spec.accepted_wall_ms);
 }
@@ -495,8 +495,8 @@
 		// While ends of a previous incarnation may still be submitted, a successor must wait for them too
 		const bool awaits_ends =
 			std::any_of(worker.runs.begin(), worker.runs.end(), [](const auto &inRun) { return inRun.second.predecessor_wait_until > 0; });
-		if (!awaits_ends && std::exchange(worker.logged_started_ms, worker.born_ms) != worker.born_ms)
-			outBatch.push_back({cIncarnationKey + id, EncodeValue(worker.born_ms)});
+		if (!awaits_ends && std::exchange(worker.logged_started_ms, worker.started_ms) != worker.started_ms)
+			outBatch.push_back({cIncarnationKey + id, EncodeValue(worker.started_ms)});
 	}
 }
 
@@ -537,7 +537,7 @@
 		this->run_times_written_wall_ms = inWallNow;
 		batch.push_back({std::string(cTimesKey), EncodeValue(this->run_times)});
 	}
-	if (const std::optional<Millis> lease = this->leases.ToLog(this->now))
+	if (const std::optional<Millis> lease = this->leases.LeaseToLog(this->now))
 	{
 		this->leases.OnWriting(*lease);
 		batch.push_back({std::string(cLeaseKey), EncodeValue(*lease)});
@@ -578,9 +578,9 @@
 	if (ioWorker.appending_seq <= ioWorker.logged_seq)
 		return;
 	ioWorker.ends_logged_at = this->now;
-	this->run_events.Logged(ioWorker.entry.id, ioWorker.logged_seq + 1, ioWorker.appending_seq);
+	this->run_events.AddPersisted(ioWorker.entry.id, ioWorker.logged_seq + 1, ioWorker.appending_seq);
 	ioWorker.logged_seq = ioWorker.appending_seq;
-	std::erase_if(ioWorker.unlogged_ends, [&ioWorker](const EndedRun &inRow) { return inRow.number <= ioWorker.logged_seq; });
+	std::erase_if(ioWorker.unlogged_ends, [&ioWorker](const EndedRun &inRow) { return inRow.sequence <= ioWorker.logged_seq; });
 }
 
 void Cell::OnAppended(Millis inNow)
@@ -658,7 +658,7 @@
 	return true;
 }
 
-CellCounts Cell::Figures() const
+CellCounts Cell::Counts() const
 {
 	CellCounts figures;
 	figures.jobs = this->jobs.size();
--- a/Loomreach/Schedule/Cell.h
+++ b/Loomreach/Schedule/Cell.h
@@ -74,7 +74,7 @@
 	/// Ends that workers have reported and the log lacks. When this owner is lost, only its successor can record them.
 	std::vector<EndReport> UnloggedEnds() const;
 	/// Next update for the hosts that replicate this cell's ends. Call after answers and appends, before waiting, until it returns nothing.
-	std::optional<RunEndsUpdate> TakeEndsUpdate(Millis inNow) { return this->replicator.Take(inNow); }
+	std::optional<RunEndsUpdate> TakeEndsUpdate(Millis inNow) { return this->replicator.TakeUpdate(inNow); }
 	/// Inbox records before this position have been removed unread.
 	void SkipInbox(uint64 inFirst) { this->inbox_next = std::max(this->inbox_next, inFirst); }
 	/// Position from which to read the inbox.
@@ -93,12 +93,12 @@
 	/// Result of an order that was sent at `inSentAt`.
 	void OnAnswer(const Order &inOrder, const OrderAnswer &inAnswer, Millis inSentAt, Millis inNow);
 
-	/// Questions for the adviser from the last planning passes.
-	std::vector<AdviceQuestion> TakeAdvice() { return std::exchange(this->advice_questions, {}); }
-	void OnAdvice(const AdviceQuestion &inQuestion, const AdviceAnswer &inAnswer, Millis inNow);
+	/// Requests to the adviser from the last planning passes.
+	std::vector<AdviceRequest> TakeAdvice() { return std::exchange(this->advice_requests, {}); }
+	void OnAdvice(const AdviceRequest &inRequest, const AdviceAnswer &inAnswer, Millis inNow);
 
 	/// When to ask for team shares next, and the question; nothing: no team has a limit.
-	Millis NextSharesAt() const { return this->teams.NextAskAt(!this->teams_at_limit.empty()); }
+	Millis NextSharesAt() const { return this->teams.NextQuestionAt(!this->teams_at_limit.empty()); }
 	std::optional<ShareQuestion> AskShares(Millis inNow, int64 inWallNow);
 	void OnShares(const ShareAnswer &inAnswer, Millis inNow);
 
@@ -107,20 +107,20 @@
 	/// Number of accepted jobs of a queue with no started task.
 	uint32 Waiting(std::string_view inQueue) const;
 	/// Starts draining a worker for maintenance. True if it is empty and will stay so for the next `inForMs`.
-	bool Vacate(const std::string &inWorker, Millis inForMs, Millis inNow);
+	bool DrainWorker(const std::string &inWorker, Millis inForMs, Millis inNow);
 	/// Demand of a pool, and up to `inSpare` of its workers that are empty and will stay so for the next `inForMs`.
 	PoolDemand Demand(const std::string &inPool, uint32 inSpare, Millis inForMs, Millis inNow, int64 inWallNow);
 	/// The hosts of these workers were moved or taken down: nothing is started on them until they have left the worker list.
-	void NoteLeft(const std::vector<std::string> &inWorkers, Millis inNow);
+	void OnWorkersRemoved(const std::vector<std::string> &inWorkers, Millis inNow);
 	/// A planned hand-over follows: from now on no drain is granted.
-	void Retire() { this->retiring = true; }
+	void BeginHandOver() { this->retiring = true; }
 	/// Whether a successor may take over at once: all reported ends are in the log, and no drain grant is in force.
 	bool CanHandOver(Millis inNow) const;
-	CellCounts Figures() const;
+	CellCounts Counts() const;
 	/// Whether the last planning pass found too little capacity for some task.
 	bool IsShort() const { return !this->capacity_rejects.empty(); }
 	/// Whether the next append has something to write.
-	bool HasNews() const { return this->unwritten_changes; }
+	bool HasUnwrittenChanges() const { return this->unwritten_changes; }
 
 private:
 	friend class CellProbe;
@@ -371,7 +371,7 @@
 	int64 run_times_written_wall_ms = 0;         ///< When they were last logged.
 	std::map<std::string, ArrivalRate> arrivals; ///< By pool.
 	std::vector<Order> throttle_orders;
-	std::vector<AdviceQuestion> advice_questions;
+	std::vector<AdviceRequest> advice_requests;
 	bool inbox_fresh = true; ///< See SetInboxFresh.
 	uint64 inbox_next = 0;
 	uint64 inbox_to_write = 0; ///< Position reached once the current series is in the log.
@@ -382,7 +382,7 @@
 	std::set<TaskId> awaiting_suspects;    ///< Tasks delayed until their other suspects are decided on.
 	std::set<std::string> trial_racks;     ///< Racks with an open trial run. The loss of two workers of a rack at once would prove nothing.
 	Millis draining_until = 0;             ///< Until then some worker is being drained for maintenance.
-	bool retiring = false;                 ///< See Retire.
+	bool retiring = false;                 ///< See BeginHandOver.
 	bool unwritten_changes = false;
 	bool batch_under_way = false;
 	Millis batch_at = 0;      ///< When the batch was taken.
--- a/Loomreach/Schedule/CellAdvice.cpp
+++ b/Loomreach/Schedule/CellAdvice.cpp
@@ -10,8 +10,8 @@
 
 /// Remaining validity that a ticket needs to cover the append and the order: two slow answers of the store.
 static constexpr Millis cTicketSlackMs = 500;
-static constexpr size_t cMaxWorkersPerQuestion = 10; ///< Each worker in a question takes the adviser time.
-static constexpr Millis cAdviceRetryMs = 250;        ///< Delay after an unanswered question.
+static constexpr size_t cMaxWorkersPerRequest = 10; ///< Each worker in a request takes the adviser time.
+static constexpr Millis cAdviceRetryMs = 250;       ///< Delay after an unanswered request.
 
 bool Cell::HasTicket(const CellJob &inJob, size_t inUnit, const std::string &inWorker, Millis inNow)
 {
@@ -19,7 +19,7 @@
 	if (advice == inJob.advice.end())
 		return false;
 	auto ticket = advice->second.tickets.find(inWorker);
-	return ticket != advice->second.tickets.end() && inNow + cTicketSlackMs < ticket->second.good_until;
+	return ticket != advice->second.tickets.end() && inNow + cTicketSlackMs < ticket->second.valid_until;
 }
 
 void Cell::AskAdvice(CellJob &ioJob, size_t inUnit, Millis inNow)
@@ -39,47 +39,47 @@
 	if (candidates.empty())
 		return;
 	std::sort(candidates.begin(), candidates.end());
-	AdviceQuestion question;
-	question.job = ioJob.spec.id;
-	question.round = static_cast<uint32>(inUnit / ioJob.spec.steps.size());
-	question.step = static_cast<uint32>(inUnit % ioJob.spec.steps.size());
+	AdviceRequest request;
+	request.job = ioJob.spec.id;
+	request.round = static_cast<uint32>(inUnit / ioJob.spec.steps.size());
+	request.step = static_cast<uint32>(inUnit % ioJob.spec.steps.size());
 	for (const auto &[score, id] : candidates)
-		if (question.workers.size() < cMaxWorkersPerQuestion)
-			question.workers.push_back(id);
+		if (request.workers.size() < cMaxWorkersPerRequest)
+			request.workers.push_back(id);
 	const Queue *queue = nullptr;
 	if (this->catalogue != nullptr)
 		for (const Queue &candidate : this->catalogue->queues)
 			if (candidate.name == ioJob.spec.queue)
 				queue = &candidate;
 	if (queue != nullptr && queue->advice.has_value())
-		question.expect_ms = queue->advice->decide_ms + queue->advice->each_ms * static_cast<Millis>(question.workers.size());
+		request.expect_ms = queue->advice->base_ms + queue->advice->per_worker_ms * static_cast<Millis>(request.workers.size());
 	advice.asked = true;
 	LogEvent(ELogLevel::Info, "advice_asked")
-		.Field("request", question.job)
-		.Field("step", question.step)
-		.Field("workers", question.workers.size());
-	this->advice_questions.push_back(std::move(question));
+		.Field("request", request.job)
+		.Field("step", request.step)
+		.Field("workers", request.workers.size());
+	this->advice_requests.push_back(std::move(request));
 }
 
-void Cell::OnAdvice(const AdviceQuestion &inQuestion, const AdviceAnswer &inAnswer, Millis inNow)
+void Cell::OnAdvice(const AdviceRequest &inRequest, const AdviceAnswer &inAnswer, Millis inNow)
 {
-	CellJob *job = this->FindJob(inQuestion.job);
+	CellJob *job = this->FindJob(inRequest.job);
 	if (job == nullptr)
 		return;
-	StepAdvice &advice = job->advice[job->Unit(inQuestion.round, inQuestion.step)];
+	StepAdvice &advice = job->advice[job->Unit(inRequest.round, inRequest.step)];
 	advice.asked = false;
 	LogEvent(ELogLevel::Info, "advice")
-		.Field("request", inQuestion.job)
-		.Field("step", inQuestion.step)
+		.Field("request", inRequest.job)
+		.Field("step", inRequest.step)
 		.Field("answered", inAnswer.answered ? 1 : 0)
 		.Field("good", inAnswer.tickets.size())
-		.Field("named", inQuestion.workers.size());
+		.Field("named", inRequest.workers.size());
 	if (!inAnswer.answered)
 	{
 		advice.ask_after = inNow + cAdviceRetryMs;
 		return;
 	}
-	for (const std::string &worker : inQuestion.workers)
+	for (const std::string &worker : inRequest.workers)
 	{
 		auto ticket = inAnswer.tickets.find(worker);
 		if (ticket == inAnswer.tickets.end())
--- a/Loomreach/Schedule/CellCrashes.cpp
+++ b/Loomreach/Schedule/CellCrashes.cpp
@@ -105,7 +105,7 @@
 }
 
 /// Whether a task's crash counts call for a trial run.
-static bool WarrantsTrial(const TaskCrashes &inCrashes) { return inCrashes.blamed > 0 || inCrashes.beside >= cUnblamedCrashesForTrial; }
+static bool WarrantsTrial(const TaskCrashes &inCrashes) { return inCrashes.blamed > 0 || inCrashes.bystander >= cUnblamedCrashesForTrial; }
 
 CrashCounts::key_type Cell::CrashKey(const CellJob &inJob, const TaskId &inTask)
 {
@@ -143,7 +143,7 @@
 	ioWorker.open_trials = 0;
 	for (auto &[id, run] : ioWorker.runs)
 	{
-		if (run.lasting && !run.blame_exempt && SurvivedMs(ioWorker, run) >= cBlameExemptAfterMs)
+		if (run.long_running && !run.blame_exempt && SurvivedMs(ioWorker, run) >= cBlameExemptAfterMs)
 		{
 			run.blame_exempt = true;
 			this->ClearCrashes(ioWorker, id);
@@ -213,7 +213,7 @@
 {
 	Millis &since = ioJob.volatile_state[inUnit][inTask].trial_wanted_since;
 	since = since < 0 ? inNow : since;
-	const Resources reserved = ioJob.StepOf(inUnit).Room();
+	const Resources reserved = ioJob.StepOf(inUnit).Reserved();
 	const auto [available, reserved_count] = this->WorkersForTrials(ioJob.spec.pool, inNow);
 	CellWorker *emptiest = nullptr;
 	for (CellWorker *worker : available)
@@ -322,13 +322,13 @@
 {
 	const CellJob *job = this->FindJob(inSuspect.job);
 	if (job == nullptr || inSuspect.unit >= job->record.steps.size())
-		return ESuspectState::Open;
+		return ESuspectState::Undecided;
 	const bool proved =
 		std::any_of(job->crashes.begin(), job->crashes.end(),
 					[&inSuspect](const auto &inCounted) { return inCounted.first.first == inSuspect.unit && inCounted.second.proved; });
 	if (proved)
 		return ESuspectState::Proved;
-	return this->HasSurvivedStart(*job, inSuspect.unit) ? ESuspectState::Cleared : ESuspectState::Open;
+	return this->HasSurvivedStart(*job, inSuspect.unit) ? ESuspectState::Cleared : ESuspectState::Undecided;
 }
 
 CrashSummary Cell::WeightOf(const TaskCrashes &inCrashes)
@@ -361,25 +361,25 @@
 	// when it was lost
 	const bool by_others = inChance && run.trial != ETrial::None;
 	const bool tells_nothing = by_others || run.confirmed_at < 0 || !IsLossTimeKnown(ioWorker);
-	++(tells_nothing ? crashes.beside : crashes.blamed);
+	++(tells_nothing ? crashes.bystander : crashes.blamed);
 	const bool at_once = !inChance && Cell::CrashedRightAfterStart(ioWorker, run);
-	crashes.at_once += at_once ? 1 : 0;
+	crashes.after_start += at_once ? 1 : 0;
 	crashes.cases.push_back({!tells_nothing, at_once, inChance, this->OtherSuspects(inSuspects, inRun)});
 	this->MarkChanged(job);
 	const CrashSummary weight = this->WeightOf(crashes);
 	const bool only_suspect = inSuspects.size() == 1;
 	// Recent crashes without a recent start suggest that this one is random as well
 	ChanceIndicators indicators;
-	indicators.workers_crash =
+	indicators.other_workers_crashed =
 		std::any_of(this->recent_losses.begin(), this->recent_losses.end(), [](const WorkerLoss &inLost) { return !inLost.just_started; });
-	indicators.unit_is_sound = this->HasSurvivedStart(job, job.Unit(inRun.task.round, inRun.task.step));
+	indicators.step_task_survived = this->HasSurvivedStart(job, job.Unit(inRun.task.round, inRun.task.step));
 	const bool proved = only_suspect && at_once && IsCrashCauseProved(weight, indicators);
 	// The proof may depend on other suspects whose trial runs are outstanding
 	CrashSummary cleared = weight;
-	cleared.sole = cleared.at_once;
+	cleared.sole_suspect_after_start = cleared.after_start;
 	if (only_suspect && at_once && !proved && IsCrashCauseProved(cleared, indicators))
 		this->AwaitOtherSuspects(job, inRun.task, inNow);
-	const bool exceeds_limit = weight.clear >= cMinClearCrashes && weight.Total() >= cMaxCrashes;
+	const bool exceeds_limit = weight.sole_suspect >= cMinClearCrashes && weight.Total() >= cMaxCrashes;
 	// The limit that the users set applies to all crashes, explained or not
 	const bool given_up = proved || exceeds_limit || ExceedsCrashLimit(crashes);
 	LogEvent(ELogLevel::Warning, "task_blamed")
@@ -388,8 +388,8 @@
 		.Field("run", inRun.run)
 		.Field("worker", ioWorker.entry.id)
 		.Field("blamed", crashes.blamed)
-		.Field("at_once", crashes.at_once)
-		.Field("beside", crashes.beside)
+		.Field("at_once", crashes.after_start)
+		.Field("beside", crashes.bystander)
 		.Field("seen_ms", SurvivedMs(ioWorker, run))
 		.Field("after_start_ms",
 			   run.confirmed_at < 0 || ioWorker.connections_closed_at < 0 ? -1 : ioWorker.connections_closed_at - run.confirmed_at)
@@ -399,10 +399,10 @@
 		.Field("alone", only_suspect ? 1 : 0)
 		.Field("chance", inChance ? 1 : 0)
 		.Field("rivals", crashes.cases.back().suspects.size())
-		.Field("sole", weight.sole)
+		.Field("sole", weight.sole_suspect_after_start)
 		.Field("explained", weight.explained)
-		.Field("workers_crash", indicators.workers_crash ? 1 : 0)
-		.Field("unit_is_sound", indicators.unit_is_sound ? 1 : 0)
+		.Field("workers_crash", indicators.other_workers_crashed ? 1 : 0)
+		.Field("unit_is_sound", indicators.step_task_survived ? 1 : 0)
 		.Field("outcome", given_up ? "given up" : (WarrantsTrial(crashes) ? "starts on trial" : "counted"))
 		.Field("cell", this->run_events.Cell())
 		.Field("epoch", this->epoch);
@@ -437,9 +437,9 @@
 		TaskCrashes &crashes = job->crashes[Cell::CrashKey(*job, task)];
 		const CrashSummary weight = this->WeightOf(crashes);
 		ChanceIndicators indicators;
-		indicators.unit_is_sound = this->HasSurvivedStart(*job, job->Unit(task.round, task.step));
+		indicators.step_task_survived = this->HasSurvivedStart(*job, job->Unit(task.round, task.step));
 		const bool proved = IsCrashCauseProved(weight, indicators);
-		const bool decided = proved || weight.explained > 0 || indicators.unit_is_sound || inNow >= state.not_before;
+		const bool decided = proved || weight.explained > 0 || indicators.step_task_survived || inNow >= state.not_before;
 		if (!decided)
 		{
 			++it;
@@ -450,10 +450,10 @@
 		LogEvent(ELogLevel::Warning, "task_judged")
 			.Field("request", task.job)
 			.Field("task", TaskText(task))
-			.Field("at_once", weight.at_once)
-			.Field("sole", weight.sole)
+			.Field("at_once", weight.after_start)
+			.Field("sole", weight.sole_suspect_after_start)
 			.Field("explained", weight.explained)
-			.Field("unit_is_sound", indicators.unit_is_sound ? 1 : 0)
+			.Field("unit_is_sound", indicators.step_task_survived ? 1 : 0)
 			.Field("outcome", proved ? "given up" : "starts on trial")
 			.Field("cell", this->run_events.Cell())
 			.Field("epoch", this->epoch);
@@ -477,7 +477,7 @@
 		if (CellJob *job = this->OpenJobOf(id.task); job != nullptr)
 		{
 			TaskCrashes &crashes = job->crashes[Cell::CrashKey(*job, id.task)];
-			++crashes.beside;
+			++crashes.bystander;
 			crashes.cases.push_back({false, false, chance, this->OtherSuspects(suspects, id)});
 			this->MarkChanged(*job);
 		}
--- a/Loomreach/Schedule/CellDemand.cpp
+++ b/Loomreach/Schedule/CellDemand.cpp
@@ -30,7 +30,7 @@
 		{
 			if (!this->IsDue(job, unit, inWallNow))
 				continue;
-			const Resources reserved = job.StepOf(unit).Room();
+			const Resources reserved = job.StepOf(unit).Reserved();
 			Resources &sum = by_team[job.spec.team][outlook == EDeadlineOutlook::InTime ? 0 : 1];
 			for (const TaskRecord &task : job.record.steps[unit].tasks)
 				if (!task.done)
@@ -69,7 +69,7 @@
 				continue;
 			for (const TaskRecord &task : job.record.steps[unit].tasks)
 				if (!task.done && task.runs.empty())
-					wanted[job.spec.team].Add(job.StepOf(unit).need);
+					wanted[job.spec.team].Add(job.StepOf(unit).requested);
 		}
 	}
 	return wanted;
@@ -79,7 +79,7 @@
 {
 	if (this->teams.Limits().IsEmpty())
 		return std::nullopt;
-	ShareQuestion question = this->teams.Ask(this->epoch, this->WantedByTeam(inWallNow), inNow);
+	ShareQuestion question = this->teams.BuildQuestion(this->epoch, this->WantedByTeam(inWallNow), inNow);
 	question.cell = this->run_events.Cell();
 	return question;
 }
@@ -98,7 +98,7 @@
 	ioHighest.accelerators = std::max(ioHighest.accelerators, inOther.accelerators);
 }
 
-void Cell::NoteLeft(const std::vector<std::string> &inWorkers, Millis inNow)
+void Cell::OnWorkersRemoved(const std::vector<std::string> &inWorkers, Millis inNow)
 {
 	for (const std::string &id : inWorkers)
 	{
@@ -141,17 +141,17 @@
 	while (inNow - seen.front().first > this->tuning.demand_hold_ms)
 		seen.pop_front();
 	// Work must be completed at the rate at which it arrives, including later steps
-	demand.need.cpu_milli = this->arrivals[inPool].Forecast(cMoveLeadMs, inNow);
+	demand.in_time.cpu_milli = this->arrivals[inPool].Forecast(cMoveLeadMs, inNow);
 	for (const auto &[at, amount] : seen)
-		RaiseTo(demand.need, amount);
+		RaiseTo(demand.in_time, amount);
 	for (const std::string &id : this->active)
 	{
 		const CellJob &job = this->jobs.at(id);
 		for (const StepSpec &step : job.spec.steps)
-			if (job.spec.pool == inPool && step.lasting && step.max_per_worker > 0)
-				demand.least_hosts = std::max(demand.least_hosts, (step.count + step.max_per_worker - 1) / step.max_per_worker);
+			if (job.spec.pool == inPool && step.long_running && step.max_per_worker > 0)
+				demand.min_hosts = std::max(demand.min_hosts, (step.count + step.max_per_worker - 1) / step.max_per_worker);
 	}
-	demand.least_hosts = std::max(demand.least_hosts, std::min(this->WaitingTrials(inPool), cMaxTrialHosts));
+	demand.min_hosts = std::max(demand.min_hosts, std::min(this->WaitingTrials(inPool), cMaxTrialHosts));
 	// Of the hosts without long-running tasks, the least used are drained first
 	std::vector<std::pair<int64, CellWorker *>> least_used;
 	for (auto &[id, worker] : this->workers)
@@ -160,7 +160,7 @@
 		// One that is already lost would take the place of one that can leave
 		can_leave = can_leave && !this->IsEvacuated(worker) && worker.reachable && inNow >= worker.removed_until;
 		for (const auto &[run_id, run] : worker.runs)
-			can_leave = can_leave && !run.lasting;
+			can_leave = can_leave && !run.long_running;
 		if (can_leave)
 		{
 			// With its grant in the log, it can be reported as spared at once
@@ -174,14 +174,14 @@
 		CellWorker &worker = *least_used[i].second;
 		worker.drain_until = std::max(worker.drain_until, inNow + inForMs);
 		if (this->GrantDrain(worker, inForMs))
-			demand.spared.push_back(worker.entry.id);
+			demand.releasable.push_back(worker.entry.id);
 	}
-	if (!demand.spared.empty())
+	if (!demand.releasable.empty())
 		LogEvent(ELogLevel::Info, "workers_spared")
 			.Field("pool", inPool)
-			.Field("count", demand.spared.size())
+			.Field("count", demand.releasable.size())
 			.Field("asked", inSpare)
-			.Field("need_cpu_milli", demand.need.cpu_milli);
+			.Field("need_cpu_milli", demand.in_time.cpu_milli);
 	return demand;
 }
 
--- a/Loomreach/Schedule/CellDrains.cpp
+++ b/Loomreach/Schedule/CellDrains.cpp
@@ -32,7 +32,7 @@
 	// Long-running tasks end with the worker. Restarting them now avoids an outage until the lease expires
 	std::vector<RunId> to_stop;
 	for (const auto &[id, run] : ioWorker.runs)
-		if (run.lasting && run.state == ERunState::Confirmed)
+		if (run.long_running && run.state == ERunState::Confirmed)
 			to_stop.push_back(id);
 	for (const RunId &id : to_stop)
 	{
@@ -84,7 +84,7 @@
 		}
 		unavailable += is_up ? 0 : 1;
 	}
-	return step.limits_unavailable ? unavailable < step.may_miss : unavailable == 0;
+	return step.limits_unavailable ? unavailable < step.max_unavailable : unavailable == 0;
 }
 
 bool Cell::IsStopLimited(const CellWorker &inWorker, const RunId &inRun) const
@@ -93,7 +93,7 @@
 	if (inWorker.entry.draining || job == this->jobs.end() || IsFinal(job->second.record.phase))
 		return false;
 	const StepSpec &step = job->second.spec.steps[inRun.task.step];
-	return step.lasting && step.limits_unavailable;
+	return step.long_running && step.limits_unavailable;
 }
 
 bool Cell::MayStopUnconfirmed(const CellWorker &inWorker, const RunId &inId, const Run &inRun, Millis inNow) const
@@ -117,7 +117,7 @@
 		return;
 	std::vector<RunId> to_stop;
 	for (const auto &[id, run] : ioWorker.runs)
-		if (run.lasting && run.state == ERunState::Confirmed)
+		if (run.long_running && run.state == ERunState::Confirmed)
 			to_stop.push_back(id);
 	for (const RunId &id : to_stop)
 	{
@@ -127,7 +127,7 @@
 	}
 }
 
-bool Cell::Vacate(const std::string &inWorker, Millis inForMs, Millis inNow)
+bool Cell::DrainWorker(const std::string &inWorker, Millis inForMs, Millis inNow)
 {
 	auto found = this->workers.find(inWorker);
 	if (found == this->workers.end())
--- a/Loomreach/Schedule/CellEnds.cpp
+++ b/Loomreach/Schedule/CellEnds.cpp
@@ -24,12 +24,12 @@
 {
 	const RunId id{inRow.task, inRow.run};
 	if (ioWorker.runs.contains(id))
-		return this->EndRun(ioWorker, id, inRow.end, inRow.checkpoint, "worker said so", inNow, inRow.number);
+		return this->EndRun(ioWorker, id, inRow.end, inRow.checkpoint, "worker said so", inNow, inRow.sequence);
 	// A run that was given up as lost has succeeded after all, so its task needs no other run
 	CellJob *job = this->FindJob(inRow.task.job);
 	const TaskRecord *task = this->FindTask(inRow.task);
 	const bool completes_task = inRow.end == ERunEnd::Done && task != nullptr && !task->done && !IsFinal(job->record.phase);
-	if (!completes_task || job->spec.steps[inRow.task.step].lasting)
+	if (!completes_task || job->spec.steps[inRow.task.step].long_running)
 		return this->LogUnmatched(inRow);
 	LogEvent(ELogLevel::Info, "run_ended_late")
 		.Field("request", inRow.task.job)
@@ -37,7 +37,7 @@
 		.Field("run", inRow.run)
 		.Field("worker", ioWorker.entry.id)
 		.Field("end", NameOf(cRunEndNames, inRow.end))
-		.Field("number", inRow.number)
+		.Field("number", inRow.sequence)
 		.Field("cell", this->run_events.Cell())
 		.Field("epoch", this->epoch);
 	this->FinishTask(*job, inRow.task);
@@ -84,7 +84,7 @@
 void Cell::ApplyPolledEnds(CellWorker &ioWorker, const std::vector<EndedRun> &inEnded, Millis inNow)
 {
 	for (const EndedRun &row : inEnded)
-		this->replicator.Note(ioWorker.entry.id, row);
+		this->replicator.Add(ioWorker.entry.id, row);
 	this->ApplyEnds(ioWorker, inEnded, inNow);
 }
 
@@ -92,8 +92,8 @@
 {
 	const CellJob *job = this->FindJob(inRow.task.job);
 	const TaskRecord *task = this->FindTask(inRow.task);
-	this->run_events.Unmatched(inRow, job == nullptr ? "unknown" : NameOf(cJobPhaseNames, job->record.phase),
-							   task != nullptr && task->done);
+	this->run_events.AddUnmatched(inRow, job == nullptr ? "unknown" : NameOf(cJobPhaseNames, job->record.phase),
+								  task != nullptr && task->done);
 }
 
 void Cell::LogUnknownRun(const CellWorker &inWorker, const RunningRun &inRow, Millis inSentAt)
@@ -140,7 +140,7 @@
 		.Field("answer_ms_ago", inWorker.last_answer_at < 0 ? -1 : this->now - inWorker.last_answer_at)
 		.Field("closed_ms_ago", inWorker.connections_closed_at < 0 ? -1 : this->now - inWorker.connections_closed_at)
 		.Field("lease_left_ms", inWorker.lease_expires_at - this->now)
-		.Field("born_ms", inWorker.born_ms)
+		.Field("born_ms", inWorker.started_ms)
 		.Field("last_seen", inWorker.logged_seq);
 }
 
@@ -160,7 +160,7 @@
 	if (!inCheckpoint.empty())
 		task->checkpoint = inCheckpoint;
 	VolatileTaskState &state = *this->FindVolatileState(inRun.task);
-	if (!run.lasting && inEnd == ERunEnd::Failed)
+	if (!run.long_running && inEnd == ERunEnd::Failed)
 	{
 		++ioWorker.consecutive_failures;
 		state.last_failed_worker = ioWorker.entry.id;
@@ -178,13 +178,13 @@
 		if (run.confirmed_at >= 0 && !run.resumed)
 			this->LearnRun(ioWorker, *job, inRun.task, inNow - run.confirmed_at, inNow);
 	}
-	if (run.lasting && inEnd == ERunEnd::Failed)
+	if (run.long_running && inEnd == ERunEnd::Failed)
 		state.not_before = inNow + this->tuning.restart_backoff_ms;
 	if (IsFinal(job->record.phase))
 		return;
-	if (inEnd == ERunEnd::Done && !run.lasting)
+	if (inEnd == ERunEnd::Done && !run.long_running)
 		this->FinishTask(*job, inRun.task);
-	if (inEnd == ERunEnd::Failed && !run.lasting)
+	if (inEnd == ERunEnd::Failed && !run.long_running)
 		this->CountFailure(*job, inRun.task, inRun.run);
 	// The remaining members of a gang are useless
 	const StepSpec &step = job->spec.steps[inRun.task.step];
@@ -231,7 +231,7 @@
 void Cell::RecordProgress(CellWorker &ioWorker, const RunId &inRun, const Run &inProgress, Millis inNow)
 {
 	const CellJob *job = this->FindJob(inRun.task.job);
-	const bool counts = !inProgress.lasting && inProgress.confirmed_at >= 0 && job != nullptr;
+	const bool counts = !inProgress.long_running && inProgress.confirmed_at >= 0 && job != nullptr;
 	if (!counts)
 		return;
 	const Millis expected = this->SlownessBaselineMs(*job, job->Unit(inRun.task.round, inRun.task.step));
@@ -316,7 +316,7 @@
 	this->AddUsage(ioWorker, unrecorded);
 	ioWorker.runs.emplace(inRun, std::move(unrecorded));
 	// Whoever granted its lease, the run may not be given up before it must have expired
-	ioWorker.lease_expires_at = std::max(ioWorker.lease_expires_at, inNow + LongestLease(this->leases.Longest(inNow)));
+	ioWorker.lease_expires_at = std::max(ioWorker.lease_expires_at, inNow + LongestLease(this->leases.LongestGranted(inNow)));
 }
 
 void Cell::StopRun(CellWorker &ioWorker, const RunId &inRun, std::string_view inWhy, Millis inNow)
@@ -329,7 +329,7 @@
 	// A run that was not dispatched needs no stop order
 	if (run.state == ERunState::Planned || run.state == ERunState::Logged)
 	{
-		this->run_events.Dropped(inRun, inWhy);
+		this->run_events.AddDropped(inRun, inWhy);
 		this->DropRun(ioWorker, inRun);
 		return;
 	}
@@ -386,7 +386,7 @@
 {
 	const bool inherited =
 		std::any_of(inWorker.runs.begin(), inWorker.runs.end(),
-					[](const auto &inRun) { return inRun.second.state == ERunState::Inherited && !inRun.second.lasting; });
+					[](const auto &inRun) { return inRun.second.state == ERunState::Inherited && !inRun.second.long_running; });
 	return inherited && !inWorker.listed && inNow < inWorker.lease_expires_at;
 }
 
@@ -412,10 +412,10 @@
 	std::vector<RunId> runs;
 	for (const auto &[id, run] : ioWorker.runs)
 		// A long-running task cannot have succeeded, so no submitted end is awaited for it
-		if (IsDispatched(run.state) && (!await_ends || run.lasting))
+		if (IsDispatched(run.state) && (!await_ends || run.long_running))
 			runs.push_back(id);
 	for (const RunId &id : runs)
-		this->EndRun(ioWorker, id, ERunEnd::Lapsed, "", inWhy, inNow);
+		this->EndRun(ioWorker, id, ERunEnd::LeaseExpired, "", inWhy, inNow);
 }
 
 } // namespace Loomreach::Jobs
--- a/Loomreach/Schedule/CellIncarnations.cpp
+++ b/Loomreach/Schedule/CellIncarnations.cpp
@@ -40,7 +40,7 @@
 	LogEvent(ELogLevel::Info, "worker_doubted")
 		.Field("worker", ioWorker.entry.id)
 		.Field("why", inWhy)
-		.Field("born_ms", ioWorker.born_ms)
+		.Field("born_ms", ioWorker.started_ms)
 		.Field("runs", ioWorker.runs.size())
 		.Field("cell", this->run_events.Cell())
 		.Field("epoch", this->epoch);
@@ -48,18 +48,18 @@
 
 bool Cell::UpdateIncarnation(CellWorker &ioWorker, const WorkerEntry &inEntry, Millis inNow)
 {
-	if (IsStartedAfter(ioWorker.born_ms, inEntry.born_ms))
+	if (IsStartedAfter(ioWorker.started_ms, inEntry.started_ms))
 		return false;
-	const bool is_later = IsStartedAfter(inEntry.born_ms, ioWorker.born_ms);
+	const bool is_later = IsStartedAfter(inEntry.started_ms, ioWorker.started_ms);
 	if (is_later && !ioWorker.ended)
 	{
 		this->SuspectRestart(ioWorker, "the worker list shows a later life", inNow);
 		return true;
 	}
 	if (is_later)
-		this->BeginIncarnation(ioWorker, inEntry.born_ms, {}, inNow, inNow);
-	if (ioWorker.born_ms == cStartTimeUnknown)
-		ioWorker.born_ms = inEntry.born_ms;
+		this->BeginIncarnation(ioWorker, inEntry.started_ms, {}, inNow, inNow);
+	if (ioWorker.started_ms == cStartTimeUnknown)
+		ioWorker.started_ms = inEntry.started_ms;
 	ioWorker.leave_announced = ioWorker.leave_announced || inEntry.draining;
 	// The list entry is some time old, so the worker's clock is at least at this value
 	if (inEntry.clock_ms >= 0 && (ioWorker.clock_ms < 0 || inEntry.clock_ms > ioWorker.ClockAt(inNow)))
@@ -74,22 +74,22 @@
 bool Cell::DetectNewIncarnation(CellWorker &ioWorker, const Order &inOrder, const OrderAnswer &inAnswer, Millis inSentAt, Millis inNow)
 {
 	const bool answered = inAnswer.result != EOrderResult::Unknown && inAnswer.result != EOrderResult::NotSent;
-	if (!answered || inAnswer.result == EOrderResult::OtherLife)
+	if (!answered || inAnswer.result == EOrderResult::OtherIncarnation)
 		return false;
-	if (IsStartedAfter(inAnswer.born_ms, ioWorker.born_ms))
+	if (IsStartedAfter(inAnswer.started_ms, ioWorker.started_ms))
 	{
-		this->BeginIncarnation(ioWorker, inAnswer.born_ms, inAnswer, inSentAt, inNow);
+		this->BeginIncarnation(ioWorker, inAnswer.started_ms, inAnswer, inSentAt, inNow);
 		return true;
 	}
-	if (IsStartedAfter(ioWorker.born_ms, inAnswer.born_ms))
+	if (IsStartedAfter(ioWorker.started_ms, inAnswer.started_ms))
 		return true;
-	const bool polled = inOrder.kind == EOrder::Hold && inAnswer.result == EOrderResult::Done;
+	const bool polled = inOrder.kind == EOrder::Poll && inAnswer.result == EOrderResult::Done;
 	if (polled)
 	{
 		ioWorker.restart_suspected = false;
-		ioWorker.born_ms = std::max(ioWorker.born_ms, inAnswer.born_ms);
+		ioWorker.started_ms = std::max(ioWorker.started_ms, inAnswer.started_ms);
 	}
-	else if (ioWorker.born_ms != cStartTimeUnknown && inAnswer.clock_ms >= 0 && ioWorker.clock_ms >= 0 &&
+	else if (ioWorker.started_ms != cStartTimeUnknown && inAnswer.clock_ms >= 0 && ioWorker.clock_ms >= 0 &&
 			 !ioWorker.FitsClock(inAnswer.clock_ms, inSentAt, inNow))
 	{
 		this->AssumeMaxLease(ioWorker, inNow);
@@ -103,7 +103,7 @@
 	LogEvent(ELogLevel::Warning, "worker_started_again")
 		.Field("worker", ioWorker.entry.id)
 		.Field("born_ms", inStartedMs)
-		.Field("was_born_ms", ioWorker.born_ms)
+		.Field("was_born_ms", ioWorker.started_ms)
 		.Field("seen_by", inAnswer.result == EOrderResult::Done ? "look" : "list")
 		.Field("runs", ioWorker.runs.size())
 		.Field("last_seen", ioWorker.logged_seq)
@@ -119,7 +119,7 @@
 	previous.insert(previous.end(), ioWorker.unlogged_ends.begin(), ioWorker.unlogged_ends.end());
 	WorkerIncarnation &incarnation = ioWorker;
 	incarnation = WorkerIncarnation{};
-	incarnation.born_ms = inStartedMs;
+	incarnation.started_ms = inStartedMs;
 	incarnation.incarnation_number = ++this->incarnations_begun;
 	// Once the incarnation has seen its own token, it refuses orders for the previous one
 	incarnation.poll_once = true;
@@ -136,7 +136,7 @@
 /// Whether a previous owner placed the run and may have received its end, of which this owner has heard nothing.
 static bool MayBeReportedByPredecessor(const Run &inRun)
 {
-	return inRun.state == ERunState::Inherited && inRun.inherited && !inRun.lasting;
+	return inRun.state == ERunState::Inherited && inRun.inherited && !inRun.long_running;
 }
 
 /// Marks the runs that the new incarnation lists as running or ended.
@@ -167,7 +167,7 @@
 			ended_runs.push_back(id);
 	}
 	for (const RunId &id : ended_runs)
-		this->EndRun(ioWorker, id, ERunEnd::Lapsed, "", "worker started again", inNow);
+		this->EndRun(ioWorker, id, ERunEnd::LeaseExpired, "", "worker started again", inNow);
 }
 
 void Cell::VerifyRuns(CellWorker &ioWorker, Millis inNow)
@@ -201,14 +201,14 @@
 
 void Cell::AssumeMaxLease(CellWorker &ioWorker, Millis inNow) const
 {
-	ioWorker.lease_expires_at = std::max(ioWorker.lease_expires_at, inNow + LongestLease(this->tuning.granted_lease_ms));
+	ioWorker.lease_expires_at = std::max(ioWorker.lease_expires_at, inNow + LongestLease(this->tuning.worker_lease_cap_ms));
 }
 
 void Cell::OnPreviousIncarnationAnswer(CellWorker &ioWorker, const Order &inOrder, const OrderAnswer &inAnswer, Millis inNow)
 {
-	if (inAnswer.result == EOrderResult::Unknown && !inAnswer.closed)
+	if (inAnswer.result == EOrderResult::Unknown && !inAnswer.connection_closed)
 		this->AssumeMaxLease(ioWorker, inNow);
-	if (inOrder.kind == EOrder::Hold)
+	if (inOrder.kind == EOrder::Poll)
 		return this->ApplyPolledEnds(ioWorker, inAnswer.ended, inNow);
 	if (inOrder.kind != EOrder::Start)
 		return;
@@ -228,7 +228,7 @@
 	if (job == nullptr)
 		return;
 	TaskCrashes &crashes = job->crashes[Cell::CrashKey(*job, inRun.task)];
-	++crashes.beside;
+	++crashes.bystander;
 	this->MarkChanged(*job);
 	// Blamed before, so it was on a trial run there
 	if (crashes.blamed > 0 && ExceedsCrashLimit(crashes))
@@ -251,15 +251,15 @@
 	size_t count = 0;
 	for (const EndedRun &row : inAnswer.ended)
 	{
-		if (row.number > inWorker.acked_seq)
+		if (row.sequence > inWorker.acked_seq)
 			break;
-		ends += (count++ == 0 ? "" : " ") + TaskText(row.task) + '.' + std::to_string(row.run) + '#' + std::to_string(row.number);
+		ends += (count++ == 0 ? "" : " ") + TaskText(row.task) + '.' + std::to_string(row.run) + '#' + std::to_string(row.sequence);
 	}
 	if (count == 0)
 		return;
 	LogEvent(ELogLevel::Warning, "ends_passed_over")
 		.Field("worker", inWorker.entry.id)
-		.Field("born_ms", inAnswer.born_ms)
+		.Field("born_ms", inAnswer.started_ms)
 		.Field("count", count)
 		.Field("ends", ends)
 		.Field("last_seen", inWorker.logged_seq)
--- a/Loomreach/Schedule/CellOrders.cpp
+++ b/Loomreach/Schedule/CellOrders.cpp
@@ -83,12 +83,12 @@
 			why = "another member of the gang cannot be dispatched";
 		if (!why.empty())
 		{
-			this->run_events.Dropped(id, why);
+			this->run_events.AddDropped(id, why);
 			this->DropRun(worker, id);
 			continue;
 		}
 		Run &run = worker.runs.at(id);
-		this->run_events.Told(id);
+		this->run_events.AddDispatched(id);
 		run.state = ERunState::Starting;
 		run.since = inNow;
 		Order order = this->NewOrder(EOrder::Start, worker, inNow);
@@ -98,9 +98,9 @@
 		order.checkpoint = task->checkpoint;
 		run.resumed = !task->checkpoint.empty();
 		order.ticket = run.ticket;
-		order.until_ms = worker.ClockAt(inNow) + this->leases.ToGive();
+		order.until_ms = worker.ClockAt(inNow) + this->leases.LeaseToGrant();
 		run.start_expires_at = order.until_ms;
-		worker.lease_expires_at = std::max(worker.lease_expires_at, inNow + LongestLease(this->leases.ToGive()));
+		worker.lease_expires_at = std::max(worker.lease_expires_at, inNow + LongestLease(this->leases.LeaseToGrant()));
 		orders.push_back(std::move(order));
 	}
 	for (auto &[id, worker] : this->workers)
@@ -157,11 +157,11 @@
 		has_dispatched = has_dispatched || IsDispatched(run.state);
 		has_unverified =
 			has_unverified || run.state == ERunState::Unconfirmed || run.state == ERunState::Inherited || run.state == ERunState::Stopping;
-		has_unverified = has_unverified || (run.lasting && run.percent < 100);
+		has_unverified = has_unverified || (run.long_running && run.percent < 100);
 		has_trial = has_trial || (run.trial == ETrial::Start && ioWorker.open_trials > 0);
 		has_latency_sensitive = has_latency_sensitive || run.latency_sensitive;
-		has_long_running = has_long_running || run.lasting;
-		has_best_effort = has_best_effort || run.fills;
+		has_long_running = has_long_running || run.long_running;
+		has_best_effort = has_best_effort || run.best_effort;
 	}
 	// During a drain the state of long-running tasks elsewhere must be known
 	short_wait = (has_latency_sensitive && has_best_effort) || (has_long_running && this->draining_until > inNow);
@@ -173,21 +173,22 @@
 		has_dispatched || unlogged || unacknowledged || (first && ioWorker.listed) || ioWorker.poll_once || ioWorker.restart_suspected;
 	if (!needs_poll)
 		return;
-	Order order = this->NewOrder(EOrder::Hold, ioWorker, inNow);
+	Order order = this->NewOrder(EOrder::Poll, ioWorker, inNow);
 	// Another incarnation reuses the same numbers. So ends are acknowledged only to a worker that was just heard, by a poll that does not
 	// wait
 	const bool acknowledges = unacknowledged && !ioWorker.restart_suspected;
-	order.last_seen = acknowledges ? ioWorker.logged_seq : 0;
+	order.acknowledged_end = acknowledges ? ioWorker.logged_seq : 0;
 	if (acknowledges && ioWorker.logged_seq > ioWorker.sent_ack_seq)
 	{
-		this->run_events.Covered(ioWorker.entry.id, ioWorker.sent_ack_seq + 1, ioWorker.logged_seq, inNow - ioWorker.ends_logged_at);
+		this->run_events.AddAcknowledged(ioWorker.entry.id, ioWorker.sent_ack_seq + 1, ioWorker.logged_seq,
+										 inNow - ioWorker.ends_logged_at);
 		ioWorker.sent_ack_seq = ioWorker.logged_seq;
 	}
 	// Leases are extended only for a worker that answers; otherwise they would never expire
 	if (has_dispatched && ioWorker.clock_ms >= 0 && ioWorker.reachable)
 	{
-		order.until_ms = ioWorker.ClockAt(inNow) + this->leases.ToGive();
-		ioWorker.lease_expires_at = std::max(ioWorker.lease_expires_at, inNow + LongestLease(this->leases.ToGive()));
+		order.until_ms = ioWorker.ClockAt(inNow) + this->leases.LeaseToGrant();
+		ioWorker.lease_expires_at = std::max(ioWorker.lease_expires_at, inNow + LongestLease(this->leases.LeaseToGrant()));
 	}
 	const bool immediate =
 		first || unlogged || has_unverified || acknowledges || ioWorker.restart_suspected || ioWorker.ends_truncated || !has_dispatched;
@@ -207,19 +208,19 @@
 void Cell::RecordContact(CellWorker &ioWorker, const OrderAnswer &inAnswer, bool inAnswered, Millis inNow)
 {
 	// An answer on behalf of another incarnation does not show that this one is up
-	if (inAnswered && inAnswer.result != EOrderResult::OtherLife)
+	if (inAnswered && inAnswer.result != EOrderResult::OtherIncarnation)
 	{
 		ioWorker.last_answer_at = inNow;
 		ioWorker.connections_closed_at = -1;
 		ioWorker.unanswered_since = -1;
 	}
-	if (inAnswer.closed && ioWorker.connections_closed_at < 0)
+	if (inAnswer.connection_closed && ioWorker.connections_closed_at < 0)
 	{
 		ioWorker.connections_closed_at = inNow;
 		if (ioWorker.open_trials > 0)
 			this->PollRack(ioWorker, inNow);
 	}
-	const bool unanswered = inAnswer.result == EOrderResult::Unknown && !inAnswer.closed;
+	const bool unanswered = inAnswer.result == EOrderResult::Unknown && !inAnswer.connection_closed;
 	if (unanswered)
 		ioWorker.last_unanswered_at = inNow;
 	if (unanswered && ioWorker.connections_closed_at < 0 && ioWorker.unanswered_since < 0)
@@ -235,7 +236,7 @@
 	CellWorker &worker = found->second;
 	if (inOrder.token != this->TokenFor(worker) || this->DetectNewIncarnation(worker, inOrder, inAnswer, inSentAt, inNow))
 		return this->OnPreviousIncarnationAnswer(worker, inOrder, inAnswer, inNow);
-	if (inOrder.kind == EOrder::Hold && inOrder.serial == worker.newest_poll)
+	if (inOrder.kind == EOrder::Poll && inOrder.serial == worker.newest_poll)
 		worker.poll_in_flight = false;
 	const bool answered = inAnswer.result != EOrderResult::Unknown && inAnswer.result != EOrderResult::NotSent;
 	// If another incarnation may have answered, the answer does not show that this one is up
@@ -248,13 +249,13 @@
 	}
 	// Only a poll shows that a worker is healthy again; any order may show that it is not
 	const bool well = answered && inAnswer.result != EOrderResult::Unhealthy;
-	if (inOrder.kind == EOrder::Hold || !answered)
+	if (inOrder.kind == EOrder::Poll || !answered)
 	{
 		if (worker.reachable != well)
 			LogEvent(well ? ELogLevel::Info : ELogLevel::Warning, well ? "worker_answers" : "worker_silent")
 				.Field("worker", inOrder.worker)
 				.Field("result", NameOf(cOrderResultNames, inAnswer.result))
-				.Field("closed", inAnswer.closed ? 1 : 0)
+				.Field("closed", inAnswer.connection_closed ? 1 : 0)
 				.Field("runs", worker.runs.size())
 				.Field("cell", this->run_events.Cell())
 				.Field("epoch", this->epoch);
@@ -262,7 +263,7 @@
 		if (!well)
 			worker.next_poll_at = inNow + this->tuning.poll_retry_ms;
 	}
-	if (inAnswer.result == EOrderResult::OtherLife)
+	if (inAnswer.result == EOrderResult::OtherIncarnation)
 	{
 		// The other incarnation has not accepted it
 		if (inOrder.kind == EOrder::Start)
@@ -274,8 +275,8 @@
 	{
 	case EOrder::Start: this->OnStartAnswer(worker, inOrder, inAnswer, inNow); break;
 	case EOrder::Stop: this->OnStopAnswer(worker, inOrder, inAnswer, inNow); break;
-	case EOrder::Hold: this->OnPollAnswer(worker, inOrder, inAnswer, inSentAt, inNow); break;
-	case EOrder::Pace:
+	case EOrder::Poll: this->OnPollAnswer(worker, inOrder, inAnswer, inSentAt, inNow); break;
+	case EOrder::Throttle:
 	{
 		auto run = worker.runs.find({inOrder.task, inOrder.run});
 		if (run != worker.runs.end())
@@ -349,7 +350,7 @@
 	// A ticket that was issued for a previous incarnation would be refused repeatedly
 	if (CellJob *job = this->FindJob(inOrder.task.job); job != nullptr && inAnswer.result == EOrderResult::NoTicket)
 		job->advice[job->Unit(inOrder.task.round, inOrder.task.step)].tickets.erase(inOrder.worker);
-	if (inAnswer.result == EOrderResult::Unhealthy || inAnswer.result == EOrderResult::NoRoom)
+	if (inAnswer.result == EOrderResult::Unhealthy || inAnswer.result == EOrderResult::NoCapacity)
 		ioWorker.backoff_until = inNow + this->tuning.refusal_backoff_ms;
 	if (open)
 		this->EndRun(ioWorker, id, ERunEnd::Stopped, "", NameOf(cOrderResultNames, inAnswer.result), inNow);
@@ -378,15 +379,15 @@
 	if (inOrder.serial != ioWorker.newest_poll)
 		return this->ApplyPolledEnds(ioWorker, inAnswer.ended, inNow);
 	this->LogRelistedEnds(ioWorker, inAnswer);
-	ioWorker.acked_seq = std::max(ioWorker.acked_seq, inOrder.last_seen);
+	ioWorker.acked_seq = std::max(ioWorker.acked_seq, inOrder.acknowledged_end);
 	for (const EndedRun &row : inAnswer.ended)
 	{
-		if (row.number <= ioWorker.recorded_seq)
+		if (row.sequence <= ioWorker.recorded_seq)
 			continue;
 		this->OnEnded(ioWorker, row, inNow);
-		ioWorker.recorded_seq = row.number;
+		ioWorker.recorded_seq = row.sequence;
 		ioWorker.unlogged_ends.push_back(row);
-		this->replicator.Note(ioWorker.entry.id, row);
+		this->replicator.Add(ioWorker.entry.id, row);
 		this->unwritten_changes = true;
 	}
 	this->run_events.FlushUnmatched(ioWorker.entry.id, inNow - inSentAt);
@@ -415,7 +416,7 @@
 		run.percent = row.percent;
 		run.progress_at = inNow;
 		this->RecordProgress(ioWorker, id, run, inNow);
-		run.figure = row.figure;
+		run.measurement = row.measurement;
 		TaskRecord *task = this->FindTask(row.task);
 		// Kept in memory only; logged with the next change of the record
 		if (task != nullptr && !row.checkpoint.empty())
@@ -460,7 +461,7 @@
 		this->EndRun(ioWorker, id, ERunEnd::Stopped, "", "worker does not have it", inNow);
 	}
 	// A poll that acknowledges ends does not wait for new ones, so the next poll follows at once
-	if (inOrder.last_seen > 0 && ioWorker.recorded_seq == ioWorker.logged_seq)
+	if (inOrder.acknowledged_end > 0 && ioWorker.recorded_seq == ioWorker.logged_seq)
 	{
 		ioWorker.last_poll_at = inNow - this->tuning.min_poll_gap_ms;
 		ioWorker.next_poll_at = inNow;
--- a/Loomreach/Schedule/CellPlan.cpp
+++ b/Loomreach/Schedule/CellPlan.cpp
@@ -64,7 +64,7 @@
 
 EDeadlineOutlook Cell::OutlookOf(const CellJob &inJob, int64 inWallNow) const
 {
-	if (inJob.spec.steps[0].lasting)
+	if (inJob.spec.steps[0].long_running)
 		return EDeadlineOutlook::InTime;
 	const int64 due = this->DueWall(inJob);
 	const int64 from = inJob.spec.accepted_wall_ms;
@@ -80,12 +80,12 @@
 	for (size_t unit = 0; unit < inJob.record.steps.size(); ++unit)
 	{
 		const StepSpec &step = inJob.StepOf(unit);
-		if (step.lasting)
+		if (step.long_running)
 			continue;
 		int64 left = 0;
 		for (const TaskRecord &task : inJob.record.steps[unit].tasks)
 			left += task.done ? 0 : 1;
-		work += left * step.need.cpu_milli * this->ExpectedRunMs(inJob, unit) / 1000;
+		work += left * step.requested.cpu_milli * this->ExpectedRunMs(inJob, unit) / 1000;
 	}
 	return work;
 }
@@ -109,8 +109,9 @@
 int64 Cell::DueWall(const CellJob &inJob) const
 {
 	// Long-running jobs earn from their first second
-	const int64 from = inJob.spec.times > 0 ? std::max(inJob.spec.first_wall_ms, inJob.spec.accepted_wall_ms) : inJob.spec.accepted_wall_ms;
-	if (inJob.spec.steps[0].lasting)
+	const int64 from =
+		inJob.spec.round_count > 0 ? std::max(inJob.spec.first_wall_ms, inJob.spec.accepted_wall_ms) : inJob.spec.accepted_wall_ms;
+	if (inJob.spec.steps[0].long_running)
 		return from;
 	std::vector<Millis> ends(inJob.spec.steps.size(), 0);
 	Millis longest = 0;
@@ -159,7 +160,7 @@
 		// A scheduled start time arrives without any other change
 		if (!this->IsDue(inJob, unit, inWallNow))
 		{
-			if (inJob.spec.times > 0)
+			if (inJob.spec.round_count > 0)
 				return true;
 			continue;
 		}
@@ -196,7 +197,7 @@
 {
 	const size_t steps = inJob.spec.steps.size();
 	const size_t round = inUnit / steps;
-	if (inJob.spec.times > 0 && inWallNow < inJob.spec.first_wall_ms + static_cast<int64>(round) * inJob.spec.interval_ms)
+	if (inJob.spec.round_count > 0 && inWallNow < inJob.spec.first_wall_ms + static_cast<int64>(round) * inJob.spec.interval_ms)
 		return false;
 	for (uint32 before : inJob.StepOf(inUnit).after)
 		for (const TaskRecord &task : inJob.record.steps[round * steps + before].tasks)
@@ -230,9 +231,9 @@
 
 bool Cell::FitsTeamLimit(const CellJob &inJob, size_t inUnit, int64 inTasks, Millis inNow)
 {
-	Resources requested = inJob.StepOf(inUnit).need;
+	Resources requested = inJob.StepOf(inUnit).requested;
 	requested = {requested.cpu_milli * inTasks, requested.memory_mb * inTasks, requested.accelerators * inTasks};
-	if (this->teams.HasRoom(inJob.spec.team, requested, inNow))
+	if (this->teams.HasCapacity(inJob.spec.team, requested, inNow))
 		return true;
 	this->teams_at_limit.insert(inJob.spec.team);
 	return false;
@@ -288,7 +289,7 @@
 	std::map<std::string, uint32> on_worker;
 	std::vector<CellWorker *> places;
 	const StepSpec &step = ioJob.StepOf(inUnit);
-	const Resources reserved = step.Room();
+	const Resources reserved = step.Reserved();
 	for (uint32 index = 0; index < tasks.size(); ++index)
 	{
 		CellWorker *worker = this->ChooseWorker(ioJob, inUnit, index, inNow, on_worker);
@@ -315,7 +316,7 @@
 	if (inWorker.restart_suspected || inWorker.unsized_runs > 0 || this->IsEvacuated(inWorker))
 		return false;
 	// The listed capacity, kind and rack belong to a previous incarnation
-	if (IsStartedAfter(inWorker.born_ms, inWorker.entry.born_ms))
+	if (IsStartedAfter(inWorker.started_ms, inWorker.entry.started_ms))
 		return false;
 	if (inNow < inWorker.backoff_until || inNow < inWorker.drain_until || inNow < inWorker.quarantine_until ||
 		inNow < inWorker.removed_until)
@@ -342,15 +343,15 @@
 	score -= cFreeShareWeight * static_cast<double>(inWorker.Free().cpu_milli) / cores;
 	if (!step.data_rack.empty() && inWorker.entry.rack == step.data_rack)
 		score += cDataRackWeight;
-	const bool affects_latency = step.target_ms > 0 || step.fills;
-	if (!step.lasting && !affects_latency)
+	const bool affects_latency = step.latency_target_ms > 0 || step.best_effort;
+	if (!step.long_running && !affects_latency)
 		return score;
 	for (const auto &[id, run] : inWorker.runs)
 	{
 		// Latency-sensitive tasks suffer from latency-sensitive or best-effort neighbours; other long-running tasks are packed
-		if (affects_latency && (run.latency_sensitive || run.fills))
+		if (affects_latency && (run.latency_sensitive || run.best_effort))
 			score -= cNeighbourWeight;
-		else if (run.lasting && !affects_latency)
+		else if (run.long_running && !affects_latency)
 			score += cLongRunningPackingWeight;
 	}
 	// Spreads the tasks of a step, so that losing a rack or a zone takes few of them
@@ -372,7 +373,7 @@
 	const StepSpec &step = inJob.StepOf(inUnit);
 	const VolatileTaskState &state = inJob.volatile_state[inUnit][inTask];
 	const std::string &failed_on = state.last_failed_worker;
-	const Resources reserved = step.Room();
+	const Resources reserved = step.Reserved();
 	// A task that requested no more has found no worker in this pass
 	for (const PlanReject &reject : this->capacity_rejects)
 		if (reject.pool == inJob.spec.pool && reject.reserved.FitsInto(reserved))
@@ -421,7 +422,7 @@
 	const RunId id{{ioJob.spec.id, static_cast<uint32>(inUnit / steps), static_cast<uint32>(inUnit % steps), inTask}, inRun};
 	Run run = NewRun(ioJob.spec, step, ERunState::Planned, inNow);
 	LOOM_INVARIANT(run.reserved.FitsInto(ioWorker.Free()), "a worker is never told to run more than it has room for");
-	LOOM_INVARIANT(this->teams.HasRoom(run.team, run.requested, inNow), "a team never has more running than its share here");
+	LOOM_INVARIANT(this->teams.HasCapacity(run.team, run.requested, inNow), "a team never has more running than its share here");
 	TaskRecord &task = ioJob.record.steps[inUnit].tasks[inTask];
 	LOOM_INVARIANT(inRun > task.last_run, "run numbers of a task increase");
 	LOOM_INVARIANT(task.runs.empty() || step.may_copy, "a task has one run at a time unless its step allows copies");
@@ -458,7 +459,7 @@
 		.Field("runs", std::exchange(this->planned_text, {}))
 		.Field("oldest_news_ms", std::exchange(this->planned_answer_age, 0))
 		.Field("copies", inJob.StepOf(inUnit).may_copy ? 1 : 0)
-		.Field("lasting", inJob.StepOf(inUnit).lasting ? 1 : 0)
+		.Field("lasting", inJob.StepOf(inUnit).long_running ? 1 : 0)
 		.Field("cell", this->run_events.Cell())
 		.Field("epoch", this->epoch);
 }
@@ -476,7 +477,7 @@
 		this->AttributeCrash(ioWorker, inNow);
 	// Nothing has extended the leases, so they have expired wherever the worker is
 	for (const RunId &id : lapsed)
-		this->EndRun(ioWorker, id, ERunEnd::Lapsed, "", "lease expired without an answer", inNow);
+		this->EndRun(ioWorker, id, ERunEnd::LeaseExpired, "", "lease expired without an answer", inNow);
 }
 
 Millis Cell::ExpectedRunMs(const CellJob &inJob, size_t inUnit) const
@@ -501,7 +502,7 @@
 	const StepRunTimes &seen = inJob.seen[inUnit];
 	if (seen.Count() == tasks)
 		return seen.Longest();
-	return std::max(seen.Longest(), this->run_times.Longest(inJob.spec, this->ExpectedRunMs(inJob, inUnit), tasks));
+	return std::max(seen.Longest(), this->run_times.ExpectLongest(inJob.spec, this->ExpectedRunMs(inJob, inUnit), tasks));
 }
 
 Millis Cell::StepLeft(const CellJob &inJob, size_t inUnit) const
@@ -534,7 +535,7 @@
 	{
 		const CellJob *job = this->FindJob(id.task.job);
 		const bool candidate =
-			run.state == ERunState::Confirmed && !run.lasting && run.percent >= 0 && run.confirmed_at >= 0 && job != nullptr;
+			run.state == ERunState::Confirmed && !run.long_running && run.percent >= 0 && run.confirmed_at >= 0 && job != nullptr;
 		if (!candidate || job->spec.steps[id.task.step].gang)
 			continue;
 		const Millis expected = this->SlownessBaselineMs(*job, job->Unit(id.task.round, id.task.step));
@@ -574,19 +575,19 @@
 	bool has_best_effort = false;
 	for (const auto &[id, run] : ioWorker.runs)
 	{
-		has_best_effort = has_best_effort || run.fills;
+		has_best_effort = has_best_effort || run.best_effort;
 		if (!run.latency_sensitive || run.state != ERunState::Confirmed)
 			continue;
 		has_latency_sensitive = true;
 		const CellJob *job = this->FindJob(id.task.job);
-		const Millis target = job == nullptr ? 0 : job->spec.steps[id.task.step].target_ms;
-		worst = target <= 0 ? worst : std::max(worst, run.figure * 100 / target);
+		const Millis target = job == nullptr ? 0 : job->spec.steps[id.task.step].latency_target_ms;
+		worst = target <= 0 ? worst : std::max(worst, run.measurement * 100 / target);
 	}
 	if (!has_best_effort)
 		return;
 	for (auto &[id, run] : ioWorker.runs)
 	{
-		if (!run.fills || run.state != ERunState::Confirmed || run.throttle_in_flight)
+		if (!run.best_effort || run.state != ERunState::Confirmed || run.throttle_in_flight)
 			continue;
 		int64 throttle = run.throttle_percent;
 		if (has_latency_sensitive && worst > cTailHighPercent)
@@ -597,7 +598,7 @@
 			continue;
 		run.throttle_percent = throttle;
 		run.throttle_in_flight = true;
-		Order order = this->NewOrder(EOrder::Pace, ioWorker, inNow);
+		Order order = this->NewOrder(EOrder::Throttle, ioWorker, inNow);
 		order.task = id.task;
 		order.run = id.run;
 		order.percent = throttle;
--- a/Loomreach/Schedule/CellTypes.h
+++ b/Loomreach/Schedule/CellTypes.h
@@ -17,10 +17,10 @@
 /// Times, limits and weights of one cell. Times are in ms.
 struct CellTuning
 {
-	Millis lease_ms = 4000;       ///< Lease granted to a worker's runs by each poll. Setting `worker_lease_ms`.
-	Millis most_lease_ms = 10000; ///< Longest lease that any owner may have granted. Setting `worker_most_lease_ms`.
+	Millis lease_ms = 4000;      ///< Lease granted to a worker's runs by each poll. Setting `worker_lease_ms`.
+	Millis max_lease_ms = 10000; ///< Longest lease that any owner may have granted. Setting `worker_most_lease_ms`.
 	/// Workers truncate longer leases to this, including a lease whose end was computed for the clock of a previous incarnation.
-	Millis granted_lease_ms = 10000;
+	Millis worker_lease_cap_ms = 10000;
 	Millis poll_wait_ms = 1500; ///< How long a long poll waits for a run end; well below the lease.
 	/// Poll wait while latency-sensitive and best-effort runs share the worker: tail latency must be seen before it does harm.
 	Millis short_poll_wait_ms = 500;
@@ -107,8 +107,8 @@
 	Resources requested;            ///< What its task requests; counts against the team's limit.
 	std::string team;               ///< Empty: no team.
 	bool latency_sensitive = false; ///< Long-running with a latency target.
-	bool fills = false;
-	bool lasting = false;
+	bool best_effort = false;
+	bool long_running = false;
 	bool resumed = false;   ///< Started from a checkpoint, so its run time is not representative.
 	bool inherited = false; ///< Found in the log at take-over: a previous owner may have ordered it to stop.
 	/// The run was on a previous incarnation that this owner never heard from. Until then a previous owner may still submit its end.
@@ -126,7 +126,7 @@
 	Millis next_stop_at = 0;
 	int64 percent = 0;
 	Millis progress_at = 0;       ///< When `percent` was reported.
-	int64 figure = 0;             ///< As in RunningRun.
+	int64 measurement = 0;        ///< As in RunningRun.
 	int64 throttle_percent = 100; ///< Share of full speed that it was last told to work at.
 	bool throttle_in_flight = false;
 	std::string ticket;
@@ -136,22 +136,22 @@
 inline Run NewRun(const JobSpec &inJob, const StepSpec &inStep, ERunState inState, Millis inNow)
 {
 	Run run;
-	run.requested = inStep.need;
+	run.requested = inStep.requested;
 	run.team = inJob.team;
 	run.state = inState;
 	run.since = inNow;
-	run.reserved = inStep.Room();
-	run.latency_sensitive = inStep.lasting && inStep.target_ms > 0;
-	run.fills = inStep.fills;
-	run.lasting = inStep.lasting;
+	run.reserved = inStep.Reserved();
+	run.latency_sensitive = inStep.long_running && inStep.latency_target_ms > 0;
+	run.best_effort = inStep.best_effort;
+	run.long_running = inStep.long_running;
 	return run;
 }
 
 /// State of one incarnation of a worker. The next one, which may have the same id, starts with none of it.
 struct WorkerIncarnation
 {
-	int64 born_ms = cStartTimeUnknown; ///< Identifies the incarnation together with the worker's id.
-	uint64 incarnation_number = 0;     ///< Part of the token of its orders; higher than for every earlier incarnation.
+	int64 started_ms = cStartTimeUnknown; ///< Identifies the incarnation together with the worker's id.
+	uint64 incarnation_number = 0;        ///< Part of the token of its orders; higher than for every earlier incarnation.
 	/// Something suggests that another incarnation has begun. The next poll decides; until then nothing is started.
 	bool restart_suspected = false;
 	bool leave_announced = false;    ///< The worker has announced that it leaves.
--- a/Loomreach/Schedule/CrashEvidence.cpp
+++ b/Loomreach/Schedule/CrashEvidence.cpp
@@ -21,8 +21,8 @@
 {
 	CrashSummary weight;
 	weight.blamed = inCrashes.blamed;
-	weight.at_once = inCrashes.at_once;
-	weight.beside = inCrashes.beside;
+	weight.after_start = inCrashes.after_start;
+	weight.bystander = inCrashes.bystander;
 	for (const CrashCase &crash : inCrashes.cases)
 	{
 		bool is_sole = true;
@@ -35,21 +35,22 @@
 		}
 		if (!is_explained)
 		{
-			weight.clear += crash.blamed && !crash.chance && is_sole ? 1 : 0;
-			weight.sole += crash.at_once && is_sole ? 1 : 0;
+			weight.sole_suspect += crash.blamed && !crash.chance && is_sole ? 1 : 0;
+			weight.sole_suspect_after_start += crash.after_start && is_sole ? 1 : 0;
 			continue;
 		}
 		++weight.explained;
-		weight.at_once -= crash.at_once ? 1 : 0;
-		--(crash.blamed ? weight.blamed : weight.beside);
+		weight.after_start -= crash.after_start ? 1 : 0;
+		--(crash.blamed ? weight.blamed : weight.bystander);
 	}
 	return weight;
 }
 
 bool IsCrashCauseProved(const CrashSummary &inWeight, const ChanceIndicators &inIndicators)
 {
-	const bool in_doubt = inIndicators.workers_crash || inIndicators.unit_is_sound || inWeight.sole < cProvingCrashes;
-	return inWeight.at_once >= (in_doubt ? cProvingCrashesInDoubt : cProvingCrashes);
+	const bool in_doubt =
+		inIndicators.other_workers_crashed || inIndicators.step_task_survived || inWeight.sole_suspect_after_start < cProvingCrashes;
+	return inWeight.after_start >= (in_doubt ? cProvingCrashesInDoubt : cProvingCrashes);
 }
 
 } // namespace Loomreach::Jobs
--- a/Loomreach/Schedule/CrashEvidence.h
+++ b/Loomreach/Schedule/CrashEvidence.h
@@ -15,9 +15,9 @@
 /// What is known by now about another suspect of a crash.
 enum class ESuspectState : uint8
 {
-	Open,    ///< Undecided.
-	Cleared, ///< A task of it has run past its start or has finished its work.
-	Proved   ///< Its job was failed because a task of it crashes its workers.
+	Undecided, ///< Undecided.
+	Cleared,   ///< A task of it has run past its start or has finished its work.
+	Proved     ///< Its job was failed because a task of it crashes its workers.
 };
 
 /// Looks up the state of another suspect.
@@ -26,14 +26,14 @@
 /// Counts of a task's crashes, without those that another suspect is proved to have caused.
 struct CrashSummary
 {
-	uint32 blamed = 0;    ///< The task may have caused the crash.
-	uint32 at_once = 0;   ///< Of `blamed`: right after the start of the task's run.
-	uint32 beside = 0;    ///< Something else is the more likely cause.
-	uint32 clear = 0;     ///< Of `blamed`: no other suspect is left, and coincidence is unlikely.
-	uint32 sole = 0;      ///< Of `at_once`: no other suspect is left.
-	uint32 explained = 0; ///< Crashes left out because another suspect is proved to have caused them.
-
-	uint32 Total() const { return this->blamed + this->beside; }
+	uint32 blamed = 0;                   ///< The task may have caused the crash.
+	uint32 after_start = 0;              ///< Of `blamed`: right after the start of the task's run.
+	uint32 bystander = 0;                ///< Something else is the more likely cause.
+	uint32 sole_suspect = 0;             ///< Of `blamed`: no other suspect is left, and coincidence is unlikely.
+	uint32 sole_suspect_after_start = 0; ///< Of `after_start`: no other suspect is left.
+	uint32 explained = 0;                ///< Crashes left out because another suspect is proved to have caused them.
+
+	uint32 Total() const { return this->blamed + this->bystander; }
 };
 
 /// Counts a task's crashes by what is known of the other suspects.
@@ -42,8 +42,8 @@
 /// Reasons to take a crash for coincidence although the only suspect had just started.
 struct ChanceIndicators
 {
-	bool workers_crash = false; ///< Workers on which nothing had just started have crashed recently.
-	bool unit_is_sound = false; ///< Another task of the same step, which runs the same program, has run past its start.
+	bool other_workers_crashed = false; ///< Workers on which nothing had just started have crashed recently.
+	bool step_task_survived = false;    ///< Another task of the same step, which runs the same program, has run past its start.
 };
 
 /// Whether these crashes prove that a task crashes its workers. `inIndicators`: as of the last of them.
--- a/Loomreach/Schedule/PoolDemand.h
+++ b/Loomreach/Schedule/PoolDemand.h
@@ -11,15 +11,15 @@
 struct PoolDemand
 {
 	/// Demand of jobs that can meet their deadlines (running, ready to start, and forecast); the highest of the recent values.
-	Resources need;
-	Resources late;                  ///< Demand of jobs that can no longer meet their deadlines.
-	uint32 least_hosts = 0;          ///< Number of hosts for tasks that must not share a host.
-	std::vector<std::string> spared; ///< Workers that are empty and stay empty for the requested time.
+	Resources in_time;
+	Resources late;                      ///< Demand of jobs that can no longer meet their deadlines.
+	uint32 min_hosts = 0;                ///< Number of hosts for tasks that must not share a host.
+	std::vector<std::string> releasable; ///< Workers that are empty and stay empty for the requested time.
 
 	template <class Archive>
 	void serialize(Archive &ioArchive)
 	{
-		ioArchive(this->need, this->late, this->least_hosts, this->spared);
+		ioArchive(this->in_time, this->late, this->min_hosts, this->releasable);
 	}
 };
 
--- a/Loomreach/Schedule/RunEndReplicas.cpp
+++ b/Loomreach/Schedule/RunEndReplicas.cpp
@@ -36,7 +36,7 @@
 	this->updates.push_back({std::move(inUpdate), inNow});
 }
 
-std::vector<OrphanedRunEnds> RunEndReplicas::TakeOrphans(const IsGone &inIsGone, Millis inNow)
+std::vector<OrphanedRunEnds> RunEndReplicas::TakeOrphans(const HasStopped &inHasStopped, Millis inNow)
 {
 	while (!this->updates.empty() && inNow - this->updates.front().received_at > cRetentionMs)
 		this->updates.pop_front();
@@ -47,7 +47,7 @@
 		const RunEndsUpdate &update = replica.update;
 		const auto [found, is_new] = stopped.try_emplace({update.cell, update.epoch}, false);
 		if (is_new)
-			found->second = inIsGone(update.cell, update.epoch);
+			found->second = inHasStopped(update.cell, update.epoch);
 		if (!found->second)
 			continue;
 		for (EndReport &report : replica.update.reports)
--- a/Loomreach/Schedule/RunEndReplicas.h
+++ b/Loomreach/Schedule/RunEndReplicas.h
@@ -20,12 +20,12 @@
 {
 public:
 	/// Whether the owner of a cell with this epoch has certainly stopped acting.
-	using IsGone = std::function<bool(uint32 inCell, uint64 inEpoch)>;
+	using HasStopped = std::function<bool(uint32 inCell, uint64 inEpoch)>;
 
 	/// Stores an update, and drops those whose run ends the owner has logged.
 	void OnUpdate(RunEndsUpdate inUpdate, Millis inNow);
 	/// Removes and returns the run ends of owners that have stopped.
-	std::vector<OrphanedRunEnds> TakeOrphans(const IsGone &inIsGone, Millis inNow);
+	std::vector<OrphanedRunEnds> TakeOrphans(const HasStopped &inHasStopped, Millis inNow);
 	/// Number of stored updates.
 	size_t Size() const { return this->updates.size(); }
 
--- a/Loomreach/Schedule/RunEndReplicator.cpp
+++ b/Loomreach/Schedule/RunEndReplicator.cpp
@@ -18,7 +18,7 @@
 	this->epoch = inEpoch;
 }
 
-void RunEndReplicator::Note(const std::string &inWorker, const EndedRun &inRow)
+void RunEndReplicator::Add(const std::string &inWorker, const EndedRun &inRow)
 {
 	// Ends of other kinds may be lost: the task is started again in any case
 	if (inRow.end != ERunEnd::Done && inRow.end != ERunEnd::Failed)
@@ -29,7 +29,7 @@
 	this->pending.back().ended.push_back(inRow);
 }
 
-std::optional<RunEndsUpdate> RunEndReplicator::Take(Millis inNow)
+std::optional<RunEndsUpdate> RunEndReplicator::TakeUpdate(Millis inNow)
 {
 	const bool sends_logged = this->logged > this->logged_sent && inNow - this->sent_at >= cLoggedUpdateMs;
 	if (this->pending.empty() && !sends_logged)
--- a/Loomreach/Schedule/RunEndReplicator.h
+++ b/Loomreach/Schedule/RunEndReplicator.h
@@ -31,9 +31,9 @@
 public:
 	void Begin(uint32 inCell, uint64 inEpoch);
 	/// Adds a run end that a worker has listed and the log does not contain.
-	void Note(const std::string &inWorker, const EndedRun &inRow);
+	void Add(const std::string &inWorker, const EndedRun &inRow);
 	/// The next update to send, or nothing. Call repeatedly until it returns nothing.
-	std::optional<RunEndsUpdate> Take(Millis inNow);
+	std::optional<RunEndsUpdate> TakeUpdate(Millis inNow);
 
 	/// A series of appends begins that writes all run ends added so far.
 	void BeginWriting();
--- a/Loomreach/Schedule/RunEventLog.cpp
+++ b/Loomreach/Schedule/RunEventLog.cpp
@@ -52,14 +52,14 @@
 	++ioItems.count;
 }
 
-void RunEventLog::Told(const RunId &inRun)
+void RunEventLog::AddDispatched(const RunId &inRun)
 {
 	AddRun(this->dispatched, inRun);
 	if (IsFull(this->dispatched))
 		this->FlushDispatched();
 }
 
-void RunEventLog::Dropped(const RunId &inRun, std::string_view inWhy)
+void RunEventLog::AddDropped(const RunId &inRun, std::string_view inWhy)
 {
 	if (IsFull(this->dropped) || inWhy != this->dropped_why)
 		this->FlushDropped();
@@ -67,7 +67,7 @@
 	AddRun(this->dropped, inRun);
 }
 
-void RunEventLog::Covered(const std::string &inWorker, uint64 inFrom, uint64 inTo, Millis inPersistedAge)
+void RunEventLog::AddAcknowledged(const std::string &inWorker, uint64 inFrom, uint64 inTo, Millis inPersistedAge)
 {
 	this->acknowledged_age = std::max(this->acknowledged_age, inPersistedAge);
 	AddRange(this->acknowledged, inWorker, inFrom, inTo);
@@ -75,13 +75,13 @@
 		this->FlushAcknowledged();
 }
 
-void RunEventLog::Logged(const std::string &inWorker, uint64 inFrom, uint64 inTo)
+void RunEventLog::AddPersisted(const std::string &inWorker, uint64 inFrom, uint64 inTo)
 {
 	AddRange(this->persisted, inWorker, inFrom, inTo);
 	this->persisted_ends += inTo - inFrom + 1;
 }
 
-void RunEventLog::Unmatched(const EndedRun &inRow, std::string_view inPhase, bool inTaskDone)
+void RunEventLog::AddUnmatched(const EndedRun &inRow, std::string_view inPhase, bool inTaskDone)
 {
 	std::string &text = this->unmatched.text;
 	// Ends that no longer fit into the line are only counted
@@ -90,7 +90,7 @@
 		return;
 	if (!text.empty())
 		text += ' ';
-	text += TaskText(inRow.task) + '.' + std::to_string(inRow.run) + '#' + std::to_string(inRow.number) + ':';
+	text += TaskText(inRow.task) + '.' + std::to_string(inRow.run) + '#' + std::to_string(inRow.sequence) + ':';
 	text += NameOf(cRunEndNames, inRow.end);
 	text += '/';
 	text += inPhase;
--- a/Loomreach/Schedule/RunEventLog.h
+++ b/Loomreach/Schedule/RunEventLog.h
@@ -18,15 +18,15 @@
 	uint64 Epoch() const { return this->epoch; }
 
 	/// A start order is sent to the run's worker.
-	void Told(const RunId &inRun);
+	void AddDispatched(const RunId &inRun);
 	/// A run is dropped that was never dispatched to its worker.
-	void Dropped(const RunId &inRun, std::string_view inWhy);
+	void AddDropped(const RunId &inRun, std::string_view inWhy);
 	/// A poll is sent that acknowledges run ends; the cell's log has contained them for `inPersistedAge`.
-	void Covered(const std::string &inWorker, uint64 inFrom, uint64 inTo, Millis inPersistedAge);
+	void AddAcknowledged(const std::string &inWorker, uint64 inFrom, uint64 inTo, Millis inPersistedAge);
 	/// An append with run ends of a worker was confirmed.
-	void Logged(const std::string &inWorker, uint64 inFrom, uint64 inTo);
+	void AddPersisted(const std::string &inWorker, uint64 inFrom, uint64 inTo);
 	/// A worker lists the end of a run that the job records do not contain.
-	void Unmatched(const EndedRun &inRow, std::string_view inPhase, bool inTaskDone);
+	void AddUnmatched(const EndedRun &inRow, std::string_view inPhase, bool inTaskDone);
 
 	/// Writes the runs dispatched and dropped and the run ends acknowledged.
 	void FlushOrders();
--- a/Loomreach/Schedule/RunTimes.cpp
+++ b/Loomreach/Schedule/RunTimes.cpp
@@ -63,7 +63,7 @@
 	return std::max<Millis>(inStep.estimate_ms, 1);
 }
 
-Millis RunTimes::Longest(const JobSpec &inJob, Millis inMean, size_t inTasks) const
+Millis RunTimes::ExpectLongest(const JobSpec &inJob, Millis inMean, size_t inTasks) const
 {
 	auto spread = this->spreads.find(inJob.queue);
 	const double spread_of_queue = spread == this->spreads.end() ? cInitialSpread : spread->second;
--- a/Loomreach/Schedule/RunTimes.h
+++ b/Loomreach/Schedule/RunTimes.h
@@ -55,7 +55,7 @@
 	/// Predicted run time of a task of a step, ms.
 	Millis Expect(const JobSpec &inJob, const StepSpec &inStep) const;
 	/// Predicted run time of the longest of `inTasks` tasks with mean `inMean`, ms.
-	Millis Longest(const JobSpec &inJob, Millis inMean, size_t inTasks) const;
+	Millis ExpectLongest(const JobSpec &inJob, Millis inMean, size_t inTasks) const;
 
 	template <class Archive>
 	void serialize(Archive &ioArchive)
--- a/Loomreach/Schedule/TaskCrashes.cpp
+++ b/Loomreach/Schedule/TaskCrashes.cpp
@@ -26,9 +26,9 @@
 		const auto blamed = static_cast<uint32>(
 			std::count_if(cases.cases.begin(), cases.cases.end(), [](const CrashCase &inCase) { return inCase.blamed; }));
 		const auto at_once = static_cast<uint32>(
-			std::count_if(cases.cases.begin(), cases.cases.end(), [](const CrashCase &inCase) { return inCase.at_once; }));
+			std::count_if(cases.cases.begin(), cases.cases.end(), [](const CrashCase &inCase) { return inCase.after_start; }));
 		// Counts that were reset after these cases were written do not include them
-		const bool fits = blamed <= crashes.blamed && at_once <= crashes.at_once && cases.cases.size() - blamed <= crashes.beside;
+		const bool fits = blamed <= crashes.blamed && at_once <= crashes.after_start && cases.cases.size() - blamed <= crashes.bystander;
 		if (!fits)
 			continue;
 		crashes.cases = cases.cases;
--- a/Loomreach/Schedule/TaskCrashes.h
+++ b/Loomreach/Schedule/TaskCrashes.h
@@ -25,14 +25,14 @@
 struct CrashCase
 {
 	bool blamed = false;                ///< Whether the task may have caused the crash; otherwise it is counted as a bystander.
-	bool at_once = false;               ///< Whether the crash came right after the start of the task's run, with no sign of coincidence.
+	bool after_start = false;           ///< Whether the crash came right after the start of the task's run, with no sign of coincidence.
 	bool chance = false;                ///< Other workers were lost at the same time, and no task can have caused their loss.
 	std::vector<CrashSuspect> suspects; ///< Other suspects.
 
 	template <class Archive>
 	void serialize(Archive &ioArchive)
 	{
-		ioArchive(this->blamed, this->at_once, this->chance, this->suspects);
+		ioArchive(this->blamed, this->after_start, this->chance, this->suspects);
 	}
 };
 
@@ -40,18 +40,18 @@
 /// suspects are not known.
 struct TaskCrashes
 {
-	uint32 blamed = 0;  ///< The task may have caused the crash.
-	uint32 at_once = 0; ///< Of `blamed`: right after the start of the task's run, with no sign of coincidence.
-	uint32 beside = 0;  ///< A run that had started later is the more likely cause, or the crash says nothing about the task.
+	uint32 blamed = 0;      ///< The task may have caused the crash.
+	uint32 after_start = 0; ///< Of `blamed`: right after the start of the task's run, with no sign of coincidence.
+	uint32 bystander = 0;   ///< A run that had started later is the more likely cause, or the crash says nothing about the task.
 	std::vector<CrashCase> cases;
 	bool proved = false; ///< Its job was failed because the task crashes its workers.
 
-	uint32 Total() const { return this->blamed + this->beside; }
+	uint32 Total() const { return this->blamed + this->bystander; }
 	/// Only the counts: `cases` and `proved` are in a record of their own, which earlier versions skip.
 	template <class Archive>
 	void serialize(Archive &ioArchive)
 	{
-		ioArchive(this->blamed, this->at_once, this->beside);
+		ioArchive(this->blamed, this->after_start, this->bystander);
 	}
 };
 
--- a/Loomreach/Schedule/TeamClaims.h
+++ b/Loomreach/Schedule/TeamClaims.h
@@ -3,11 +3,11 @@
 // A team's limit applies to all cells together, but each cell has its own owner. A cell's owner reports what its teams use and want, and
 // the fleet's owner answers with the share of each limit that the cell may use. The following rules keep the limit even if messages are
 // lost or delayed:
-//  1. A cell starts nothing beyond the share it holds. That share is at most what the newest answer to its newest request granted.
+//  1. A cell starts nothing beyond the share it holds. That share is at most what the newest answer to its newest question granted.
 //  2. The fleet's owner counts a cell with the most that it may hold: what it reported to hold, or more if more was granted since.
 //  3. A new owner of a cell holds no share, and counts every run in the cell's log as used.
 //  4. A new owner of the fleet grants nothing more until it has heard from all cells, or until everything granted before has expired.
-//  5. A cell counts as heard from only by a request that it sent after an answer of that owner. An older request may have been in
+//  5. A cell counts as heard from only by a question that it sent after an answer of that owner. An older question may have been in
 //     transit for seconds, and the cell may yet accept an answer of the previous owner.
 
 #pragma once
@@ -17,7 +17,7 @@
 namespace Loomreach::Jobs
 {
 
-/// A granted share is valid for this long after the request for it was sent. This exceeds the time that the fleet is without
+/// A granted share is valid for this long after the question for it was sent. This exceeds the time that the fleet is without
 /// an owner after the owner's host is lost (1.5 s of lease and a claim).
 inline constexpr Millis cShareValidMs = 3000;
 
@@ -36,7 +36,7 @@
 	}
 };
 
-/// Request of a cell's owner. Teams that are not listed use and hold nothing in the cell.
+/// Question of a cell's owner. Teams that are not listed use and hold nothing in the cell.
 struct ShareQuestion
 {
 	uint32 cell = 0;
@@ -68,7 +68,7 @@
 /// Answer of the fleet's owner.
 struct ShareAnswer
 {
-	uint64 number = 0;      ///< Of the request; 0: the request was not accepted.
+	uint64 number = 0;      ///< Of the question; 0: the question was not accepted.
 	uint64 fleet_epoch = 0; ///< Of the fleet's owner that answers.
 	std::vector<TeamShare> shares;
 
--- a/Loomreach/Schedule/TeamLimits.cpp
+++ b/Loomreach/Schedule/TeamLimits.cpp
@@ -7,16 +7,16 @@
 namespace Loomreach::Jobs
 {
 
-void TeamLimits::Take(const Catalogue &inCatalogue)
+void TeamLimits::Update(const Catalogue &inCatalogue)
 {
 	if (!inCatalogue.teams.has_value())
 		return;
 	for (const auto &[name, team] : *inCatalogue.teams)
 	{
-		if (team.at_most == Resources{})
+		if (team.limit == Resources{})
 			this->limits.erase(name);
 		else
-			this->limits[name] = team.at_most;
+			this->limits[name] = team.limit;
 	}
 }
 
--- a/Loomreach/Schedule/TeamLimits.h
+++ b/Loomreach/Schedule/TeamLimits.h
@@ -12,7 +12,7 @@
 {
 public:
 	/// Applies a newer configuration. A team that it no longer lists keeps its last limit, because its accepted jobs continue.
-	void Take(const Catalogue &inCatalogue);
+	void Update(const Catalogue &inCatalogue);
 	/// A team's limit, or null if it has none. Resources with limit 0 are unlimited.
 	const Resources *Find(std::string_view inTeam) const;
 	bool IsEmpty() const { return this->limits.empty(); }
--- a/Loomreach/Schedule/TeamUsage.cpp
+++ b/Loomreach/Schedule/TeamUsage.cpp
@@ -9,12 +9,12 @@
 namespace Loomreach::Jobs
 {
 
-/// Interval between requests for shares. Each request returns what is no longer needed and renews what is held before it becomes invalid.
-static constexpr Millis cRequestIntervalMs = 200;
+/// Interval between questions for shares. Each question returns what is no longer needed and renews what is held before it becomes invalid.
+static constexpr Millis cQuestionIntervalMs = 200;
 /// Idle time after which a team's share is returned: the length of two swings in demand.
 static constexpr Millis cIdleTeamMs = 8000;
 /// Interval while tasks wait for their team's share. A round trip between zones takes 3 ms, and planning rounds are 20 ms apart.
-static constexpr Millis cShortRequestIntervalMs = 40;
+static constexpr Millis cShortQuestionIntervalMs = 40;
 
 void TeamUsage::Add(const std::string &inTeam, const Resources &inRequested)
 {
@@ -31,7 +31,7 @@
 	LOOM_INVARIANT(share.used.cpu_milli >= 0 && share.used.memory_mb >= 0, "the resources used by a team equal the sum of its runs");
 }
 
-bool TeamUsage::HasRoom(const std::string &inTeam, const Resources &inRequested, Millis inNow) const
+bool TeamUsage::HasCapacity(const std::string &inTeam, const Resources &inRequested, Millis inNow) const
 {
 	const Resources *limit = this->limits.Find(inTeam);
 	if (inTeam.empty() || limit == nullptr)
@@ -44,14 +44,14 @@
 	return IsWithin(sum, found->second.held, *limit);
 }
 
-Millis TeamUsage::NextAskAt(bool inShortOfShare) const
+Millis TeamUsage::NextQuestionAt(bool inShortOfShare) const
 {
-	if (this->requested_at < 0)
+	if (this->asked_at < 0)
 		return 0;
-	return this->requested_at + (inShortOfShare || this->fleet_owner_changed ? cShortRequestIntervalMs : cRequestIntervalMs);
+	return this->asked_at + (inShortOfShare || this->fleet_owner_changed ? cShortQuestionIntervalMs : cQuestionIntervalMs);
 }
 
-ShareQuestion TeamUsage::Ask(uint64 inEpoch, const std::map<std::string, Resources> &inWanted, Millis inNow)
+ShareQuestion TeamUsage::BuildQuestion(uint64 inEpoch, const std::map<std::string, Resources> &inWanted, Millis inNow)
 {
 	ShareQuestion question;
 	question.epoch = inEpoch;
@@ -65,7 +65,7 @@
 		const bool is_idle = share.used == Resources{} && want == Resources{};
 		if (!is_idle)
 			share.last_active_at = inNow;
-		// A team that the request does not list holds no share in this cell
+		// A team that the question does not list holds no share in this cell
 		if (is_idle && inNow - share.last_active_at > cIdleTeamMs)
 		{
 			it = this->shares.erase(it);
@@ -75,7 +75,7 @@
 			question.claims.push_back({team, share.used, share.held, want});
 		++it;
 	}
-	this->requested_at = inNow;
+	this->asked_at = inNow;
 	question.number = ++this->number;
 	question.fleet_epoch = this->fleet_epoch;
 	return question;
@@ -97,10 +97,10 @@
 				.Field("cpu_milli", row.limit.cpu_milli)
 				.Field("memory_mb", row.limit.memory_mb)
 				.Field("used_cpu_milli", share.used.cpu_milli)
-				.Field("asked_ms_ago", inNow - this->requested_at);
+				.Field("asked_ms_ago", inNow - this->asked_at);
 		share.held = row.limit;
 	}
-	this->valid_until = this->requested_at + cShareValidMs;
+	this->valid_until = this->asked_at + cShareValidMs;
 }
 
 } // namespace Loomreach::Jobs
