--- a/Loomreach/Schedule/Worker.h
+++ b/Loomreach/Schedule/Worker.h
@@ -22,9 +22,9 @@
 /// One worker as the worker list shows it: one incarnation, which is one process on a host.
 struct WorkerEntry
 {
-	std::string id;                    ///< Identifies the worker; a new incarnation may reuse it.
-	int64 born_ms = cStartTimeUnknown; ///< Start time, ms since 1970 by the host's clock; identifies the incarnation together with `id`.
-	std::string host;                  ///< Host it runs on; empty if not reported.
+	std::string id;                       ///< Identifies the worker; a new incarnation may reuse it.
+	int64 started_ms = cStartTimeUnknown; ///< Start time, ms since 1970 by the host's clock; identifies the incarnation together with `id`.
+	std::string host;                     ///< Host it runs on; empty if not reported.
 	std::string pool;
 	std::string availability_zone;
 	Address address;
@@ -44,15 +44,15 @@
 	Done,
 	Failed,
 	Stopped,
-	Lapsed, ///< Its lease expired.
-	Broken, ///< Another member of its gang ended.
-	Alone   ///< The other members of its gang did not start in time.
+	LeaseExpired, ///< Its lease expired.
+	GangBroken,   ///< Another member of its gang ended.
+	GangTimeout   ///< The other members of its gang did not start in time.
 };
 
 inline constexpr std::array cRunEndNames = {
-	EnumName<ERunEnd>{ERunEnd::Done, "done"},       EnumName<ERunEnd>{ERunEnd::Failed, "failed"},
-	EnumName<ERunEnd>{ERunEnd::Stopped, "stopped"}, EnumName<ERunEnd>{ERunEnd::Lapsed, "lapsed"},
-	EnumName<ERunEnd>{ERunEnd::Broken, "broken"},   EnumName<ERunEnd>{ERunEnd::Alone, "alone"},
+	EnumName<ERunEnd>{ERunEnd::Done, "done"},         EnumName<ERunEnd>{ERunEnd::Failed, "failed"},
+	EnumName<ERunEnd>{ERunEnd::Stopped, "stopped"},   EnumName<ERunEnd>{ERunEnd::LeaseExpired, "lapsed"},
+	EnumName<ERunEnd>{ERunEnd::GangBroken, "broken"}, EnumName<ERunEnd>{ERunEnd::GangTimeout, "alone"},
 };
 
 /// A run that a worker currently has.
@@ -61,20 +61,20 @@
 	TaskId task;
 	uint32 run = 0;
 	std::string checkpoint;
-	int64 percent = 0; ///< Progress; a long-running task that is up reports 100.
-	int64 figure = 0;  ///< Latency-sensitive tasks: tail latency, ms. Others: processor time in use, thousandths of a core.
+	int64 percent = 0;     ///< Progress; a long-running task that is up reports 100.
+	int64 measurement = 0; ///< Latency-sensitive tasks: tail latency, ms. Others: processor time in use, thousandths of a core.
 
 	template <class Archive>
 	void serialize(Archive &ioArchive)
 	{
-		ioArchive(this->task, this->run, this->checkpoint, this->percent, this->figure);
+		ioArchive(this->task, this->run, this->checkpoint, this->percent, this->measurement);
 	}
 };
 
 /// A run that has ended on a worker and whose end is not acknowledged yet.
 struct EndedRun
 {
-	uint64 number = 0; ///< Sequence number; counts up from 1 within an incarnation.
+	uint64 sequence = 0; ///< Sequence number; counts up from 1 within an incarnation.
 	TaskId task;
 	uint32 run = 0;
 	ERunEnd end = ERunEnd::Failed;
@@ -83,24 +83,24 @@
 	template <class Archive>
 	void serialize(Archive &ioArchive)
 	{
-		ioArchive(this->number, this->task, this->run, this->end, this->checkpoint);
+		ioArchive(this->sequence, this->task, this->run, this->end, this->checkpoint);
 	}
 };
 
 /// Outcome of an order to a worker.
 enum class EOrderResult : uint8
 {
-	Done,       ///< Carried out, now or by an earlier copy of the order.
-	StaleToken, ///< The worker has seen a higher fencing token.
-	StaleRun,   ///< A run of the task with this or a higher number was stopped or has ended on the worker.
-	TooLate,    ///< The lease named in the order has already expired.
-	NoRoom,     ///< The run does not fit into the worker's free capacity.
-	NoTicket,   ///< The adviser's ticket is missing or has expired.
-	OtherLife,  ///< The order was for another incarnation of the worker.
-	Unhealthy,  ///< The worker refused because it is unhealthy; nothing was done.
-	Rejected,   ///< The worker found the order malformed.
-	NotSent,    ///< The order certainly never left the sender.
-	Unknown     ///< No answer: the order may be carried out, now or later, or not at all.
+	Done,             ///< Carried out, now or by an earlier copy of the order.
+	StaleToken,       ///< The worker has seen a higher fencing token.
+	StaleRun,         ///< A run of the task with this or a higher number was stopped or has ended on the worker.
+	TooLate,          ///< The lease named in the order has already expired.
+	NoCapacity,       ///< The run does not fit into the worker's free capacity.
+	NoTicket,         ///< The adviser's ticket is missing or has expired.
+	OtherIncarnation, ///< The order was for another incarnation of the worker.
+	Unhealthy,        ///< The worker refused because it is unhealthy; nothing was done.
+	Rejected,         ///< The worker found the order malformed.
+	NotSent,          ///< The order certainly never left the sender.
+	Unknown           ///< No answer: the order may be carried out, now or later, or not at all.
 };
 
 inline constexpr std::array cOrderResultNames = {
@@ -108,9 +108,9 @@
 	EnumName<EOrderResult>{EOrderResult::StaleToken, "stale-token"},
 	EnumName<EOrderResult>{EOrderResult::StaleRun, "stale-run"},
 	EnumName<EOrderResult>{EOrderResult::TooLate, "too-late"},
-	EnumName<EOrderResult>{EOrderResult::NoRoom, "no-room"},
+	EnumName<EOrderResult>{EOrderResult::NoCapacity, "no-room"},
 	EnumName<EOrderResult>{EOrderResult::NoTicket, "no-ticket"},
-	EnumName<EOrderResult>{EOrderResult::OtherLife, "other-life"},
+	EnumName<EOrderResult>{EOrderResult::OtherIncarnation, "other-life"},
 	EnumName<EOrderResult>{EOrderResult::Unhealthy, "unhealthy"},
 	EnumName<EOrderResult>{EOrderResult::Rejected, "rejected"},
 	EnumName<EOrderResult>{EOrderResult::NotSent, "not-sent"},
@@ -122,14 +122,14 @@
 {
 	Start,
 	Stop,
-	Hold, ///< Renews the leases of all runs, acknowledges run ends and lists what runs.
-	Pace  ///< Throttles a best-effort run.
+	Poll,    ///< Renews the leases of all runs, acknowledges run ends and lists what runs.
+	Throttle ///< Throttles a best-effort run.
 };
 
 /// One order to one worker.
 struct Order
 {
-	EOrder kind = EOrder::Hold;
+	EOrder kind = EOrder::Poll;
 	uint64 serial = 0; ///< Identifies the order between the cell and its driver.
 	std::string worker;
 	std::string availability_zone; ///< Of the worker.
@@ -140,17 +140,17 @@
 	std::string payload;
 	std::string checkpoint;
 	std::string ticket;
-	Millis until_ms = -1; ///< End of the lease on the worker's clock; -1: none given.
-	uint64 last_seen = 0; ///< Poll: run ends up to this sequence number are acknowledged.
-	Millis wait_ms = 0;   ///< Poll: how long the worker may delay its answer until a run ends (long poll).
-	int64 percent = 100;  ///< Throttle: share of full speed at which the run may work.
-	Millis not_after = 0; ///< End of the sender's ownership on its clock; the order must not be sent later.
+	Millis until_ms = -1;        ///< End of the lease on the worker's clock; -1: none given.
+	uint64 acknowledged_end = 0; ///< Poll: run ends up to this sequence number are acknowledged.
+	Millis wait_ms = 0;          ///< Poll: how long the worker may delay its answer until a run ends (long poll).
+	int64 percent = 100;         ///< Throttle: share of full speed at which the run may work.
+	Millis not_after = 0;        ///< End of the sender's ownership on its clock; the order must not be sent later.
 
 	template <class Archive>
 	void serialize(Archive &ioArchive)
 	{
 		ioArchive(this->kind, this->serial, this->worker, this->availability_zone, this->address, this->token, this->task, this->run,
-				  this->payload, this->checkpoint, this->ticket, this->until_ms, this->last_seen, this->wait_ms, this->percent,
+				  this->payload, this->checkpoint, this->ticket, this->until_ms, this->acknowledged_end, this->wait_ms, this->percent,
 				  this->not_after);
 	}
 };
@@ -159,17 +159,17 @@
 struct OrderAnswer
 {
 	EOrderResult result = EOrderResult::Unknown;
-	Millis clock_ms = -1;              ///< The worker's steady clock; -1: not reported.
-	std::vector<RunningRun> running;   ///< Poll only.
-	std::vector<EndedRun> ended;       ///< Poll only.
-	bool partial = false;              ///< Poll only: more ends may follow, so a run in neither list may have ended.
-	bool closed = false;               ///< No answer: the worker's host closed or refused the connection.
-	int64 born_ms = cStartTimeUnknown; ///< Poll only: start time of the incarnation that answered.
+	Millis clock_ms = -1;                 ///< The worker's steady clock; -1: not reported.
+	std::vector<RunningRun> running;      ///< Poll only.
+	std::vector<EndedRun> ended;          ///< Poll only.
+	bool partial = false;                 ///< Poll only: more ends may follow, so a run in neither list may have ended.
+	bool connection_closed = false;       ///< No answer: the worker's host closed or refused the connection.
+	int64 started_ms = cStartTimeUnknown; ///< Poll only: start time of the incarnation that answered.
 
 	template <class Archive>
 	void serialize(Archive &ioArchive)
 	{
-		ioArchive(this->result, this->clock_ms, this->running, this->ended, this->partial, this->closed, this->born_ms);
+		ioArchive(this->result, this->clock_ms, this->running, this->ended, this->partial, this->connection_closed, this->started_ms);
 	}
 };
 
--- a/Loomreach/Schedule/WorkerLeases.cpp
+++ b/Loomreach/Schedule/WorkerLeases.cpp
@@ -15,7 +15,7 @@
 	this->previous_expired_at = inNow + LongestLease(this->previous);
 }
 
-std::optional<Millis> WorkerLeases::ToLog(Millis inNow) const
+std::optional<Millis> WorkerLeases::LeaseToLog(Millis inNow) const
 {
 	// Until a previous owner's longer lease has expired, a successor must be able to read it
 	const Millis wanted = inNow < this->previous_expired_at ? std::max(this->own, this->logged) : this->own;
--- a/Loomreach/Schedule/WorkerLeases.h
+++ b/Loomreach/Schedule/WorkerLeases.h
@@ -19,13 +19,16 @@
 	/// A new owner takes over the cell. `inOwn`: the lease it grants; `inMost`: the longest that owners of its version grant.
 	void Begin(Millis inOwn, Millis inMost, Millis inNow);
 	/// The longest lease that a worker may hold now.
-	Millis Longest(Millis inNow) const { return inNow < this->previous_expired_at ? std::max(this->previous, this->own) : this->own; }
+	Millis LongestGranted(Millis inNow) const
+	{
+		return inNow < this->previous_expired_at ? std::max(this->previous, this->own) : this->own;
+	}
 	/// The lease to grant now.
-	Millis ToGive() const { return this->logged > 0 ? std::min(this->own, this->logged) : this->own; }
+	Millis LeaseToGrant() const { return this->logged > 0 ? std::min(this->own, this->logged) : this->own; }
 	/// Whether the log contains a lease duration; logs of earlier versions do not.
 	bool IsLogged() const { return this->logged > 0; }
 	/// The duration to write to the log, or nothing if the log is up to date.
-	std::optional<Millis> ToLog(Millis inNow) const;
+	std::optional<Millis> LeaseToLog(Millis inNow) const;
 	/// An append with this duration has begun.
 	void OnWriting(Millis inLease) { this->writing = inLease; }
 	/// The append has succeeded.
--- a/Loomreach/Schedule/ZoneEvacuations.cpp
+++ b/Loomreach/Schedule/ZoneEvacuations.cpp
@@ -7,7 +7,7 @@
 namespace Loomreach::Jobs
 {
 
-bool ZoneEvacuations::Note(const ZoneOrder &inOrder, uint64 inOffset)
+bool ZoneEvacuations::Apply(const ZoneOrder &inOrder, uint64 inOffset)
 {
 	const auto [known, is_first] = this->newest.try_emplace(inOrder.availability_zone, inOffset);
 	if (!is_first && inOffset < known->second)
@@ -18,7 +18,7 @@
 	return this->zones.erase(inOrder.availability_zone) > 0;
 }
 
-bool ZoneEvacuations::Keep(const std::set<std::string> &inNamed, uint64 inEnd)
+bool ZoneEvacuations::RetainNamed(const std::set<std::string> &inNamed, uint64 inEnd)
 {
 	const size_t ended =
 		std::erase_if(this->zones, [&](const std::string &inZone) { return !inNamed.contains(inZone) && this->newest[inZone] < inEnd; });
--- a/Loomreach/Schedule/ZoneEvacuations.h
+++ b/Loomreach/Schedule/ZoneEvacuations.h
@@ -21,10 +21,10 @@
 {
 public:
 	/// Applies a record read at this offset. Returns whether the set of evacuated zones changes.
-	bool Note(const ZoneOrder &inOrder, uint64 inOffset);
+	bool Apply(const ZoneOrder &inOrder, uint64 inOffset);
 	/// Applies a complete read of the newest records up to `inEnd`, which named the zones `inNamed`. A zone that is missing has had its
 	/// evacuation ended and its record removed. Returns whether the set of evacuated zones changes.
-	bool Keep(const std::set<std::string> &inNamed, uint64 inEnd);
+	bool RetainNamed(const std::set<std::string> &inNamed, uint64 inEnd);
 	const std::set<std::string> &Zones() const { return this->zones; }
 
 private:
--- a/Loomreach/Settings/JobHostConfig.cpp
+++ b/Loomreach/Settings/JobHostConfig.cpp
@@ -40,11 +40,11 @@
 
 constexpr std::array cNumberKeys = {
 	NumberKey{"metrics_port", &JobHostConfig::metrics_port, 0, 65535},
-	NumberKey{"log_parts", &JobHostConfig::log_parts, 1, 1024},
+	NumberKey{"log_parts", &JobHostConfig::log_partitions, 1, 1024},
 	NumberKey{"store_reads_per_s", &JobHostConfig::store_reads_per_s, 1, 100'000'000},
 	NumberKey{"store_read_mb_per_s", &JobHostConfig::store_read_mb_per_s, 1, 1'000'000},
 	NumberKey{"worker_lease_ms", &JobHostConfig::worker_lease_ms, 500, 60'000},
-	NumberKey{"worker_most_lease_ms", &JobHostConfig::worker_most_lease_ms, 500, 600'000},
+	NumberKey{"worker_most_lease_ms", &JobHostConfig::worker_max_lease_ms, 500, 600'000},
 	NumberKey{"owner_lease_ms", &JobHostConfig::owner_lease_ms, 500, 60'000},
 	NumberKey{"owner_short_lease_ms", &JobHostConfig::owner_short_lease_ms, 500, 60'000},
 	NumberKey{"owner_slack_ms", &JobHostConfig::owner_slack_ms, 50, 10'000},
@@ -85,7 +85,7 @@
 			if ((this->config.*key.member).port == 0)
 				return Fail(EError::BadConfig, std::string(this->file) + ": '" + std::string(key.name) + "' is missing");
 		// Workers cap longer leases, so asking for one gains nothing
-		this->config.worker_lease_ms = std::min(this->config.worker_lease_ms, this->config.worker_most_lease_ms);
+		this->config.worker_lease_ms = std::min(this->config.worker_lease_ms, this->config.worker_max_lease_ms);
 		this->config.owner_short_lease_ms = std::min(this->config.owner_short_lease_ms, this->config.owner_lease_ms);
 		if (this->config.owner_slack_ms * 2 >= this->config.owner_short_lease_ms)
 			return Fail(EError::BadConfig,
--- a/Loomreach/Settings/JobHostConfig.h
+++ b/Loomreach/Settings/JobHostConfig.h
@@ -13,21 +13,21 @@
 {
 	std::string name;
 	std::string availability_zone;
-	Address callers;                    ///< Address of the listener for callers.
-	Address ready;                      ///< Address of the listener for the load balancer's readiness checks.
-	Address peers;                      ///< UDP address for queries from other entry hosts.
-	Address store;                      ///< Address of the platform's log store.
-	std::optional<Address> machines;    ///< Address of the platform's machine service; without it, no hosts are moved.
-	std::optional<Address> adviser;     ///< Address of the adviser service, if there is one.
-	int64 metrics_port = 0;             ///< Port for metrics; 0: none.
-	int64 log_parts = 8;                ///< Number of partitions of a log topic.
-	int64 store_reads_per_s = 2000;     ///< Limit of the store for read calls from all entry hosts together.
-	int64 store_read_mb_per_s = 80;     ///< Limit of the store for data read by all entry hosts together, MB/s.
-	int64 worker_lease_ms = 4000;       ///< Lease of runs on workers; capped by `worker_most_lease_ms`.
-	int64 worker_most_lease_ms = 10000; ///< Longest lease that workers grant.
-	int64 maintenance_ms = 2000;        ///< Duration of a host's maintenance.
-	int64 owner_lease_ms = 2000;        ///< Lease of a cell's owner while the store is slow.
-	int64 owner_short_lease_ms = 1500;  ///< Lease while the store answers quickly; it bounds the time until a lost owner is replaced.
+	Address callers;                   ///< Address of the listener for callers.
+	Address ready;                     ///< Address of the listener for the load balancer's readiness checks.
+	Address peers;                     ///< UDP address for queries from other entry hosts.
+	Address store;                     ///< Address of the platform's log store.
+	std::optional<Address> machines;   ///< Address of the platform's machine service; without it, no hosts are moved.
+	std::optional<Address> adviser;    ///< Address of the adviser service, if there is one.
+	int64 metrics_port = 0;            ///< Port for metrics; 0: none.
+	int64 log_partitions = 8;          ///< Number of partitions of a log topic.
+	int64 store_reads_per_s = 2000;    ///< Limit of the store for read calls from all entry hosts together.
+	int64 store_read_mb_per_s = 80;    ///< Limit of the store for data read by all entry hosts together, MB/s.
+	int64 worker_lease_ms = 4000;      ///< Lease of runs on workers; capped by `worker_most_lease_ms`.
+	int64 worker_max_lease_ms = 10000; ///< Longest lease that workers grant.
+	int64 maintenance_ms = 2000;       ///< Duration of a host's maintenance.
+	int64 owner_lease_ms = 2000;       ///< Lease of a cell's owner while the store is slow.
+	int64 owner_short_lease_ms = 1500; ///< Lease while the store answers quickly; it bounds the time until a lost owner is replaced.
 	int64 owner_slack_ms = 300;
 	int64 balance_headroom_percent = 115; ///< Hosts assigned to a pool, percent of its demand.
 	int64 balance_margin = 1;             ///< Hosts assigned to a pool in addition to this.
--- a/Loomreach/State/AppendQueue.cpp
+++ b/Loomreach/State/AppendQueue.cpp
@@ -107,7 +107,7 @@
 	this->next_attempt_at = inNow + static_cast<Millis>(this->random.Below(static_cast<uint64>(ceiling) + 1));
 }
 
-std::optional<Ticket> AppendQueue::OnSeen(uint64 inSequence)
+std::optional<Ticket> AppendQueue::OnReadBack(uint64 inSequence)
 {
 	// Reading the last proposal of the batch from the log proves the append, even if its answer was lost
 	if (this->in_flight.has_value() && !this->awaits_answer && inSequence == this->in_flight_last_sequence)
@@ -120,7 +120,7 @@
 	return ticket;
 }
 
-std::vector<DroppedTicket> AppendQueue::OnAdopted(uint64 inLastSequence)
+std::vector<DroppedTicket> AppendQueue::OnStateLoaded(uint64 inLastSequence)
 {
 	std::vector<DroppedTicket> lost;
 	while (!this->sent.empty() && this->sent.begin()->first <= inLastSequence)
--- a/Loomreach/State/AppendQueue.h
+++ b/Loomreach/State/AppendQueue.h
@@ -40,16 +40,16 @@
 	/// The append failed or its answer was lost; `Take` returns the same batch again after a back-off.
 	void OnFailed(Millis inNow);
 	/// A proposal of this process was read from the log. Returns its ticket, or nothing if it was read before.
-	std::optional<Ticket> OnSeen(uint64 inSequence);
+	std::optional<Ticket> OnReadBack(uint64 inSequence);
 	/// A snapshot or a peer's state was loaded that includes this process's proposals up to a sequence number, without their records being
 	/// read. Returns the tickets whose outcomes can no longer be known.
-	std::vector<DroppedTicket> OnAdopted(uint64 inLastSequence);
+	std::vector<DroppedTicket> OnStateLoaded(uint64 inLastSequence);
 	/// Removes and returns the proposals that have waited too long without being sent.
 	std::vector<DroppedTicket> DropStale(Millis inNow);
 	/// Number of proposals not yet sent.
-	size_t Waiting() const { return this->waiting.size(); }
+	size_t QueuedCount() const { return this->waiting.size(); }
 	/// Number of proposals sent and not yet read back from the log.
-	size_t Unseen() const { return this->sent.size(); }
+	size_t UnconfirmedCount() const { return this->sent.size(); }
 	/// Whether a batch is in flight.
 	bool IsBusy() const { return this->in_flight.has_value(); }
 	/// Number of appends, including repeats, by the kind of their first proposal.
--- a/Loomreach/State/ApplyProposals.cpp
+++ b/Loomreach/State/ApplyProposals.cpp
@@ -178,7 +178,7 @@
 	case EHostStep::Drained: ioHost.phase = EHostPhase::Drained; break;
 	case EHostStep::Out:
 		ioHost.phase = EHostPhase::Out;
-		ioHost.out_boot = inProposal.boot;
+		ioHost.boot_before_reboot = inProposal.boot;
 		break;
 	case EHostStep::Returned:
 		// Stays unavailable until it is reported healthy
@@ -274,13 +274,13 @@
 		team_used = used->second;
 	// The placement being replaced releases its resources
 	if (inOld != nullptr && inOld->host == inProposal.host)
-		free += inOld->need;
+		free += inOld->requested;
 	if (inOld != nullptr && inOld->team == inJob.team)
-		team_used -= inOld->need.cpu_milli;
-	if (!inJob.need.FitIn(free))
+		team_used -= inOld->requested.cpu_milli;
+	if (!inJob.requested.FitsInto(free))
 		return FailFalse(EError::CapacityExceeded, inProposal.host + " has no room for " + inProposal.replica.Text());
 	auto quota = this->state.team_quota_cpu.find(inJob.team);
-	if (quota != this->state.team_quota_cpu.end() && team_used + inJob.need.cpu_milli > quota->second)
+	if (quota != this->state.team_quota_cpu.end() && team_used + inJob.requested.cpu_milli > quota->second)
 		return FailFalse(EError::QuotaExceeded,
 						 "team " + inJob.team + " uses " + std::to_string(team_used) + " of its quota of " + std::to_string(quota->second));
 	return true;
@@ -310,10 +310,10 @@
 		return false;
 	if (old_placement != nullptr)
 		this->state.Detach(inProposal.replica, *old_placement);
-	const Placement placement{inProposal.host, this->position, job->second.need, job->second.team, job->second.priority};
+	const Placement placement{inProposal.host, this->position, job->second.requested, job->second.team, job->second.priority};
 	this->state.Attach(inProposal.replica, placement);
 	this->state.placements[inProposal.replica] = placement;
-	LOOM_INVARIANT(host->second.used.FitIn(host->second.spec.capacity), "a host's replicas take no more than its capacity");
+	LOOM_INVARIANT(host->second.used.FitsInto(host->second.spec.capacity), "a host's replicas take no more than its capacity");
 	return true;
 }
 
--- a/Loomreach/State/FleetState.cpp
+++ b/Loomreach/State/FleetState.cpp
@@ -56,8 +56,8 @@
 	job.team = inTree.Word(path, ESetting::Team);
 	job.priority = inTree.Number(path, ESetting::Priority);
 	job.replicas = static_cast<uint32>(inTree.Number(path, ESetting::Replicas));
-	job.need = {inTree.Number(path, ESetting::CpuMilli), inTree.Number(path, ESetting::MemoryMb),
-				inTree.Number(path, ESetting::Accelerators)};
+	job.requested = {inTree.Number(path, ESetting::CpuMilli), inTree.Number(path, ESetting::MemoryMb),
+					 inTree.Number(path, ESetting::Accelerators)};
 	job.run_time_s = inTree.Number(path, ESetting::RunTimeS);
 	job.deadline_ms = inTree.Number(path, ESetting::DeadlineMs);
 	job.repeatable = inTree.Number(path, ESetting::Repeatable) != 0;
@@ -157,8 +157,8 @@
 	if (host == this->hosts.end())
 		return;
 	host->second.replicas.insert(inReplica);
-	host->second.used += inPlacement.need;
-	this->team_used_cpu[inPlacement.team] += inPlacement.need.cpu_milli;
+	host->second.used += inPlacement.requested;
+	this->team_used_cpu[inPlacement.team] += inPlacement.requested.cpu_milli;
 }
 
 void FleetState::Detach(const ReplicaKey &inReplica, const Placement &inPlacement)
@@ -168,9 +168,9 @@
 	if (host == this->hosts.end())
 		return;
 	host->second.replicas.erase(inReplica);
-	host->second.used -= inPlacement.need;
+	host->second.used -= inPlacement.requested;
 	auto used = this->team_used_cpu.find(inPlacement.team);
-	used->second -= inPlacement.need.cpu_milli;
+	used->second -= inPlacement.requested.cpu_milli;
 	if (used->second == 0)
 		this->team_used_cpu.erase(used);
 }
@@ -187,7 +187,7 @@
 	{
 		const Host &expected = rebuilt.hosts.find(name)->second;
 		LOOM_INVARIANT(expected.replicas == host.replicas && expected.used == host.used, "a host's replicas follow from the placements");
-		LOOM_INVARIANT(host.used.FitIn(host.spec.capacity), "a host's replicas take no more than its capacity");
+		LOOM_INVARIANT(host.used.FitsInto(host.spec.capacity), "a host's replicas take no more than its capacity");
 		LOOM_INVARIANT(host.phase == EHostPhase::Active || host.phase == EHostPhase::Draining || host.replicas.empty(),
 					   "a host that is drained or out of service has no replica");
 		LOOM_INVARIANT(this->pools.count(host.pool) == 1, "each host belongs to one configured pool");
--- a/Loomreach/State/FleetState.h
+++ b/Loomreach/State/FleetState.h
@@ -54,10 +54,10 @@
 	EHostPhase phase = EHostPhase::Active;
 	EHostHealth health = EHostHealth::Unknown;
 	bool quarantined = false;
-	LogPosition generation = 0; ///< Log position of its last accepted step; precondition of the next one.
-	std::string wave;           ///< Wave that the present drain belongs to.
-	uint64 out_boot = 0;        ///< Boot id when it was taken out of service; another one shows that it has rebooted.
-	std::string maintained_in;  ///< Last wave that it has completed.
+	LogPosition generation = 0;    ///< Log position of its last accepted step; precondition of the next one.
+	std::string wave;              ///< Wave that the present drain belongs to.
+	uint64 boot_before_reboot = 0; ///< Boot id when it was taken out of service; another one shows that it has rebooted.
+	std::string maintained_in;     ///< Last wave that it has completed.
 	LogPosition maintained_at = 0;
 	std::set<std::string> failed_jobs; ///< Distinct jobs that failed on it since its last release from quarantine; bounded.
 
@@ -72,8 +72,8 @@
 	template <class Archive>
 	void serialize(Archive &ioArchive)
 	{
-		ioArchive(this->spec, this->pool, this->phase, this->health, this->quarantined, this->generation, this->wave, this->out_boot,
-				  this->maintained_in, this->maintained_at, this->failed_jobs);
+		ioArchive(this->spec, this->pool, this->phase, this->health, this->quarantined, this->generation, this->wave,
+				  this->boot_before_reboot, this->maintained_in, this->maintained_at, this->failed_jobs);
 	}
 };
 
@@ -82,14 +82,14 @@
 {
 	std::string host;
 	LogPosition generation = 0; ///< Fencing generation: log position of the proposal that placed it.
-	Resources need;             ///< Requested resources, as configured when it was placed.
+	Resources requested;        ///< Requested resources, as configured when it was placed.
 	std::string team;
 	int64 priority = 0;
 
 	template <class Archive>
 	void serialize(Archive &ioArchive)
 	{
-		ioArchive(this->host, this->generation, this->need, this->team, this->priority);
+		ioArchive(this->host, this->generation, this->requested, this->team, this->priority);
 	}
 };
 
@@ -158,7 +158,7 @@
 	std::string team;
 	int64 priority = 0;
 	uint32 replicas = 0;
-	Resources need;
+	Resources requested;
 	int64 run_time_s = 0;
 	int64 deadline_ms = 0;
 	bool repeatable = true;
--- a/Loomreach/State/Records.cpp
+++ b/Loomreach/State/Records.cpp
@@ -71,7 +71,7 @@
 	return *this;
 }
 
-bool Resources::FitIn(const Resources &inCapacity) const
+bool Resources::FitsInto(const Resources &inCapacity) const
 {
 	return this->cpu_milli <= inCapacity.cpu_milli && this->memory_mb <= inCapacity.memory_mb &&
 		   this->accelerators <= inCapacity.accelerators;
--- a/Loomreach/State/Records.h
+++ b/Loomreach/State/Records.h
@@ -44,7 +44,7 @@
 	Resources &operator+=(const Resources &inOther);
 	Resources &operator-=(const Resources &inOther);
 	/// Whether no resource exceeds that of `inCapacity`.
-	bool FitIn(const Resources &inCapacity) const;
+	bool FitsInto(const Resources &inCapacity) const;
 	template <class Archive>
 	void serialize(Archive &ioArchive)
 	{
--- a/PerformanceTest/Benchmarks.cpp
+++ b/PerformanceTest/Benchmarks.cpp
@@ -151,7 +151,7 @@
 		heartbeat.availability_zone = member.availability_zone;
 		heartbeat.reaches_platform = true;
 		heartbeat.zone_reaches_platform = true;
-		tracker.Hear(std::move(heartbeat), 0);
+		tracker.OnHeartbeat(std::move(heartbeat), 0);
 	}
 	return tracker;
 }
@@ -164,7 +164,7 @@
 	{
 		const PlannerAssignment assignment(fleet.state.view, tracker, "entry-0", true, false, 10);
 		for (const auto &[path, pool] : fleet.state.pools)
-			benchmark::DoNotOptimize(assignment.IsMine("pool:" + path));
+			benchmark::DoNotOptimize(assignment.IsAssigned("pool:" + path));
 	}
 }
 
@@ -176,7 +176,7 @@
 	{
 		const PlannerAssignment assignment(fleet.state.view, tracker, "entry-0", true, false, 10);
 		for (const auto &[name, host] : fleet.state.hosts)
-			benchmark::DoNotOptimize(assignment.IsMineIn("host:" + name, host.spec.availability_zone));
+			benchmark::DoNotOptimize(assignment.IsAssignedInZone("host:" + name, host.spec.availability_zone));
 	}
 }
 
--- a/SoakTests/Main.cpp
+++ b/SoakTests/Main.cpp
@@ -309,7 +309,7 @@
 		HostObservation &observation = ioNode.observations.hosts[inHost.spec.name];
 		if (observation.first_polled == 0)
 			observation.first_polled = this->now;
-		if (inHost.phase == EHostPhase::Out && worker.up && worker.boot == inHost.out_boot && ioNode.reaches_platform)
+		if (inHost.phase == EHostPhase::Out && worker.up && worker.boot == inHost.boot_before_reboot && ioNode.reaches_platform)
 			this->Reboot(worker);
 		if (!this->CanReach(ioNode, worker) || ioNode.state.next_offset < worker.order_offset)
 			return;
@@ -384,9 +384,9 @@
 				continue;
 			HeartbeatMessage heartbeat = peer->MakeHeartbeat(this->now);
 			const HeartbeatMessage duplicate = heartbeat;
-			ioNode.tracker.Hear(std::move(heartbeat), this->now);
+			ioNode.tracker.OnHeartbeat(std::move(heartbeat), this->now);
 			// A duplicated datagram must change nothing
-			LOOM_INVARIANT(!ioNode.tracker.Hear(duplicate, this->now), "a replayed digest is refused");
+			LOOM_INVARIANT(!ioNode.tracker.OnHeartbeat(duplicate, this->now), "a replayed digest is refused");
 			if (!ioNode.ready && !ioNode.reaches_platform)
 			{
 				ioNode.AdoptFrom(*peer);
@@ -412,7 +412,7 @@
 		std::set<std::string> polled;
 		for (const auto &[host_name, host] : ioNode.state.hosts)
 		{
-			if (!assignment.IsMineIn("host:" + host_name, host.spec.availability_zone))
+			if (!assignment.IsAssignedInZone("host:" + host_name, host.spec.availability_zone))
 				continue;
 			polled.insert(host_name);
 			this->PollWorker(ioNode, host);
--- a/SoakTests/SoakNode.cpp
+++ b/SoakTests/SoakNode.cpp
@@ -36,7 +36,7 @@
 	LOOM_INVARIANT(this->state.settings_version >= version, "the accepted settings version never decreases");
 	for (const ProposalOutcome &outcome : applied)
 		if (outcome.id.incarnation == this->incarnation)
-			this->queue.OnSeen(outcome.id.sequence);
+			this->queue.OnReadBack(outcome.id.sequence);
 	this->outcomes.insert(this->outcomes.end(), applied.begin(), applied.end());
 	this->recent_records.emplace_back(inOffset, inRecord);
 	if (this->recent_records.size() > cMaxRecentRecords)
@@ -47,7 +47,7 @@
 {
 	this->recent_records.clear();
 	if (auto mark = this->state.proposers.find(this->incarnation); mark != this->state.proposers.end())
-		this->queue.OnAdopted(mark->second.sequence);
+		this->queue.OnStateLoaded(mark->second.sequence);
 }
 
 void SoakNode::ReadLog(const FakeLog &inLog)
@@ -110,16 +110,16 @@
 void SoakNode::Plan(Millis inNow)
 {
 	this->queue.DropStale(inNow);
-	const Millis listening_since = this->listening.Note(inNow, cSuspectMs);
-	this->tracker.HearLog(this->state, inNow);
-	if (!this->ready || !this->reaches_platform || this->queue.Waiting() != 0 || this->queue.Unseen() != 0)
+	const Millis listening_since = this->listening.Update(inNow, cSuspectMs);
+	this->tracker.UpdateFromLog(this->state, inNow);
+	if (!this->ready || !this->reaches_platform || this->queue.QueuedCount() != 0 || this->queue.UnconfirmedCount() != 0)
 		return;
 	if (std::optional<ChangeView> change =
 			PlanView({this->state, this->tracker, this->Self(), inNow, listening_since, cRemoveMs, cSuspectMs});
 		change.has_value())
 		this->Propose(std::move(*change), inNow);
 	const bool heartbeat_due = inNow - this->log_heartbeat_sent >= cSuspectMs && inNow - listening_since >= cSuspectMs;
-	if (heartbeat_due && this->MakeAssignment(inNow).IsMineIn("log-beat", this->zone) &&
+	if (heartbeat_due && this->MakeAssignment(inNow).IsAssignedInZone("log-beat", this->zone) &&
 		NeedsLogHeartbeat(this->state.view, this->tracker, this->zone, cSuspectMs, inNow))
 	{
 		this->log_heartbeat_sent = inNow;
@@ -137,7 +137,7 @@
 		this->Propose(std::move(take), inNow);
 	const PlannerAssignment assignment = this->MakeAssignment(inNow);
 	const HostLifecycle lifecycle(this->state, this->observations, {3000, 100, 20'000}, inNow);
-	if (assignment.IsMine("hosts"))
+	if (assignment.IsAssigned("hosts"))
 		for (ProposalBody &body : lifecycle.FollowHostList())
 			this->Propose(std::move(body), inNow);
 	for (const auto &[host_name, observation] : this->observations.hosts)
@@ -150,7 +150,7 @@
 			unresponsive_hosts.insert(host_name);
 	for (const auto &[path, pool] : this->state.pools)
 	{
-		if (!assignment.IsMine("pool:" + path))
+		if (!assignment.IsAssigned("pool:" + path))
 			continue;
 		for (ProposalBody &body : PlacementPlanner(this->state, path).Plan().proposals)
 			this->Propose(std::move(body), inNow);
@@ -175,7 +175,7 @@
 void SoakNode::MaybeSnapshot(FakeLog &ioLog, Random &ioRandom, Millis inNow)
 {
 	const bool due = this->state.next_offset >= this->snapshot_offset + cSnapshotEveryRecords;
-	if (!this->ready || !due || this->is_partitioned || !this->MakeAssignment(inNow).IsMine("snapshot"))
+	if (!this->ready || !due || this->is_partitioned || !this->MakeAssignment(inNow).IsAssigned("snapshot"))
 		return;
 	for (const std::string &piece : SplitSnapshot(this->state.next_offset, EncodeState(this->state)))
 		if (!ioLog.Append(ioLog.snapshots, piece, ioRandom))
--- a/TestSupport/LogCheck/Main.cpp
+++ b/TestSupport/LogCheck/Main.cpp
@@ -67,7 +67,7 @@
 	std::stable_sort(lines.begin(), lines.end(), [](const PlacedLine &inA, const PlacedLine &inB) { return inA.at_s < inB.at_s; });
 	RunChecker checker;
 	for (const PlacedLine &placed : lines)
-		checker.Take(placed.line);
+		checker.Add(placed.line);
 	checker.Finish();
 	Print("found", checker.Findings());
 	Print("unproved (lines may be missing)", checker.Unproved());
--- a/TestSupport/LogCheck/RunChecker.cpp
+++ b/TestSupport/LogCheck/RunChecker.cpp
@@ -18,8 +18,8 @@
 static constexpr std::array cFindingNames = {
 	EnumName<EFinding>{EFinding::StartAfterDone, "start-after-done"},
 	EnumName<EFinding>{EFinding::TwoRuns, "two-runs"},
-	EnumName<EFinding>{EFinding::CoveredBeforeLogged, "covered-before-logged"},
-	EnumName<EFinding>{EFinding::CoveredUnseen, "covered-unseen"},
+	EnumName<EFinding>{EFinding::AcknowledgedBeforeLogged, "covered-before-logged"},
+	EnumName<EFinding>{EFinding::AcknowledgedUnseen, "covered-unseen"},
 };
 
 std::string_view NameOf(EFinding inKind) { return Loomreach::NameOf(cFindingNames, inKind); }
@@ -57,7 +57,7 @@
 	return Owner{*cell, *epoch};
 }
 
-void RunChecker::Take(const LogLine &inLine)
+void RunChecker::Add(const LogLine &inLine)
 {
 	this->OnHost(inLine);
 	if (inLine.event == "worker_found" || inLine.event == "worker_started_again")
@@ -376,7 +376,7 @@
 		bool is_gapless = true;
 		for (const Gap &gap : this->gaps)
 			is_gapless = is_gapless && (gap.host != inLine.host || gap.to_s < from_s);
-		(is_gapless ? this->findings : this->unproved).push_back({EFinding::CoveredBeforeLogged, what, this->LinesOf(lines)});
+		(is_gapless ? this->findings : this->unproved).push_back({EFinding::AcknowledgedBeforeLogged, what, this->LinesOf(lines)});
 	}
 	uint64 &acknowledged_to = this->acknowledged_up_to[inWorker];
 	auto ends_here = this->done_ends.find(inWorker);
@@ -389,7 +389,7 @@
 			const std::string what = "worker " + inWorker + ": a look of epoch " + std::to_string(inOwner.second) + " covers end " +
 									 std::to_string(end.number) + " (done, task " + end.task + "), which only epoch " +
 									 std::to_string(end.owner.second) + " had taken in";
-			this->AddFinding(EFinding::CoveredUnseen, what, {end.line, inLineIndex}, inOwner.first, end.at_s, inLine.at_s);
+			this->AddFinding(EFinding::AcknowledgedUnseen, what, {end.line, inLineIndex}, inOwner.first, end.at_s, inLine.at_s);
 		}
 	acknowledged_to = std::max(acknowledged_to, inTo);
 }
--- a/TestSupport/LogCheck/RunChecker.h
+++ b/TestSupport/LogCheck/RunChecker.h
@@ -15,10 +15,10 @@
 /// Kinds of violation.
 enum class EFinding : uint8
 {
-	StartAfterDone,      ///< A run was planned or dispatched after a run end `done` of its task had been received.
-	TwoRuns,             ///< A run was dispatched while an earlier one of its task had not ended.
-	CoveredBeforeLogged, ///< A poll acknowledged run ends that the owner's log did not hold yet.
-	CoveredUnseen,       ///< A poll acknowledged a done end that only another owner had received.
+	StartAfterDone,           ///< A run was planned or dispatched after a run end `done` of its task had been received.
+	TwoRuns,                  ///< A run was dispatched while an earlier one of its task had not ended.
+	AcknowledgedBeforeLogged, ///< A poll acknowledged run ends that the owner's log did not hold yet.
+	AcknowledgedUnseen,       ///< A poll acknowledged a done end that only another owner had received.
 };
 
 std::string_view NameOf(EFinding inKind);
@@ -35,7 +35,7 @@
 class RunChecker
 {
 public:
-	void Take(const LogLine &inLine);
+	void Add(const LogLine &inLine);
 	/// Completes the check; called once, after the last line.
 	void Finish();
 
@@ -49,7 +49,7 @@
 	/// Reasons why the check is incomplete; empty if it is complete.
 	const std::vector<std::string> &Unchecked() const { return this->unchecked; }
 	/// Processes whose log ends without a `stopped` event; a killed process loses up to 20 ms of lines.
-	size_t Cuts() const { return this->truncated_logs; }
+	size_t TruncatedLogs() const { return this->truncated_logs; }
 	/// Counts of what was checked, as one line of text.
 	std::string Summary() const;
 
--- a/TestSupport/Platform/EndLedger.cpp
+++ b/TestSupport/Platform/EndLedger.cpp
@@ -18,7 +18,7 @@
 		   ", taken note of at " + std::to_string(inEnd.acknowledged_at);
 }
 
-std::vector<std::string> EndLedger::Start(const ObservedRun &inRun)
+std::vector<std::string> EndLedger::OnStarted(const ObservedRun &inRun)
 {
 	// An end that is still unacknowledged may be acknowledged later: the start is checked then
 	for (auto &[worker, ends] : this->unacknowledged)
@@ -34,9 +34,9 @@
 	return {};
 }
 
-void EndLedger::Done(const ObservedRun &inRun, uint64 inNumber) { this->unacknowledged[inRun.worker].push_back({inRun, inNumber, {}}); }
+void EndLedger::OnDone(const ObservedRun &inRun, uint64 inNumber) { this->unacknowledged[inRun.worker].push_back({inRun, inNumber, {}}); }
 
-std::vector<std::string> EndLedger::Noted(const std::string &inWorker, uint64 inNumber, Millis inNow)
+std::vector<std::string> EndLedger::OnAcknowledged(const std::string &inWorker, uint64 inNumber, Millis inNow)
 {
 	std::vector<std::string> lines;
 	std::vector<UnacknowledgedEnd> remaining;
@@ -56,7 +56,7 @@
 	return lines;
 }
 
-void EndLedger::Lapsed(const std::string &inWorker)
+void EndLedger::OnLeaseExpired(const std::string &inWorker)
 {
 	const auto ends = this->unacknowledged.find(inWorker);
 	if (ends == this->unacknowledged.end())
@@ -70,7 +70,7 @@
 	this->unacknowledged.erase(ends);
 }
 
-size_t EndLedger::Unheard(const std::string &inWorker) const
+size_t EndLedger::UnacknowledgedCount(const std::string &inWorker) const
 {
 	const auto ends = this->unacknowledged.find(inWorker);
 	return ends == this->unacknowledged.end() ? 0 : ends->second.size();
--- a/TestSupport/Platform/EndLedger.h
+++ b/TestSupport/Platform/EndLedger.h
@@ -25,17 +25,17 @@
 {
 public:
 	/// Records a start. Returns the violations that are certain already, one line each.
-	std::vector<std::string> Start(const ObservedRun &inRun);
+	std::vector<std::string> OnStarted(const ObservedRun &inRun);
 	/// Records a done end with its sequence number in the worker's list.
-	void Done(const ObservedRun &inRun, uint64 inNumber);
+	void OnDone(const ObservedRun &inRun, uint64 inNumber);
 	/// Records that an owner acknowledged all ends of the worker up to this number. Returns the earlier starts that violate the rule by it.
-	std::vector<std::string> Noted(const std::string &inWorker, uint64 inNumber, Millis inNow);
+	std::vector<std::string> OnAcknowledged(const std::string &inWorker, uint64 inNumber, Millis inNow);
 	/// Records that the worker's lease expired: its ends that are not yet acknowledged never count.
-	void Lapsed(const std::string &inWorker);
+	void OnLeaseExpired(const std::string &inWorker);
 	/// Records that the worker is lost: its ends can no longer be acknowledged.
-	void Gone(const std::string &inWorker) { this->Lapsed(inWorker); }
+	void OnWorkerLost(const std::string &inWorker) { this->OnLeaseExpired(inWorker); }
 	/// Count of the worker's done ends that are neither acknowledged nor void by an expired lease.
-	size_t Unheard(const std::string &inWorker) const;
+	size_t UnacknowledgedCount(const std::string &inWorker) const;
 	/// Starts after done ends that were never acknowledged, one line each: allowed, but reported.
 	const std::vector<std::string> &Excused() const { return this->excused; }
 
--- a/TestSupport/Platform/FakeFleet.cpp
+++ b/TestSupport/Platform/FakeFleet.cpp
@@ -170,7 +170,7 @@
 		.Field("worker", ioHost.Incarnation())
 		.Field("runs", ioHost.running.size())
 		.Field("back_ms", inRestartMs);
-	this->ends.Gone(ioHost.Incarnation());
+	this->ends.OnWorkerLost(ioHost.Incarnation());
 	ioHost.running.clear();
 	ioHost.state = "crashed";
 	// The port refuses connections; requests that wait there end with their connections
@@ -388,7 +388,7 @@
 	this->CheckCapacity(ioHost, started);
 	this->CheckCrashes(started);
 	const ObservedRun observed{task, number, ioHost.Incarnation(), started.started_at};
-	this->AddViolations(this->ends.Start(observed));
+	this->AddViolations(this->ends.OnStarted(observed));
 	for (const auto &host : this->hosts)
 		for (const FakeRun &run : host->running)
 			if (run.task == task)
@@ -425,7 +425,7 @@
 			.Field("from", ioHost.ended.front()[0].get<uint64>())
 			.Field("to", acknowledged)
 			.Field("token", ioHost.token);
-	this->AddViolations(this->ends.Noted(ioHost.Incarnation(), acknowledged, NowMillis()));
+	this->AddViolations(this->ends.OnAcknowledged(ioHost.Incarnation(), acknowledged, NowMillis()));
 	std::erase_if(ioHost.ended, [acknowledged](const Json &inRow) { return inRow[0].get<uint64>() <= acknowledged; });
 	Json running = Json::array();
 	for (const FakeRun &run : ioHost.running)
@@ -455,7 +455,7 @@
 	if (std::string_view(inOutcome) != "done")
 		return;
 	this->done_tasks.insert(run.task);
-	this->ends.Done({run.task, run.run, ioHost.Incarnation(), NowMillis()}, ioHost.next_end_number - 1);
+	this->ends.OnDone({run.task, run.run, ioHost.Incarnation(), NowMillis()}, ioHost.next_end_number - 1);
 }
 
 void FakeFleet::AdvanceHost(FakeHost &ioHost)
@@ -475,7 +475,7 @@
 	if (!is_expired || ioHost.lease_until == 0)
 		return;
 	LogEvent(ELogLevel::Info, "fake_lapse").Field("worker", ioHost.Incarnation()).Field("next_number", ioHost.next_end_number);
-	this->ends.Lapsed(ioHost.Incarnation());
+	this->ends.OnLeaseExpired(ioHost.Incarnation());
 	ioHost.lease_until = 0;
 }
 
@@ -534,7 +534,7 @@
 		for (const FakeRun &run : host->running)
 			this->AddViolation(run.task + " was on " + host->name + " when it was taken");
 		// Not a rule of the platform, but a guarantee of loomreach: these ends, and with them finished work, would be lost with the host
-		const size_t unacknowledged_ends = this->ends.Unheard(host->Incarnation());
+		const size_t unacknowledged_ends = this->ends.UnacknowledgedCount(host->Incarnation());
 		if (unacknowledged_ends > 0)
 			this->hosts_taken_early.push_back(host->Id() + " was taken with " + std::to_string(unacknowledged_ends) + " ends unheard at " +
 											  std::to_string(NowMillis()));
@@ -550,7 +550,7 @@
 {
 	const bool is_maintenance = std::string_view(inState) == "upkeep";
 	this->store.Put("keyed.servers", ioHost.Id(), "");
-	this->ends.Gone(ioHost.Incarnation());
+	this->ends.OnWorkerLost(ioHost.Incarnation());
 	ioHost.state = inState;
 	ioHost.pool = inPool;
 	ioHost.running.clear();
--- a/UnitTests/ArrivalRateTests.cpp
+++ b/UnitTests/ArrivalRateTests.cpp
@@ -20,7 +20,7 @@
 	for (int jobs : inEachTenth)
 	{
 		for (int i = 0; i < jobs; ++i)
-			ioRate.Note(now + i, inWork);
+			ioRate.AddJob(now + i, inWork);
 		now += 100;
 	}
 	return now;
@@ -62,7 +62,7 @@
 	ArrivalRate rate;
 	Millis now = AddJobs(rate, std::vector<int>(40, 1), 0, 1000);
 	const int64 before = rate.Forecast(cLeadTimeMs, now);
-	rate.Note(now, 30000);
+	rate.AddJob(now, 30000);
 	EXPECT_LT(rate.Forecast(cLeadTimeMs, now), before * 2);
 }
 
--- a/UnitTests/CatalogueTests.cpp
+++ b/UnitTests/CatalogueTests.cpp
@@ -67,7 +67,7 @@
 	const std::optional<Catalogue> catalogue = Platform::DecodeCatalogue(cBody);
 	const Team *team = catalogue->FindTeam("a");
 	ASSERT_NE(team, nullptr);
-	EXPECT_EQ(team->at_most, (Resources{4000, 0, 1}));
+	EXPECT_EQ(team->limit, (Resources{4000, 0, 1}));
 	EXPECT_EQ(team->weight, 5);
 	EXPECT_EQ(catalogue->FindTeam("b")->weight, 0);
 	EXPECT_EQ(catalogue->FindTeam("b")->keys.size(), 1u);
@@ -102,10 +102,10 @@
 	cancel.spec.id = "job";
 	cancel.spec.team = "b";
 	cell.Ingest(cancel, 1, 1100, 1'700'000'000'100);
-	EXPECT_EQ(cell.Figures().active, 1u);
+	EXPECT_EQ(cell.Counts().active, 1u);
 	cancel.spec.team = "a";
 	cell.Ingest(cancel, 2, 1200, 1'700'000'000'200);
-	EXPECT_EQ(cell.Figures().active, 0u);
+	EXPECT_EQ(cell.Counts().active, 0u);
 }
 
 } // namespace Loomreach::Jobs
--- a/UnitTests/CellCancelTests.cpp
+++ b/UnitTests/CellCancelTests.cpp
@@ -76,10 +76,10 @@
 void MakeLongRunning(JobSpec &ioJob)
 {
 	StepSpec &step = ioJob.steps[0];
-	step.lasting = true;
+	step.long_running = true;
 	step.max_per_worker = 1;
 	step.limits_unavailable = true;
-	step.may_miss = 1;
+	step.max_unavailable = 1;
 }
 
 /// Result of a cancel simulation.
@@ -122,7 +122,7 @@
 	simulation.Run(15000);
 	simulation.ClearFaults();
 	simulation.Run(40000);
-	return {simulation.Broken() + simulation.Open(), simulation.StartsAfterCancel()};
+	return {simulation.Violations() + simulation.UnfinishedJobs(), simulation.StartsAfterCancel()};
 }
 
 /// One worker and one cell, driven step by step.
@@ -157,7 +157,7 @@
 			this->now += 10;
 			this->cell.Plan(this->now, this->now);
 			this->AnswerOrders();
-			if (this->batch.empty() && this->cell.HasNews())
+			if (this->batch.empty() && this->cell.HasUnwrittenChanges())
 				this->batch = this->cell.TakeBatch(this->now);
 			if (!this->batch.empty() && this->log_answers)
 				this->Append();
@@ -203,7 +203,7 @@
 				answer.result = EOrderResult::Done;
 				answer.clock_ms = this->now;
 			}
-			if (answers && order.kind == EOrder::Hold)
+			if (answers && order.kind == EOrder::Poll)
 				answer.running = this->running;
 			if (answers && order.kind == EOrder::Stop)
 				std::erase_if(this->running, [&](const RunningRun &inRow) { return inRow.task == order.task && inRow.run == order.run; });
@@ -271,7 +271,7 @@
 	// The worker is polled though nothing else runs there, and it gets the stop, so that the run can never begin
 	harness.Advance(1000);
 	EXPECT_EQ(harness.Count(EOrder::Stop), 1u);
-	EXPECT_EQ(harness.cell.Figures().runs, 0u);
+	EXPECT_EQ(harness.cell.Counts().runs, 0u);
 }
 
 TEST(CellCancel, ARunStaysKnownWhileItsWorkerIsUnresponsive)
@@ -286,17 +286,17 @@
 	harness.Ingest(EInbox::Cancel, MakeJob("a", 1, 1, 1000, 300));
 	harness.Advance(1000);
 	EXPECT_EQ(harness.cell.Query("queue", "a").phase, EJobPhase::Canceled);
-	EXPECT_EQ(harness.cell.Figures().runs, 1u);
+	EXPECT_EQ(harness.cell.Counts().runs, 1u);
 	// The next owner finds the run in the log, polls its worker, and stops what has begun in the meantime
 	harness.Begin(2);
-	EXPECT_EQ(harness.cell.Figures().runs, 1u);
+	EXPECT_EQ(harness.cell.Counts().runs, 1u);
 	harness.ListWorker();
 	harness.running = {{{"a", 0, 0, 0}, 1, "", 0, 0}};
 	harness.worker_answers = true;
 	harness.Advance(500);
 	EXPECT_TRUE(harness.running.empty());
 	harness.Advance(1000);
-	EXPECT_EQ(harness.cell.Figures().runs, 0u);
+	EXPECT_EQ(harness.cell.Counts().runs, 0u);
 }
 
 TEST(CellCancel, ARunIsAskedAfterWhenItsWorkerIsListedAgain)
@@ -318,7 +318,7 @@
 	const auto to_nowhere = [](const Order &inOrder) { return inOrder.address.port == 0; };
 	harness.Advance(2000);
 	EXPECT_EQ(std::count_if(harness.sent.begin(), harness.sent.end(), to_nowhere), 0);
-	EXPECT_EQ(harness.cell.Figures().runs, 1u);
+	EXPECT_EQ(harness.cell.Counts().runs, 1u);
 	harness.ListWorker();
 	harness.Advance(500);
 	EXPECT_TRUE(harness.running.empty());
@@ -345,7 +345,7 @@
 	EXPECT_EQ(std::count_if(harness.sent.begin(), harness.sent.end(), to_nowhere), 0);
 	EXPECT_TRUE(harness.running.empty());
 	harness.Advance(500);
-	EXPECT_EQ(harness.cell.Figures().runs, 0u);
+	EXPECT_EQ(harness.cell.Counts().runs, 0u);
 	// A worker that was removed leaves no address record behind
 	harness.Advance(6000);
 	harness.cell.SetWorkers({}, harness.now);
@@ -369,7 +369,7 @@
 	harness.log_answers = true;
 	harness.Advance(500);
 	EXPECT_EQ(harness.Count(EOrder::Start), 0u);
-	EXPECT_EQ(harness.cell.Figures().runs, 0u);
+	EXPECT_EQ(harness.cell.Counts().runs, 0u);
 	EXPECT_EQ(harness.cell.Query("queue", "a").phase, EJobPhase::Canceled);
 }
 
@@ -397,7 +397,7 @@
 	simulation.Core().SetInboxFresh(true);
 	simulation.Run(5000);
 	EXPECT_EQ(simulation.Starts(), 4u);
-	EXPECT_EQ(simulation.Broken() + simulation.Open(), "");
+	EXPECT_EQ(simulation.Violations() + simulation.UnfinishedJobs(), "");
 }
 
 } // namespace Loomreach::Jobs
--- a/UnitTests/CellCapacityTests.cpp
+++ b/UnitTests/CellCapacityTests.cpp
@@ -58,7 +58,7 @@
 		for (const Order &order : this->cell.TakeOrders(this->now))
 			this->Answer(order);
 		this->now += cStepMs;
-		if (!this->log_blocked && this->cell.HasNews() && !this->cell.TakeBatch(cWall + this->now).empty())
+		if (!this->log_blocked && this->cell.HasUnwrittenChanges() && !this->cell.TakeBatch(cWall + this->now).empty())
 			this->cell.OnAppended(this->now);
 	}
 
@@ -81,7 +81,7 @@
 		answer.clock_ms = this->now + 5000;
 		if (inOrder.kind == EOrder::Start)
 			this->started.push_back({inOrder.task, inOrder.run, "", 50, 0});
-		if (inOrder.kind == EOrder::Hold)
+		if (inOrder.kind == EOrder::Poll)
 		{
 			answer.running = this->started;
 			answer.running.insert(answer.running.end(), this->stray_runs.begin(), this->stray_runs.end());
@@ -172,8 +172,8 @@
 		simulation.Run(10000);
 		simulation.ClearFaults();
 		simulation.Run(60000);
-		EXPECT_EQ(simulation.Broken(), "") << seed;
-		EXPECT_EQ(simulation.Open(), "") << seed;
+		EXPECT_EQ(simulation.Violations(), "") << seed;
+		EXPECT_EQ(simulation.UnfinishedJobs(), "") << seed;
 	}
 }
 
@@ -203,7 +203,7 @@
 	std::string no_capacity;
 	for (const std::string &line : simulation.violations)
 		no_capacity += line.find("no room") == std::string::npos ? "" : line + '\n';
-	RC_ASSERT(no_capacity + simulation.Open() == "");
+	RC_ASSERT(no_capacity + simulation.UnfinishedJobs() == "");
 }
 
 } // namespace Loomreach::Jobs
--- a/UnitTests/CellCrashTests.cpp
+++ b/UnitTests/CellCrashTests.cpp
@@ -28,7 +28,7 @@
 constexpr Millis cCrashMs = 10;
 constexpr size_t cWorkers = 12;
 
-std::string Failures(const CellSimulation &inSimulation) { return inSimulation.Broken() + inSimulation.GivenUp(); }
+std::string Failures(const CellSimulation &inSimulation) { return inSimulation.Violations() + inSimulation.WronglyFailedJobs(); }
 
 } // namespace
 
@@ -43,9 +43,9 @@
 	SubmitHealthyJobs(simulation, random, 20, next);
 	simulation.Run(60000);
 	EXPECT_EQ(Failures(simulation), "");
-	EXPECT_EQ(simulation.Open(), "");
+	EXPECT_EQ(simulation.UnfinishedJobs(), "");
 	for (int i = 0; i < 3; ++i)
-		EXPECT_EQ(simulation.Shown("bad" + std::to_string(i)).phase, EJobPhase::Failed);
+		EXPECT_EQ(simulation.QueryJob("bad" + std::to_string(i)).phase, EJobPhase::Failed);
 }
 
 TEST(CellCrash, GivesItUpAlsoWhereWorkersComeBackAfterTheirLeases)
@@ -63,7 +63,7 @@
 		SubmitHealthyJobs(simulation, random, 20, next);
 		simulation.Run(90000);
 		EXPECT_EQ(Failures(simulation), "") << seed;
-		EXPECT_EQ(simulation.Open(), "") << seed;
+		EXPECT_EQ(simulation.UnfinishedJobs(), "") << seed;
 	}
 }
 
@@ -79,7 +79,7 @@
 		simulation.Run(500);
 		simulation.Submit(MakeCrashingJob(simulation, "bad", 1, cCrashMs));
 		simulation.Run(30000);
-		EXPECT_EQ(simulation.Shown("bad").phase, EJobPhase::Failed) << seed;
+		EXPECT_EQ(simulation.QueryJob("bad").phase, EJobPhase::Failed) << seed;
 		EXPECT_EQ(simulation.CrashesCausedBy({"bad", 0, 0, 0}), 2u) << seed;
 	}
 }
@@ -96,13 +96,13 @@
 	for (int i = 0; i < 100; ++i)
 	{
 		simulation.Run(100);
-		most = std::max(most, simulation.Core().Demand("pool", 0, 1500, simulation.Now(), simulation.Now()).least_hosts);
+		most = std::max(most, simulation.Core().Demand("pool", 0, 1500, simulation.Now(), simulation.Now()).min_hosts);
 	}
 	EXPECT_GT(most, 2u);
 	simulation.Run(30000);
 	EXPECT_EQ(Failures(simulation), "");
-	EXPECT_EQ(simulation.Open(), "");
-	EXPECT_EQ(simulation.Core().Demand("pool", 0, 1500, simulation.Now(), simulation.Now()).least_hosts, 0u);
+	EXPECT_EQ(simulation.UnfinishedJobs(), "");
+	EXPECT_EQ(simulation.Core().Demand("pool", 0, 1500, simulation.Now(), simulation.Now()).min_hosts, 0u);
 }
 
 TEST(CellCrash, CountsOnWhenTheOwnerChanges)
@@ -122,7 +122,7 @@
 		}
 		simulation.Run(60000);
 		EXPECT_EQ(Failures(simulation), "") << seed;
-		EXPECT_EQ(simulation.Open(), "") << seed;
+		EXPECT_EQ(simulation.UnfinishedJobs(), "") << seed;
 	}
 }
 
@@ -135,19 +135,19 @@
 	simulation.Submit(gang);
 	simulation.Run(60000);
 	EXPECT_EQ(Failures(simulation), "");
-	EXPECT_EQ(simulation.Shown("gang").phase, EJobPhase::Failed);
+	EXPECT_EQ(simulation.QueryJob("gang").phase, EJobPhase::Failed);
 }
 
 TEST(CellCrash, GivesUpALongRunningTaskThatCrashesEachWorker)
 {
 	CellSimulation simulation(1, SimulationFaults{}, cWorkers);
 	simulation.Run(500);
-	JobSpec lasting = MakeCrashingJob(simulation, "lasting", 2, cCrashMs);
-	lasting.steps[0].lasting = true;
-	simulation.Submit(lasting);
+	JobSpec long_running_job = MakeCrashingJob(simulation, "lasting", 2, cCrashMs);
+	long_running_job.steps[0].long_running = true;
+	simulation.Submit(long_running_job);
 	simulation.Run(60000);
 	EXPECT_EQ(Failures(simulation), "");
-	EXPECT_EQ(simulation.Shown("lasting").phase, EJobPhase::Failed);
+	EXPECT_EQ(simulation.QueryJob("lasting").phase, EJobPhase::Failed);
 }
 
 TEST(CellCrash, GivesUpATaskThatCrashesEachWorkerLaterInItsRun)
@@ -163,8 +163,8 @@
 		SubmitHealthyJobs(simulation, random, 20, next);
 		simulation.Run(60000);
 		EXPECT_EQ(Failures(simulation), "") << after;
-		EXPECT_EQ(simulation.Open(), "") << after;
-		EXPECT_EQ(simulation.Shown("bad").phase, EJobPhase::Failed) << after;
+		EXPECT_EQ(simulation.UnfinishedJobs(), "") << after;
+		EXPECT_EQ(simulation.QueryJob("bad").phase, EJobPhase::Failed) << after;
 	}
 }
 
@@ -178,9 +178,9 @@
 		CellSimulation simulation(seed, SimulationFaults{}, cWorkers);
 		AssignRacks(simulation);
 		simulation.Run(500);
-		JobSpec lasting = MakeJob("lasting", 1, 4, 1000, 500);
-		lasting.steps[0].lasting = true;
-		simulation.Submit(lasting);
+		JobSpec long_running_job = MakeJob("lasting", 1, 4, 1000, 500);
+		long_running_job.steps[0].long_running = true;
+		simulation.Submit(long_running_job);
 		for (int i = 0; i < 8; ++i)
 		{
 			SubmitHealthyJobs(simulation, random, 4, next);
@@ -193,7 +193,7 @@
 		simulation.Cancel("lasting");
 		simulation.Run(60000);
 		EXPECT_EQ(Failures(simulation), "") << seed;
-		EXPECT_EQ(simulation.Open(), "") << seed;
+		EXPECT_EQ(simulation.UnfinishedJobs(), "") << seed;
 	}
 }
 
@@ -221,7 +221,7 @@
 		simulation.ClearFaults();
 		simulation.Run(60000);
 		EXPECT_EQ(Failures(simulation), "") << seed;
-		EXPECT_EQ(simulation.Open(), "") << seed;
+		EXPECT_EQ(simulation.UnfinishedJobs(), "") << seed;
 	}
 }
 
@@ -253,7 +253,7 @@
 			simulation.Crash(worker, true, 500);
 	simulation.Run(20000);
 	EXPECT_EQ(Failures(simulation), "");
-	EXPECT_EQ(simulation.Shown("a").phase, EJobPhase::Completed);
+	EXPECT_EQ(simulation.QueryJob("a").phase, EJobPhase::Completed);
 }
 
 TEST(CellCrash, GivesUpATaskAtWhoseEveryTrialOthersOfTheRackGoAsWell)
@@ -263,10 +263,10 @@
 	{
 		CellSimulation simulation(seed, SimulationFaults{}, 6);
 		simulation.Run(500);
-		JobSpec lasting = MakeJob("lasting", 1, 6, 1000, 500);
-		lasting.steps[0].lasting = true;
-		lasting.steps[0].max_per_worker = 1;
-		simulation.Submit(lasting);
+		JobSpec long_running_job = MakeJob("lasting", 1, 6, 1000, 500);
+		long_running_job.steps[0].long_running = true;
+		long_running_job.steps[0].max_per_worker = 1;
+		simulation.Submit(long_running_job);
 		simulation.Run(2000);
 		simulation.Submit(MakeCrashingJob(simulation, "bad", 1, cCrashMs));
 		const TaskId bad{"bad", 0, 0, 0};
@@ -285,7 +285,7 @@
 				}
 		}
 		EXPECT_EQ(Failures(simulation), "") << seed;
-		EXPECT_EQ(simulation.Shown("bad").phase, EJobPhase::Failed) << seed;
+		EXPECT_EQ(simulation.QueryJob("bad").phase, EJobPhase::Failed) << seed;
 	}
 }
 
@@ -310,9 +310,9 @@
 	{
 		CellSimulation simulation(seed, SimulationFaults{}, 3);
 		simulation.Run(500);
-		JobSpec lasting = MakeJob("lasting", 1, 1, 1000, 500);
-		lasting.steps[0].lasting = true;
-		simulation.Submit(lasting);
+		JobSpec long_running_job = MakeJob("lasting", 1, 1, 1000, 500);
+		long_running_job.steps[0].long_running = true;
+		simulation.Submit(long_running_job);
 		simulation.Run(1000);
 		for (int month = 0; month < 6; ++month)
 		{
@@ -386,10 +386,10 @@
 	simulation.Run(10000);
 	simulation.ClearFaults();
 	simulation.Run(60000);
-	EXPECT_EQ(simulation.Broken(), "") << inSeed;
-	EXPECT_EQ(simulation.Open(), "") << inSeed;
+	EXPECT_EQ(simulation.Violations(), "") << inSeed;
+	EXPECT_EQ(simulation.UnfinishedJobs(), "") << inSeed;
 	result.healthy = static_cast<size_t>(next);
-	const std::string wrongly_failed = simulation.GivenUp();
+	const std::string wrongly_failed = simulation.WronglyFailedJobs();
 	result.wrongly_failed = static_cast<size_t>(std::count(wrongly_failed.begin(), wrongly_failed.end(), '\n'));
 	for (int i = 0; i < 10; ++i)
 		for (uint32 task = 0; task < 2; ++task)
@@ -467,7 +467,7 @@
 		simulation.ClearFaults();
 		simulation.Run(60000);
 		EXPECT_EQ(Failures(simulation), "") << seed;
-		EXPECT_EQ(simulation.Open(), "") << seed;
+		EXPECT_EQ(simulation.UnfinishedJobs(), "") << seed;
 	}
 }
 
@@ -497,10 +497,10 @@
 	simulation.Run(10000);
 	simulation.ClearFaults();
 	simulation.Run(90000);
-	const std::string wrongly_failed = simulation.GivenUp();
+	const std::string wrongly_failed = simulation.WronglyFailedJobs();
 	outWronglyFailed += static_cast<size_t>(std::count(wrongly_failed.begin(), wrongly_failed.end(), '\n'));
 	outHealthy += static_cast<size_t>(next);
-	return simulation.Broken() + simulation.Open();
+	return simulation.Violations() + simulation.UnfinishedJobs();
 }
 
 RC_GTEST_PROP(CellCrash, KeepsTheRulesUnderEverything, ())
--- a/UnitTests/CellDrainGrantTests.cpp
+++ b/UnitTests/CellDrainGrantTests.cpp
@@ -34,7 +34,7 @@
 		simulation.ReplaceOwner();
 		simulation.Submit(MakeJob("job", 1, 1, 500, 800));
 		simulation.Run(3000);
-		violations += simulation.Broken();
+		violations += simulation.Violations();
 	}
 	EXPECT_EQ(violations, "");
 }
--- a/UnitTests/CellDrainsTests.cpp
+++ b/UnitTests/CellDrainsTests.cpp
@@ -49,11 +49,11 @@
 		record.spec.accepted_wall_ms = cWallClockOffsetMs + this->now;
 		StepSpec step;
 		step.count = inCount;
-		step.need = {1500, 512, 0};
-		step.lasting = true;
+		step.requested = {1500, 512, 0};
+		step.long_running = true;
 		step.max_per_worker = 1;
 		step.limits_unavailable = true;
-		step.may_miss = inMayMiss;
+		step.max_unavailable = inMayMiss;
 		record.spec.steps.push_back(step);
 		this->count = inCount;
 		this->cell.Ingest(record, 0, this->now, cWallClockOffsetMs + this->now);
@@ -127,7 +127,7 @@
 		}
 		this->cell.Plan(this->now, cWallClockOffsetMs + this->now);
 		this->Send();
-		if (this->cell.HasNews() && !this->cell.TakeBatch(cWallClockOffsetMs + this->now).empty())
+		if (this->cell.HasUnwrittenChanges() && !this->cell.TakeBatch(cWallClockOffsetMs + this->now).empty())
 			this->cell.OnAppended(this->now);
 	}
 
@@ -189,14 +189,14 @@
 			this->ended[inOrder.worker].push_back(
 				{this->ended[inOrder.worker].size() + 1, inOrder.task, inOrder.run, ERunEnd::Stopped, ""});
 			break;
-		case EOrder::Hold:
+		case EOrder::Poll:
 			for (const RunId &run : runs)
 				answer.running.push_back({run.task, run.run, "", 100, 0});
 			for (const EndedRun &row : this->ended[inOrder.worker])
-				if (row.number > inOrder.last_seen)
+				if (row.sequence > inOrder.acknowledged_end)
 					answer.ended.push_back(row);
 			break;
-		case EOrder::Pace: break;
+		case EOrder::Throttle: break;
 		}
 		return answer;
 	}
@@ -276,14 +276,14 @@
 	};
 	for (int i = 0; i < 30 && !stop_seen; ++i)
 	{
-		simulation.cell.Vacate(drained_worker, 1500, simulation.now);
+		simulation.cell.DrainWorker(drained_worker, 1500, simulation.now);
 		simulation.Run(100);
 	}
 	ASSERT_TRUE(stop_seen);
 	simulation.unresponsive.insert(simulation.WorkerOf(1));
 	for (int i = 0; i < 30; ++i)
 	{
-		simulation.cell.Vacate(drained_worker, 1500, simulation.now);
+		simulation.cell.DrainWorker(drained_worker, 1500, simulation.now);
 		simulation.Run(100);
 	}
 	EXPECT_EQ(simulation.violations, "");
@@ -291,7 +291,7 @@
 	// The other task is restarted elsewhere once its lease is over; then this one may be stopped
 	for (int i = 0; i < 60; ++i)
 	{
-		simulation.cell.Vacate(drained_worker, 1500, simulation.now);
+		simulation.cell.DrainWorker(drained_worker, 1500, simulation.now);
 		simulation.Run(100);
 	}
 	EXPECT_EQ(simulation.violations, "");
@@ -319,7 +319,7 @@
 		for (int i = 0; i < inTimes && simulation.RunningTasks() > 2; ++i)
 		{
 			for (const std::string &worker : drained_workers)
-				simulation.cell.Vacate(worker, 1500, simulation.now);
+				simulation.cell.DrainWorker(worker, 1500, simulation.now);
 			simulation.Run(100);
 		}
 	};
--- a/UnitTests/CellDriverTests.cpp
+++ b/UnitTests/CellDriverTests.cpp
@@ -20,7 +20,7 @@
 
 struct UnresponsiveAdviser
 {
-	static void Ask(const AdviceQuestion &, const std::function<void(const AdviceAnswer &)> &) {}
+	static void Ask(const AdviceRequest &, const std::function<void(const AdviceAnswer &)> &) {}
 };
 
 struct TestHub
@@ -64,13 +64,13 @@
 												  cCell);
 	}
 
-	LogName Inbox() const { return InboxLog(cCell, static_cast<uint32>(this->config.log_parts)); }
+	LogName Inbox() const { return InboxLog(cCell, static_cast<uint32>(this->config.log_partitions)); }
 	void Claim()
 	{
 		this->driver->Claim(0, [](bool) {});
 		for (int i = 0; i < 40 && !this->driver->IsHeld(); ++i)
-			FakeLog::Settle(20);
-		FakeLog::Settle(100);
+			FakeLog::RunMainLoopFor(20);
+		FakeLog::RunMainLoopFor(100);
 	}
 	PeerAnswer Show(const std::string &inJob)
 	{
@@ -102,7 +102,7 @@
 	const PeerAnswer unread = fixture.Show("job25");
 	EXPECT_TRUE(unread.owner);
 	EXPECT_FALSE(unread.known);
-	EXPECT_FALSE(unread.sure);
+	EXPECT_FALSE(unread.inbox_current);
 }
 
 TEST(CellDriver, IsSureOnceItHasReadAll)
@@ -110,7 +110,7 @@
 	TestCellDriver fixture(2);
 	fixture.Claim();
 	EXPECT_TRUE(fixture.Show("job25").known);
-	EXPECT_TRUE(fixture.Show("never").sure);
+	EXPECT_TRUE(fixture.Show("never").inbox_current);
 	EXPECT_FALSE(fixture.Show("never").known);
 }
 
--- a/UnitTests/CellEvacuationTests.cpp
+++ b/UnitTests/CellEvacuationTests.cpp
@@ -55,7 +55,7 @@
 	simulation.Cancel("lasting");
 	simulation.ClearFaults();
 	simulation.Run(60000);
-	return simulation.Broken() + simulation.Open();
+	return simulation.Violations() + simulation.UnfinishedJobs();
 }
 
 } // namespace
@@ -79,24 +79,24 @@
 	simulation.Evacuate(ZoneOf(0));
 	simulation.Submit(MakeJob("second", 1, 1, 500, 800));
 	simulation.Run(6000);
-	EXPECT_EQ(simulation.Shown("first").phase, EJobPhase::Completed);
-	EXPECT_EQ(simulation.Shown("second").phase, EJobPhase::Queued);
+	EXPECT_EQ(simulation.QueryJob("first").phase, EJobPhase::Completed);
+	EXPECT_EQ(simulation.QueryJob("second").phase, EJobPhase::Queued);
 	simulation.EndEvacuation(ZoneOf(0));
 	simulation.Run(6000);
-	EXPECT_EQ(simulation.Shown("second").phase, EJobPhase::Completed);
-	EXPECT_EQ(simulation.Broken(), "");
+	EXPECT_EQ(simulation.QueryJob("second").phase, EJobPhase::Completed);
+	EXPECT_EQ(simulation.Violations(), "");
 }
 
 /// Guards against a record that is read again after a newer one and restores the older state.
 TEST(ZoneEvacuations, NeverGoesBackToAnOlderRecord)
 {
 	ZoneEvacuations zones;
-	EXPECT_TRUE(zones.Note({"a", true}, 3));
-	EXPECT_TRUE(zones.Note({"a", false}, 5));
-	EXPECT_FALSE(zones.Note({"a", true}, 3));
+	EXPECT_TRUE(zones.Apply({"a", true}, 3));
+	EXPECT_TRUE(zones.Apply({"a", false}, 5));
+	EXPECT_FALSE(zones.Apply({"a", true}, 3));
 	EXPECT_TRUE(zones.Zones().empty());
-	EXPECT_TRUE(zones.Note({"a", true}, 7));
-	EXPECT_FALSE(zones.Note({"a", true}, 7));
+	EXPECT_TRUE(zones.Apply({"a", true}, 7));
+	EXPECT_FALSE(zones.Apply({"a", true}, 7));
 	EXPECT_EQ(zones.Zones(), std::set<std::string>{"a"});
 }
 
@@ -105,12 +105,12 @@
 TEST(ZoneEvacuations, AWholeReadingOpensTheZonesThatItDoesNotName)
 {
 	ZoneEvacuations zones;
-	zones.Note({"a", true}, 3);
-	zones.Note({"b", true}, 4);
-	zones.Note({"c", true}, 9);
-	EXPECT_TRUE(zones.Keep({"b"}, 9));
+	zones.Apply({"a", true}, 3);
+	zones.Apply({"b", true}, 4);
+	zones.Apply({"c", true}, 9);
+	EXPECT_TRUE(zones.RetainNamed({"b"}, 9));
 	EXPECT_EQ(zones.Zones(), (std::set<std::string>{"b", "c"}));
-	EXPECT_FALSE(zones.Keep({"b", "c"}, 9));
+	EXPECT_FALSE(zones.RetainNamed({"b", "c"}, 9));
 }
 
 } // namespace Loomreach::Jobs
--- a/UnitTests/CellLateEndTests.cpp
+++ b/UnitTests/CellLateEndTests.cpp
@@ -39,7 +39,7 @@
 			this->now += 10;
 			this->cell.Plan(this->now, this->now);
 			this->AnswerOrders();
-			if (this->cell.HasNews() && !this->writes && !this->cell.TakeBatch(this->now).empty())
+			if (this->cell.HasUnwrittenChanges() && !this->writes && !this->cell.TakeBatch(this->now).empty())
 				this->writes = true;
 			if (this->writes && this->log_answers)
 				this->Append();
@@ -89,10 +89,10 @@
 				answer.result = EOrderResult::Done;
 				answer.clock_ms = this->now;
 			}
-			if (answer.result == EOrderResult::Done && order.kind == EOrder::Hold)
+			if (answer.result == EOrderResult::Done && order.kind == EOrder::Poll)
 				answer.running = this->RunningOn(order.worker);
 			const bool is_first = !this->started.empty() && order.worker == this->started.front().worker;
-			if (answer.result == EOrderResult::Done && order.kind == EOrder::Hold && is_first)
+			if (answer.result == EOrderResult::Done && order.kind == EOrder::Poll && is_first)
 				answer.ended = this->ended;
 			this->cell.OnAnswer(order, answer, this->now - 5, this->now);
 		}
--- a/UnitTests/CellLeaseTests.cpp
+++ b/UnitTests/CellLeaseTests.cpp
@@ -42,7 +42,7 @@
 	simulation.SetLease(inAfterMs);
 	simulation.ReplaceOwner();
 	simulation.Run(40000);
-	return simulation.Broken() + simulation.Open();
+	return simulation.Violations() + simulation.UnfinishedJobs();
 }
 
 } // namespace
@@ -62,7 +62,7 @@
 		simulation.Run(1500);
 	}
 	simulation.Run(40000);
-	EXPECT_EQ(simulation.Broken() + simulation.Open(), "");
+	EXPECT_EQ(simulation.Violations() + simulation.UnfinishedJobs(), "");
 }
 
 TEST(CellLease, ALongerLeaseIsGivenOnlyOnceTheLogHoldsIt)
@@ -70,13 +70,13 @@
 	WorkerLeases leases;
 	leases.Restore(cShortLeaseMs);
 	leases.Begin(cLongLeaseMs, cLongLeaseMs, 0);
-	EXPECT_EQ(leases.ToGive(), cShortLeaseMs);
-	ASSERT_EQ(leases.ToLog(0), cLongLeaseMs);
+	EXPECT_EQ(leases.LeaseToGrant(), cShortLeaseMs);
+	ASSERT_EQ(leases.LeaseToLog(0), cLongLeaseMs);
 	leases.OnWriting(cLongLeaseMs);
-	EXPECT_EQ(leases.ToGive(), cShortLeaseMs);
+	EXPECT_EQ(leases.LeaseToGrant(), cShortLeaseMs);
 	leases.OnLogged();
-	EXPECT_EQ(leases.ToGive(), cLongLeaseMs);
-	EXPECT_FALSE(leases.ToLog(0).has_value());
+	EXPECT_EQ(leases.LeaseToGrant(), cLongLeaseMs);
+	EXPECT_FALSE(leases.LeaseToLog(0).has_value());
 }
 
 TEST(CellLease, AFormerOwnersLongerLeaseStaysInTheLogUntilItIsOver)
@@ -84,12 +84,12 @@
 	WorkerLeases leases;
 	leases.Restore(cLongLeaseMs);
 	leases.Begin(cShortLeaseMs, cShortLeaseMs, 0);
-	EXPECT_EQ(leases.Longest(0), cLongLeaseMs);
-	EXPECT_EQ(leases.ToGive(), cShortLeaseMs);
-	EXPECT_FALSE(leases.ToLog(cLongLeaseMs).has_value());
+	EXPECT_EQ(leases.LongestGranted(0), cLongLeaseMs);
+	EXPECT_EQ(leases.LeaseToGrant(), cShortLeaseMs);
+	EXPECT_FALSE(leases.LeaseToLog(cLongLeaseMs).has_value());
 	const Millis over = LongestLease(cLongLeaseMs);
-	EXPECT_EQ(leases.ToLog(over), cShortLeaseMs);
-	EXPECT_EQ(leases.Longest(over), cShortLeaseMs);
+	EXPECT_EQ(leases.LeaseToLog(over), cShortLeaseMs);
+	EXPECT_EQ(leases.LongestGranted(over), cShortLeaseMs);
 }
 
 TEST(CellLease, ARolloutThatShortensItStartsNothingTwice) { EXPECT_EQ(RunRollout(cLongLeaseMs, cShortLeaseMs), ""); }
--- a/UnitTests/CellPropertyTests.cpp
+++ b/UnitTests/CellPropertyTests.cpp
@@ -22,7 +22,7 @@
 	simulation.Run(10000);
 	simulation.ClearFaults();
 	simulation.Run(60000);
-	return simulation.Broken() + simulation.Open();
+	return simulation.Violations() + simulation.UnfinishedJobs();
 }
 
 } // namespace
--- a/UnitTests/CellRestartTests.cpp
+++ b/UnitTests/CellRestartTests.cpp
@@ -59,7 +59,7 @@
 		restarted.simulation.Run(static_cast<Millis>(100 + 50 * seed));
 		restarted.Submit(4);
 		restarted.simulation.Run(10000);
-		EXPECT_EQ(restarted.simulation.Broken() + restarted.simulation.Open(), "") << "seed " << seed;
+		EXPECT_EQ(restarted.simulation.Violations() + restarted.simulation.UnfinishedJobs(), "") << "seed " << seed;
 	}
 }
 
@@ -74,7 +74,7 @@
 		restarted.Restart();
 		restarted.Submit(4);
 		restarted.simulation.Run(10000);
-		EXPECT_EQ(restarted.simulation.Broken() + restarted.simulation.Open(), "") << "seed " << seed;
+		EXPECT_EQ(restarted.simulation.Violations() + restarted.simulation.UnfinishedJobs(), "") << "seed " << seed;
 	}
 }
 
@@ -92,7 +92,7 @@
 			restarted.simulation.Run(cBackMs + 20);
 		}
 		restarted.simulation.Run(10000);
-		EXPECT_EQ(restarted.simulation.Broken() + restarted.simulation.Open(), "") << "seed " << seed;
+		EXPECT_EQ(restarted.simulation.Violations() + restarted.simulation.UnfinishedJobs(), "") << "seed " << seed;
 	}
 }
 
@@ -109,8 +109,8 @@
 		int next = 0;
 		SubmitHealthyJobs(simulation, random, 10, next);
 		simulation.Run(40000);
-		EXPECT_EQ(simulation.Broken() + simulation.Open() + simulation.GivenUp(), "") << "seed " << seed;
-		EXPECT_TRUE(IsFinal(simulation.Shown("crasher").phase)) << "seed " << seed;
+		EXPECT_EQ(simulation.Violations() + simulation.UnfinishedJobs() + simulation.WronglyFailedJobs(), "") << "seed " << seed;
+		EXPECT_TRUE(IsFinal(simulation.QueryJob("crasher").phase)) << "seed " << seed;
 	}
 }
 
@@ -149,7 +149,7 @@
 		entry.pool = "pool";
 		entry.address = {"127.0.0.1", 1};
 		entry.capacity = {16000, 32768, 0};
-		entry.born_ms = inStartedMs;
+		entry.started_ms = inStartedMs;
 		entry.draining = inDrains;
 		this->cell.SetWorkers({entry}, this->now);
 	}
@@ -164,7 +164,7 @@
 	{
 		OrderAnswer answer;
 		answer.result = EOrderResult::Done;
-		answer.born_ms = inStartedMs;
+		answer.started_ms = inStartedMs;
 		answer.clock_ms = inClock;
 		return answer;
 	}
@@ -227,9 +227,9 @@
 	harness.ListWorker(2000);
 	orders = harness.TakeDueOrders();
 	ASSERT_EQ(orders.size(), 1u);
-	EXPECT_EQ(orders[0].kind, EOrder::Hold);
+	EXPECT_EQ(orders[0].kind, EOrder::Poll);
 	EXPECT_EQ(orders[0].wait_ms, 0);
-	EXPECT_EQ(orders[0].last_seen, 0u);
+	EXPECT_EQ(orders[0].acknowledged_end, 0u);
 }
 
 /// A worker got runs by its previous incarnation's capacity.
@@ -267,7 +267,7 @@
 	newer.running.push_back({start.task, start.run, "", 50, 0});
 	harness.cell.OnAnswer(again[0], newer, harness.now, harness.now);
 	harness.cell.OnAnswer(harness.polls[0], harness.PollAnswer(1000, 1500), harness.now, harness.now);
-	EXPECT_EQ(harness.cell.Figures().runs, 1u);
+	EXPECT_EQ(harness.cell.Counts().runs, 1u);
 }
 
 /// Ends of the previous incarnation that a former owner submits after the next one has begun count once, and for their tasks alone.
@@ -299,7 +299,7 @@
 	EXPECT_EQ(harness.started.back().task, second.task);
 	// Their sequence numbers do not apply to the current incarnation
 	for (const Order &poll : harness.TakeDueOrders())
-		EXPECT_EQ(poll.last_seen, 0u);
+		EXPECT_EQ(poll.acknowledged_end, 0u);
 }
 
 /// A worker's ticket for a policy's queue was its previous incarnation's, and each start was refused.
@@ -312,18 +312,18 @@
 	job.advised = true;
 	harness.cell.Ingest({EInbox::Submit, job}, 0, harness.now, harness.now);
 	harness.TakeDueOrders();
-	std::vector<AdviceQuestion> questions = harness.cell.TakeAdvice();
-	ASSERT_EQ(questions.size(), 1u);
+	std::vector<AdviceRequest> requests = harness.cell.TakeAdvice();
+	ASSERT_EQ(requests.size(), 1u);
 	// The worker restarts before the answer is used
 	harness.ListWorker(2000);
 	orders = harness.TakeDueOrders();
 	ASSERT_EQ(orders.size(), 1u);
-	harness.cell.OnAdvice(questions[0], {true, 60000, {{"w", "ticket"}}}, harness.now);
+	harness.cell.OnAdvice(requests[0], {true, 60000, {{"w", "ticket"}}}, harness.now);
 	harness.cell.OnAnswer(orders[0], harness.PollAnswer(2000, 10), harness.now, harness.now);
 	harness.TakeDueOrders();
-	questions = harness.cell.TakeAdvice();
-	ASSERT_EQ(questions.size(), 1u);
-	EXPECT_EQ(questions[0].workers, std::vector<std::string>{"w"});
+	requests = harness.cell.TakeAdvice();
+	ASSERT_EQ(requests.size(), 1u);
+	EXPECT_EQ(requests[0].workers, std::vector<std::string>{"w"});
 }
 
 /// A ticket requested for the previous incarnation arrived during the next one: each new start was refused until the ticket expired.
@@ -336,9 +336,9 @@
 	job.advised = true;
 	harness.cell.Ingest({EInbox::Submit, job}, 0, harness.now, harness.now);
 	harness.TakeDueOrders();
-	const std::vector<AdviceQuestion> questions = harness.cell.TakeAdvice();
-	ASSERT_EQ(questions.size(), 1u);
-	harness.cell.OnAdvice(questions[0], {true, 60000, {{"w", "ticket"}}}, harness.now);
+	const std::vector<AdviceRequest> requests = harness.cell.TakeAdvice();
+	ASSERT_EQ(requests.size(), 1u);
+	harness.cell.OnAdvice(requests[0], {true, 60000, {{"w", "ticket"}}}, harness.now);
 	ASSERT_EQ(harness.WriteAndDispatch(), 1u);
 	OrderAnswer refusal;
 	refusal.result = EOrderResult::NoTicket;
@@ -368,7 +368,7 @@
 		after.cell.OnAnswer(orders[0], after.PollAnswer(started_ms, 10), after.now, after.now);
 	}
 	// Until nobody can submit its end any more
-	for (Millis clock = 510; after.cell.Figures().runs > 0 && clock < 20000; clock += 500)
+	for (Millis clock = 510; after.cell.Counts().runs > 0 && clock < 20000; clock += 500)
 		for (const Order &order : after.TakeDueOrders())
 			after.cell.OnAnswer(order, after.PollAnswer(4000, clock), after.now, after.now);
 	uint32 counted = 0;
--- a/UnitTests/CellScenarios.cpp
+++ b/UnitTests/CellScenarios.cpp
@@ -18,12 +18,12 @@
 
 JobSpec MakeLongRunningJob(uint32 inCount)
 {
-	JobSpec lasting = MakeJob("lasting", 1, inCount, 1500, 500);
-	lasting.steps[0].lasting = true;
-	lasting.steps[0].max_per_worker = 1;
-	lasting.steps[0].limits_unavailable = true;
-	lasting.steps[0].may_miss = 1;
-	return lasting;
+	JobSpec long_running_job = MakeJob("lasting", 1, inCount, 1500, 500);
+	long_running_job.steps[0].long_running = true;
+	long_running_job.steps[0].max_per_worker = 1;
+	long_running_job.steps[0].limits_unavailable = true;
+	long_running_job.steps[0].max_unavailable = 1;
+	return long_running_job;
 }
 
 void RunMixedWorkload(CellSimulation &ioSimulation, Random &ioRandom)
@@ -213,7 +213,7 @@
 	simulation.Run(10000);
 	simulation.ClearFaults();
 	simulation.Run(60000);
-	return simulation.Broken() + simulation.Open();
+	return simulation.Violations() + simulation.UnfinishedJobs();
 }
 
 void AssignRacks(CellSimulation &ioSimulation)
--- a/UnitTests/CellSimulation.cpp
+++ b/UnitTests/CellSimulation.cpp
@@ -39,7 +39,7 @@
 	{
 		StepSpec step;
 		step.count = inCount;
-		step.need = {inCpuMilli, 512, 0};
+		step.requested = {inCpuMilli, 512, 0};
 		step.estimate_ms = inEstimateMs;
 		if (i > 0)
 			step.after = {i - 1};
@@ -78,16 +78,16 @@
 	this->canceled.emplace(inId, this->now);
 }
 
-JobAnswer CellSimulation::Shown(const std::string &inId) const
+JobAnswer CellSimulation::QueryJob(const std::string &inId) const
 {
 	return this->cell == nullptr ? JobAnswer{} : this->cell->Query("queue", inId);
 }
 
-std::string CellSimulation::Open() const
+std::string CellSimulation::UnfinishedJobs() const
 {
 	std::string open;
 	for (const auto &[id, spec] : this->specs)
-		if (!this->Shown(id).known || !IsFinal(this->Shown(id).phase))
+		if (!this->QueryJob(id).known || !IsFinal(this->QueryJob(id).phase))
 			open += "not ended: " + id + '\n';
 	return open;
 }
@@ -118,7 +118,7 @@
 {
 	CellTuning tuning;
 	tuning.lease_ms = this->faults.lease_ms > 0 ? this->faults.lease_ms : tuning.lease_ms;
-	tuning.most_lease_ms = tuning.lease_ms;
+	tuning.max_lease_ms = tuning.lease_ms;
 	tuning.batch_bytes = this->faults.batch_bytes > 0 ? this->faults.batch_bytes : tuning.batch_bytes;
 	this->cell = std::make_unique<Cell>(tuning);
 	for (const auto &[key, value] : this->log)
@@ -261,7 +261,7 @@
 		entry.address = {"127.0.0.1", 1};
 		entry.capacity = worker.capacity;
 		entry.draining = worker.draining;
-		entry.born_ms = worker.started_at;
+		entry.started_ms = worker.started_at;
 		entries.push_back(entry);
 	}
 	this->cell->SetWorkers(entries, this->now, this->trust_until);
@@ -357,7 +357,7 @@
 		// An owner that has just resumed checks its lease before it answers
 		const bool answers = this->cell != nullptr && this->paused_until == 0;
 		const bool asked = worker.drain_requested && worker.leaves_at < 0 && !worker.crashed && answers;
-		if (asked && this->cell->Vacate(id, cDrainGrantMs, this->now))
+		if (asked && this->cell->DrainWorker(id, cDrainGrantMs, this->now))
 			worker.leaves_at = this->now + static_cast<Millis>(this->random.Below(static_cast<uint64>(cDrainGrantMs)));
 		if (worker.leaves_at >= 0 && this->now >= worker.leaves_at && !worker.crashed)
 			down.push_back(id);
@@ -442,7 +442,7 @@
 		this->addressed_to = message.incarnation;
 		if (!unreachable)
 			reply.answer = this->Execute(worker, message.order);
-		const bool polled = !unreachable && message.order.kind == EOrder::Hold && reply.answer.result == EOrderResult::Done;
+		const bool polled = !unreachable && message.order.kind == EOrder::Poll && reply.answer.result == EOrderResult::Done;
 		if (polled && this->PollsWait() && message.order.wait_ms > 0 && reply.answer.ended.empty() && !message.no_answer)
 		{
 			this->waiting.push_back({message, worker.IncarnationName(), this->now + message.order.wait_ms});
@@ -451,7 +451,7 @@
 		const bool is_reset = unreachable && worker.resets_connections;
 		const std::optional<OrderAnswer> host_answer = worker.crashed || is_reset ? this->AnswerOfEndedProcess(worker) : std::nullopt;
 		reply.answer = host_answer.value_or(reply.answer);
-		if (message.is_repeat && reply.answer.closed)
+		if (message.is_repeat && reply.answer.connection_closed)
 			reply.answer.result = EOrderResult::Unknown;
 		if (!message.no_answer && (!unreachable || host_answer.has_value()))
 			this->messages.push_back(reply);
@@ -465,7 +465,7 @@
 	// As a host that is stopped by plan
 	if (this->retired_at < 0)
 		this->retired_at = this->now;
-	this->cell->Retire();
+	this->cell->BeginHandOver();
 	const bool settled = this->append_done_at < 0 && this->cell->CanHandOver(this->now);
 	if (!settled && this->now - this->retired_at < cHandoverTimeoutMs)
 		return;
@@ -492,7 +492,7 @@
 	this->cell->Plan(this->now, cWallClockOffsetMs + this->now);
 	for (const Order &order : this->cell->TakeOrders(this->now))
 		this->Send(order);
-	if (this->append_done_at < 0 && this->cell->HasNews())
+	if (this->append_done_at < 0 && this->cell->HasUnwrittenChanges())
 	{
 		this->batch = this->cell->TakeBatch(cWallClockOffsetMs + this->now);
 		if (!this->batch.empty())
--- a/UnitTests/CellSimulation.h
+++ b/UnitTests/CellSimulation.h
@@ -138,9 +138,9 @@
 	/// Number of workers that the runs of a task have crashed.
 	uint32 CrashesCausedBy(const TaskId &inTask) const;
 	/// All violations, one per line.
-	std::string Broken() const;
+	std::string Violations() const;
 	/// Jobs reported as failed although their tasks crash no workers, one per line.
-	std::string GivenUp() const;
+	std::string WronglyFailedJobs() const;
 	/// Whether the deadline to stop a cancelled job's run applies only while the owner knows the worker's address.
 	bool needs_address = true;
 	/// Time that workers take to stop a run.
@@ -163,10 +163,10 @@
 	/// Violations of the rules, as text.
 	std::vector<std::string> violations;
 	/// A job's state as callers see it.
-	JobAnswer Shown(const std::string &inId) const;
-	bool AllEnded() const { return this->Open().empty(); }
+	JobAnswer QueryJob(const std::string &inId) const;
+	bool AllEnded() const { return this->UnfinishedJobs().empty(); }
 	/// Jobs that have not ended, one per line.
-	std::string Open() const;
+	std::string UnfinishedJobs() const;
 	uint64 Starts() const { return this->starts; }
 	uint64 Takeovers() const { return this->takeovers; }
 	/// Runs that began on a worker after their job's cancel.
--- a/UnitTests/CellSimulationWorkers.cpp
+++ b/UnitTests/CellSimulationWorkers.cpp
@@ -75,7 +75,7 @@
 	return found == this->crashes_by_task.end() ? 0 : found->second;
 }
 
-std::string CellSimulation::Broken() const
+std::string CellSimulation::Violations() const
 {
 	std::string text;
 	for (const std::string &line : this->violations)
@@ -83,11 +83,11 @@
 	return text;
 }
 
-std::string CellSimulation::GivenUp() const
+std::string CellSimulation::WronglyFailedJobs() const
 {
 	std::string wrongly_failed;
 	for (const auto &[id, spec] : this->specs)
-		if (this->Shown(id).phase == EJobPhase::Failed && !this->crash_after_ms.contains(id))
+		if (this->QueryJob(id).phase == EJobPhase::Failed && !this->crash_after_ms.contains(id))
 			wrongly_failed += "given up: " + id + '\n';
 	return wrongly_failed;
 }
@@ -131,7 +131,7 @@
 	OrderAnswer answer;
 	const bool is_next = inWorker.next_incarnation_at >= 0 && this->now >= inWorker.next_incarnation_at;
 	if (is_next || (inWorker.address_reused_at >= 0 && this->now >= inWorker.address_reused_at))
-		answer.result = EOrderResult::OtherLife;
+		answer.result = EOrderResult::OtherIncarnation;
 	else if (inWorker.closes_connections || !inWorker.crashed)
 		answer = OrderAnswer{EOrderResult::NotSent, -1, {}, {}, false, true};
 	else
@@ -165,7 +165,7 @@
 	for (const auto &[id, work] : ioWorker.running)
 	{
 		if (lapsed)
-			over.emplace_back(id, ERunEnd::Lapsed);
+			over.emplace_back(id, ERunEnd::LeaseExpired);
 		else if (work.stops_at >= 0 && this->now >= work.stops_at)
 			over.emplace_back(id, ERunEnd::Stopped);
 		else if (work.ends_at >= 0 && this->now >= work.ends_at)
@@ -219,8 +219,8 @@
 			this->EndRun(ioWorker, id, ERunEnd::Stopped);
 		break;
 	}
-	case EOrder::Hold: return this->Poll(ioWorker, inOrder);
-	case EOrder::Pace: break;
+	case EOrder::Poll: return this->Poll(ioWorker, inOrder);
+	case EOrder::Throttle: break;
 	}
 	return answer;
 }
@@ -234,7 +234,7 @@
 	this->done_recorded.insert(inRow.task);
 	// The end binds from the time of the end, even if it is recorded later
 	const StepSpec &step = this->specs.at(inRow.task.job).steps[inRow.task.step];
-	if (!step.may_copy && this->last_start[inRow.task] > this->ended_at[{inWorker.IncarnationName(), inRow.number}])
+	if (!step.may_copy && this->last_start[inRow.task] > this->ended_at[{inWorker.IncarnationName(), inRow.sequence}])
 		this->AddViolation("started after an end done, noted later: " + TaskText(inRow.task) + " on " + inWorker.id +
 						   this->last_start_misdelivery[inRow.task]);
 }
@@ -269,12 +269,12 @@
 {
 	OrderAnswer answer;
 	answer.clock_ms = ioWorker.Clock(this->now);
-	answer.born_ms = ioWorker.started_at;
+	answer.started_ms = ioWorker.started_at;
 	answer.result = EOrderResult::Done;
 	for (const EndedRun &row : ioWorker.ended)
-		if (row.number >= ioWorker.expired_below && row.number <= inOrder.last_seen)
+		if (row.sequence >= ioWorker.expired_below && row.sequence <= inOrder.acknowledged_end)
 			this->RecordEnd(ioWorker, row);
-	std::erase_if(ioWorker.ended, [&](const EndedRun &inRow) { return inRow.number <= inOrder.last_seen; });
+	std::erase_if(ioWorker.ended, [&](const EndedRun &inRow) { return inRow.sequence <= inOrder.acknowledged_end; });
 	for (const auto &[run, work] : ioWorker.running)
 	{
 		const Millis whole = std::max<Millis>(1, work.ends_at - work.began_at);
@@ -286,7 +286,7 @@
 	if (answer.partial)
 		answer.ended.resize(this->faults.poll_page_size);
 	for (const EndedRun &row : answer.ended)
-		if (this->faults.listed_end_counts && row.end == ERunEnd::Done && row.number >= ioWorker.expired_below)
+		if (this->faults.listed_end_counts && row.end == ERunEnd::Done && row.sequence >= ioWorker.expired_below)
 			this->listed_done.emplace(row.task, ListedEnd{this->now, EpochOf(inOrder.token), -1});
 	return answer;
 }
@@ -303,7 +303,8 @@
 	{
 		const WaitingPoll &waiting_poll = this->waiting[i];
 		const bool here = waiting_poll.poll.order.worker == ioWorker.id;
-		const auto is_new_end = [&waiting_poll](const EndedRun &inRow) { return inRow.number > waiting_poll.poll.order.last_seen; };
+		const auto is_new_end = [&waiting_poll](const EndedRun &inRow)
+		{ return inRow.sequence > waiting_poll.poll.order.acknowledged_end; };
 		const bool has_new_end = std::any_of(ioWorker.ended.begin(), ioWorker.ended.end(), is_new_end);
 		const bool lost = ioWorker.crashed || ioWorker.IncarnationName() != waiting_poll.incarnation;
 		if (!here || (!lost && !has_new_end && this->now < waiting_poll.until))
@@ -351,13 +352,13 @@
 	this->last_start_misdelivery[inOrder.task] = this->DescribeMisdelivery(ioWorker);
 	const StepSpec &step = this->specs.at(inOrder.task.job).steps[inOrder.task.step];
 	SimulatedWorker::Work work;
-	work.reserved = step.need;
+	work.reserved = step.requested;
 	work.began_at = this->now;
 	work.misdelivery = this->DescribeMisdelivery(ioWorker);
 	const Millis takes = this->run_ms.contains(inOrder.task.job)
 							 ? this->run_ms.at(inOrder.task.job)
 							 : (200 + static_cast<Millis>(this->random.Below(2000))) * ioWorker.slow_factor;
-	work.ends_at = step.lasting ? -1 : this->now + takes;
+	work.ends_at = step.long_running ? -1 : this->now + takes;
 	work.fails = this->random.Chance(this->faults.failed_run);
 	auto crashes = this->crash_after_ms.find(inOrder.task.job);
 	work.crashes_at = crashes == this->crash_after_ms.end() ? -1 : this->now + crashes->second;
@@ -401,7 +402,7 @@
 	const JobSpec &spec = this->specs.at(inOrder.task.job);
 	const StepSpec &step = spec.steps[inOrder.task.step];
 	// Capacity
-	Resources used = step.need;
+	Resources used = step.requested;
 	uint32 beside = 1;
 	std::string stray_runs;
 	for (const auto &[id, work] : inWorker.running)
@@ -427,7 +428,7 @@
 	auto listed = this->listed_done.find(inOrder.task);
 	if (!step.may_copy && listed != this->listed_done.end() && this->CountsAsRecorded(listed->second))
 		this->AddViolation("start after an end done was listed: " + what + " (" + this->DescribeListedEnd(listed->second) + ")");
-	if (!step.lasting && this->failures_recorded[inOrder.task] >= spec.max_attempts)
+	if (!step.long_running && this->failures_recorded[inOrder.task] >= spec.max_attempts)
 		this->AddViolation("attempts used up: " + what);
 	// Binds owners in contact: neither they nor the store were disturbed for `cContactMs`
 	const bool in_touch = this->now - this->disturbed_at >= cContactMs;
--- a/UnitTests/CellStaleInformationTests.cpp
+++ b/UnitTests/CellStaleInformationTests.cpp
@@ -55,7 +55,7 @@
 			OrderAnswer answer;
 			answer.result = EOrderResult::Done;
 			answer.clock_ms = this->now + 5000;
-			if (order.kind == EOrder::Hold)
+			if (order.kind == EOrder::Poll)
 				this->ListRuns(order, answer);
 			this->cell.OnAnswer(order, answer, this->now, this->now + cAnswerMs);
 		}
@@ -70,7 +70,7 @@
 	}
 
 	/// Takes unwritten records as an append in flight.
-	bool TakeBatch() { return this->cell.HasNews() && !this->cell.TakeBatch(cWall + this->now).empty(); }
+	bool TakeBatch() { return this->cell.HasUnwrittenChanges() && !this->cell.TakeBatch(cWall + this->now).empty(); }
 
 	/// Advances time; appends complete immediately.
 	void Run(Millis inMillis)
@@ -97,7 +97,7 @@
 		for (const RunId &run : this->running[inOrder.worker])
 			if (!this->finished.contains(inOrder.worker))
 				outAnswer.running.push_back({run.task, run.run, "", 50, 0});
-			else if (++number > inOrder.last_seen)
+			else if (++number > inOrder.acknowledged_end)
 				outAnswer.ended.push_back({number, run.task, run.run, ERunEnd::Done, ""});
 	}
 
@@ -137,12 +137,12 @@
 	simulation.Run(500);
 	ASSERT_EQ(simulation.starts, 1u);
 	simulation.finished.insert("w0");
-	for (int i = 0; i < 300 && simulation.cell.Figures().runs > 0; ++i)
+	for (int i = 0; i < 300 && simulation.cell.Counts().runs > 0; ++i)
 		simulation.Step();
-	ASSERT_EQ(simulation.cell.Figures().runs, 0u);
+	ASSERT_EQ(simulation.cell.Counts().runs, 0u);
 	ASSERT_EQ(simulation.cell.Query("queue", "a").phase, EJobPhase::Running);
 	simulation.cell.SetWorkers({}, simulation.now);
-	simulation.cell.Retire();
+	simulation.cell.BeginHandOver();
 	EXPECT_FALSE(simulation.cell.CanHandOver(simulation.now));
 	ASSERT_TRUE(simulation.TakeBatch());
 	EXPECT_FALSE(simulation.cell.CanHandOver(simulation.now));
--- a/UnitTests/CellSuspendTests.cpp
+++ b/UnitTests/CellSuspendTests.cpp
@@ -39,7 +39,7 @@
 	simulation.Run(10000);
 	simulation.ClearFaults();
 	simulation.Run(90000);
-	return simulation.Broken() + simulation.GivenUp() + simulation.Open();
+	return simulation.Violations() + simulation.WronglyFailedJobs() + simulation.UnfinishedJobs();
 }
 
 RC_GTEST_PROP(CellSuspend, KeepsTheRulesOverCrashesTakeOversAndLostRacks, ())
--- a/UnitTests/CellTests.cpp
+++ b/UnitTests/CellTests.cpp
@@ -26,7 +26,7 @@
 	}
 	Cell successor(CellTuning{});
 	size_t appends = 0;
-	while (cell.HasNews())
+	while (cell.HasUnwrittenChanges())
 	{
 		size_t bytes = 0;
 		for (const KeyedRecord &record : cell.TakeBatch(cWall))
@@ -39,13 +39,13 @@
 			break;
 		++appends;
 		// Only the last append contains the inbox position: a successor that has some of them reads from the beginning
-		EXPECT_EQ(successor.InboxNext(), successor.Figures().jobs < 1000 ? 0u : 1000u);
+		EXPECT_EQ(successor.InboxNext(), successor.Counts().jobs < 1000 ? 0u : 1000u);
 		cell.OnAppended(1000);
 	}
 	EXPECT_GT(appends, 3u);
 	EXPECT_EQ(successor.InboxNext(), 1000u);
 	successor.Begin(2, 2000);
-	EXPECT_EQ(successor.Figures().active, 1000u);
+	EXPECT_EQ(successor.Counts().active, 1000u);
 }
 
 TEST(Cell, QuietDayEndsEveryJob)
@@ -54,7 +54,7 @@
 	CellSimulation simulation(1, SimulationFaults{}, 4);
 	RunMixedWorkload(simulation, random);
 	simulation.Run(20000);
-	EXPECT_EQ(simulation.Broken(), "");
+	EXPECT_EQ(simulation.Violations(), "");
 	EXPECT_TRUE(simulation.AllEnded());
 	EXPECT_GT(simulation.Starts(), 100u);
 }
@@ -70,7 +70,7 @@
 	simulation.Run(15000);
 	simulation.ClearFaults();
 	simulation.Run(40000);
-	EXPECT_EQ(simulation.Broken(), "");
+	EXPECT_EQ(simulation.Violations(), "");
 	EXPECT_GT(simulation.Takeovers(), 3u);
 	EXPECT_TRUE(simulation.AllEnded());
 }
@@ -83,10 +83,10 @@
 	simulation.Submit(MakeJob("a", 1, 1, 1000, 300));
 	// Read from the inbox, but its first record is still being written
 	simulation.Run(500);
-	EXPECT_EQ(simulation.Shown("a").phase, EJobPhase::Queued);
+	EXPECT_EQ(simulation.QueryJob("a").phase, EJobPhase::Queued);
 	EXPECT_EQ(simulation.Starts(), 0u);
 	simulation.Run(20000);
-	EXPECT_EQ(simulation.Shown("a").phase, EJobPhase::Completed);
+	EXPECT_EQ(simulation.QueryJob("a").phase, EJobPhase::Completed);
 }
 
 TEST(Cell, AJobThatFailsTooOftenIsFailed)
@@ -96,9 +96,9 @@
 	CellSimulation simulation(5, faults, 3);
 	simulation.Submit(MakeJob("a", 1, 1, 1000, 1200));
 	simulation.Run(60000);
-	EXPECT_EQ(simulation.Shown("a").phase, EJobPhase::Failed);
+	EXPECT_EQ(simulation.QueryJob("a").phase, EJobPhase::Failed);
 	EXPECT_EQ(simulation.Starts(), 3u);
-	EXPECT_EQ(simulation.Broken(), "");
+	EXPECT_EQ(simulation.Violations(), "");
 }
 
 TEST(Cell, AStragglerIsStartedElsewhere)
@@ -113,8 +113,8 @@
 		simulation.Run(400);
 	}
 	simulation.Run(8000);
-	EXPECT_EQ(simulation.Broken(), "");
-	EXPECT_EQ(simulation.Open(), "");
+	EXPECT_EQ(simulation.Violations(), "");
+	EXPECT_EQ(simulation.UnfinishedJobs(), "");
 }
 
 /// Where the other workers were full, a straggler's second run was placed on the slow worker again.
@@ -132,7 +132,7 @@
 			simulation.Run(400);
 		}
 		simulation.Run(8000);
-		EXPECT_EQ(simulation.Broken(), "") << seed;
+		EXPECT_EQ(simulation.Violations(), "") << seed;
 		open += simulation.AllEnded() ? 0 : 1;
 	}
 	EXPECT_EQ(open, 0u);
@@ -151,8 +151,8 @@
 	simulation.run_ms["long"] = 12000;
 	simulation.Submit(MakeJob("long", 1, 2, 1000, 300));
 	simulation.Run(40000);
-	EXPECT_EQ(simulation.Shown("long").phase, EJobPhase::Completed);
-	EXPECT_EQ(simulation.Broken(), "");
+	EXPECT_EQ(simulation.QueryJob("long").phase, EJobPhase::Completed);
+	EXPECT_EQ(simulation.Violations(), "");
 }
 
 TEST(Cell, AListThatMayBeCutProvesNoEnd)
@@ -166,8 +166,8 @@
 	simulation.Submit(MakeJob("a", 1, 8, 1000, 300));
 	simulation.Run(30000);
 	EXPECT_EQ(simulation.Starts(), 8u);
-	EXPECT_EQ(simulation.Shown("a").phase, EJobPhase::Completed);
-	EXPECT_EQ(simulation.Broken(), "");
+	EXPECT_EQ(simulation.QueryJob("a").phase, EJobPhase::Completed);
+	EXPECT_EQ(simulation.Violations(), "");
 }
 
 TEST(Cell, ARunRefusedAsOldIsAskedAfter)
@@ -199,11 +199,11 @@
 			if (order.kind == EOrder::Start)
 				answer.result = ++started == 1 ? EOrderResult::StaleRun : EOrderResult::Done;
 			// The run's end, until it is acknowledged
-			if (order.kind == EOrder::Hold && started > 0 && order.last_seen == 0)
+			if (order.kind == EOrder::Poll && started > 0 && order.acknowledged_end == 0)
 				answer.ended.push_back({1, {"a", 0, 0, 0}, 1, ERunEnd::Done, ""});
 			cell.OnAnswer(order, answer, now, now + 5);
 		}
-		if (cell.HasNews() && !cell.TakeBatch(cWall + now).empty())
+		if (cell.HasUnwrittenChanges() && !cell.TakeBatch(cWall + now).empty())
 			cell.OnAppended(now + 5);
 	}
 	EXPECT_EQ(started, 1u);
@@ -239,21 +239,21 @@
 		worker.unreachable_until = worker.ended.empty() ? 0 : 1'000'000;
 	simulation.Run(15000);
 	EXPECT_EQ(simulation.Starts(), 4u);
-	EXPECT_EQ(simulation.Broken(), "");
+	EXPECT_EQ(simulation.Violations(), "");
 }
 
 /// Asks for a drain grant: the log must hold it before it is given.
 static bool GrantsDrainOnceLogged(CellSimulation &ioSimulation, const std::string &inWorker)
 {
-	EXPECT_FALSE(ioSimulation.Core().Vacate(inWorker, 1500, ioSimulation.Now()));
+	EXPECT_FALSE(ioSimulation.Core().DrainWorker(inWorker, 1500, ioSimulation.Now()));
 	ioSimulation.Run(100);
-	return ioSimulation.Core().Vacate(inWorker, 1500, ioSimulation.Now());
+	return ioSimulation.Core().DrainWorker(inWorker, 1500, ioSimulation.Now());
 }
 
 /// The same for workers that a pool can release.
 static PoolDemand ReleasesOnceLogged(CellSimulation &ioSimulation, uint32 inSpare)
 {
-	EXPECT_TRUE(ioSimulation.Core().Demand("pool", inSpare, 1500, ioSimulation.Now(), 0).spared.empty());
+	EXPECT_TRUE(ioSimulation.Core().Demand("pool", inSpare, 1500, ioSimulation.Now(), 0).releasable.empty());
 	ioSimulation.Run(100);
 	return ioSimulation.Core().Demand("pool", inSpare, 1500, ioSimulation.Now(), 0);
 }
@@ -271,7 +271,7 @@
 	EXPECT_TRUE(simulation.Workers().at(id).running.empty());
 	simulation.Run(10000);
 	EXPECT_EQ(simulation.Takeovers(), 1u);
-	EXPECT_EQ(simulation.Open(), "");
+	EXPECT_EQ(simulation.UnfinishedJobs(), "");
 }
 
 TEST(Cell, KeepsADrainGrantWhenTheWorkersEntryLapses)
@@ -289,7 +289,7 @@
 	simulation.Run(900);
 	EXPECT_TRUE(worker.running.empty());
 	simulation.Run(10000);
-	EXPECT_EQ(simulation.Open(), "");
+	EXPECT_EQ(simulation.UnfinishedJobs(), "");
 }
 
 TEST(Cell, WhatFitsNowhereWaits)
@@ -297,7 +297,7 @@
 	CellSimulation simulation(5, SimulationFaults{}, 3);
 	simulation.Submit(MakeJob("huge", 1, 1, 99000, 300));
 	simulation.Run(10000);
-	EXPECT_EQ(simulation.Shown("huge").phase, EJobPhase::Queued);
+	EXPECT_EQ(simulation.QueryJob("huge").phase, EJobPhase::Queued);
 	EXPECT_EQ(simulation.Core().Waiting("queue"), 1u);
 }
 
@@ -307,9 +307,9 @@
 	simulation.Submit(MakeLongRunningJob(2));
 	simulation.Run(3000);
 	const PoolDemand demand = ReleasesOnceLogged(simulation, 4);
-	EXPECT_EQ(demand.spared.size(), 2u);
-	EXPECT_EQ(demand.least_hosts, 2u);
-	for (const std::string &id : demand.spared)
+	EXPECT_EQ(demand.releasable.size(), 2u);
+	EXPECT_EQ(demand.min_hosts, 2u);
+	for (const std::string &id : demand.releasable)
 		EXPECT_TRUE(simulation.Workers().at(id).running.empty());
 }
 
@@ -330,8 +330,9 @@
 		simulation.Run(20);
 		began = began || simulation.Starts() > 0;
 		const Millis now = 2500 + i * 20;
-		granted = began && (simulation.Core().Vacate(id, 1500, now) || !simulation.Core().Demand("pool", 1, 1500, now, 0).spared.empty());
-		EXPECT_TRUE(!granted || simulation.Shown("a").phase == EJobPhase::Completed);
+		granted = began &&
+				  (simulation.Core().DrainWorker(id, 1500, now) || !simulation.Core().Demand("pool", 1, 1500, now, 0).releasable.empty());
+		EXPECT_TRUE(!granted || simulation.QueryJob("a").phase == EJobPhase::Completed);
 	}
 	EXPECT_TRUE(granted);
 }
@@ -344,14 +345,14 @@
 	simulation.Submit(MakeJob("a", 1, 4, 1000, 300));
 	const std::string id = simulation.Workers().begin()->first;
 	Millis now = 1000;
-	for (; now < 6000 && simulation.Shown("a").phase != EJobPhase::Completed; now += 10)
+	for (; now < 6000 && simulation.QueryJob("a").phase != EJobPhase::Completed; now += 10)
 		simulation.Run(10);
 	bool granted = false;
 	for (int i = 0; i < 100 && !granted; ++i)
 	{
 		simulation.Run(5);
 		now += 5;
-		granted = simulation.Core().Vacate(id, 1500, now);
+		granted = simulation.Core().DrainWorker(id, 1500, now);
 		EXPECT_TRUE(!granted || simulation.Workers().at(id).ended.empty());
 	}
 	EXPECT_TRUE(granted);
@@ -364,16 +365,16 @@
 	CellSimulation simulation(5, SimulationFaults{}, 4);
 	simulation.Run(3000);
 	const PoolDemand first = ReleasesOnceLogged(simulation, 2);
-	ASSERT_EQ(first.spared.size(), 2u);
-	simulation.Core().NoteLeft(first.spared, simulation.Now());
+	ASSERT_EQ(first.releasable.size(), 2u);
+	simulation.Core().OnWorkersRemoved(first.releasable, simulation.Now());
 	const PoolDemand second = ReleasesOnceLogged(simulation, 2);
-	ASSERT_EQ(second.spared.size(), 2u);
-	for (const std::string &id : second.spared)
-		EXPECT_EQ(std::count(first.spared.begin(), first.spared.end(), id), 0) << id;
+	ASSERT_EQ(second.releasable.size(), 2u);
+	for (const std::string &id : second.releasable)
+		EXPECT_EQ(std::count(first.releasable.begin(), first.releasable.end(), id), 0) << id;
 	// Nor is anything started there, even when it is no longer being drained
 	simulation.Submit(MakeJob("job", 1, 4, 1000, 3000));
 	simulation.Run(2500);
-	for (const std::string &id : first.spared)
+	for (const std::string &id : first.releasable)
 		EXPECT_TRUE(simulation.Workers().at(id).running.empty()) << id;
 }
 
@@ -394,7 +395,7 @@
 	simulation.Submit(MakeJob("late", 1, 4, 1000, 500));
 	simulation.Run(3000);
 	EXPECT_EQ(simulation.Starts(), 4u);
-	EXPECT_EQ(simulation.Broken(), "");
+	EXPECT_EQ(simulation.Violations(), "");
 }
 
 TEST(Cell, AWorkerThatLeftTheListGetsNothingNew)
@@ -429,7 +430,7 @@
 	for (const auto &[id, worker] : simulation.Workers())
 		at_work += worker.running.size();
 	EXPECT_EQ(at_work, 2u);
-	EXPECT_EQ(simulation.Broken(), "");
+	EXPECT_EQ(simulation.Violations(), "");
 }
 
 TEST(Cell, StopsNoLongRunningTaskWhileAnotherIsOnAnUnresponsiveWorker)
@@ -448,7 +449,7 @@
 	// 3.0 s later: the unresponsive worker's lease is not over, its task is missing
 	for (int i = 0; i < 15; ++i)
 	{
-		simulation.Core().Vacate(busy[1], 1500, 5500 + i * 100);
+		simulation.Core().DrainWorker(busy[1], 1500, 5500 + i * 100);
 		simulation.Run(100);
 		EXPECT_EQ(simulation.Workers().at(busy[1]).running.size(), 1u) << i;
 	}
@@ -474,21 +475,21 @@
 				return true;
 		return false;
 	};
-	simulation.Core().Vacate(busy[0], 1500, 4000);
+	simulation.Core().DrainWorker(busy[0], 1500, 4000);
 	simulation.Run(100);
 	ASSERT_TRUE(is_stopping(busy[0]));
 	simulation.ReplaceOwner();
 	for (int i = 0; i < 8; ++i)
 	{
 		simulation.Run(100);
-		simulation.Core().Vacate(busy[1], 1500, 4100 + (i + 1) * 100);
+		simulation.Core().DrainWorker(busy[1], 1500, 4100 + (i + 1) * 100);
 		EXPECT_FALSE(is_stopping(busy[1])) << i;
 	}
 	// Later it is drained all the same
 	simulation.Run(4000);
 	for (int i = 0; i < 20; ++i)
 	{
-		simulation.Core().Vacate(busy[1], 1500, 8900 + i * 100);
+		simulation.Core().DrainWorker(busy[1], 1500, 8900 + i * 100);
 		simulation.Run(100);
 	}
 	EXPECT_TRUE(simulation.Workers().at(busy[1]).running.empty());
@@ -507,7 +508,7 @@
 	bool empty = false;
 	for (int i = 0; i < 40 && !empty; ++i)
 	{
-		empty = simulation.Core().Vacate(busy, 1500, 4000 + i * 100);
+		empty = simulation.Core().DrainWorker(busy, 1500, 4000 + i * 100);
 		simulation.Run(100);
 	}
 	EXPECT_TRUE(empty);
--- a/UnitTests/CrashEvidenceTests.cpp
+++ b/UnitTests/CrashEvidenceTests.cpp
@@ -24,7 +24,7 @@
 			crash.suspects.push_back({"rival", static_cast<uint64>(suspect)});
 		crashes.cases.push_back(crash);
 		++crashes.blamed;
-		++crashes.at_once;
+		++crashes.after_start;
 	}
 	return crashes;
 }
@@ -46,7 +46,7 @@
 /// Guards against giving up a sound task for two crashes, one caused by another task beside it and one that happened by chance.
 TEST(CrashEvidence, IsProofOnlyWhereOtherCausesAreRuledOut)
 {
-	constexpr auto cUndecided = ESuspectState::Open;
+	constexpr auto cUndecided = ESuspectState::Undecided;
 	constexpr auto cCleared = ESuspectState::Cleared;
 	constexpr auto cProvedCause = ESuspectState::Proved;
 	const std::vector<ProofCase> table = {
@@ -69,18 +69,18 @@
 
 TEST(CrashEvidence, CrashesThatAnotherSuspectExplainsDoNotCount)
 {
-	const CrashSummary weight = Summarize(Crashes({{ESuspectState::Proved}, {ESuspectState::Open}, {}}));
+	const CrashSummary weight = Summarize(Crashes({{ESuspectState::Proved}, {ESuspectState::Undecided}, {}}));
 	EXPECT_EQ(weight.explained, 1u);
-	EXPECT_EQ(weight.at_once, 2u);
+	EXPECT_EQ(weight.after_start, 2u);
 	EXPECT_EQ(weight.Total(), 2u);
-	EXPECT_EQ(weight.sole, 1u);
+	EXPECT_EQ(weight.sole_suspect_after_start, 1u);
 }
 
 /// Owners of earlier versions update the counts without the cases. Stored cases are merged only into the counts that include them, not into
 /// counts that were started again.
 TEST(CrashEvidence, CasesAreMergedOnlyIntoTheirCounts)
 {
-	const CrashCounts counts = {{{0, 1}, Crashes({{ESuspectState::Open}, {}})}};
+	const CrashCounts counts = {{{0, 1}, Crashes({{ESuspectState::Undecided}, {}})}};
 	const std::optional<CrashCounts> read = DecodeValue<CrashCounts>(EncodeValue(counts));
 	const std::optional<CrashCasesByTask> cases = DecodeValue<CrashCasesByTask>(EncodeValue(ExtractCrashCases(counts)));
 	ASSERT_TRUE(read.has_value() && cases.has_value());
--- a/UnitTests/EndsSubmitterTests.cpp
+++ b/UnitTests/EndsSubmitterTests.cpp
@@ -48,10 +48,10 @@
 {
 	FormerOwner owner;
 	owner.log.fates = {FakeLog::EFate::Refuse, FakeLog::EFate::Vanish, FakeLog::EFate::LoseAnswer};
-	owner.ends.HandIn(cCell, ReportOf({"job", 0, 0, 0}, 1, ERunEnd::Done));
-	EXPECT_EQ(owner.ends.UnderWay(), 1u);
-	FakeLog::Settle(2000);
-	EXPECT_EQ(owner.ends.UnderWay(), 0u);
+	owner.ends.Submit(cCell, ReportOf({"job", 0, 0, 0}, 1, ERunEnd::Done));
+	EXPECT_EQ(owner.ends.InFlight(), 1u);
+	FakeLog::RunMainLoopFor(2000);
+	EXPECT_EQ(owner.ends.InFlight(), 0u);
 	// The append whose answer was lost, and its repeat
 	EXPECT_EQ(owner.log.Size(cInbox), 2u);
 }
@@ -81,8 +81,8 @@
 	InboxRecord record{EInbox::Ends, {}, ReportOf({"job", 0, 0, 0}, 1, ERunEnd::Failed)};
 	for (uint64 offset = 100; offset < 103; ++offset)
 		simulation.Core().Ingest(record, offset, simulation.Now(), simulation.Now());
-	EXPECT_EQ(simulation.Shown("job").phase, EJobPhase::Running);
-	EXPECT_EQ(simulation.GivenUp(), "");
+	EXPECT_EQ(simulation.QueryJob("job").phase, EJobPhase::Running);
+	EXPECT_EQ(simulation.WronglyFailedJobs(), "");
 }
 
 TEST(EndsSubmitter, AnEndOfAForgottenWorkerCounts)
@@ -95,7 +95,7 @@
 	report.worker = "left long ago";
 	simulation.Core().Ingest({EInbox::Ends, {}, report}, 100, simulation.Now(), simulation.Now());
 	simulation.Run(500);
-	EXPECT_EQ(simulation.Shown("job").phase, EJobPhase::Completed);
+	EXPECT_EQ(simulation.QueryJob("job").phase, EJobPhase::Completed);
 }
 
 TEST(EndsSubmitter, EndsOfUnknownTasksChangeNothing)
@@ -106,9 +106,9 @@
 	for (const TaskId &task : {TaskId{"other", 0, 0, 0}, TaskId{"job", 7, 0, 0}, TaskId{"job", 0, 9, 0}, TaskId{"job", 0, 0, 99}})
 		simulation.Core().Ingest({EInbox::Ends, {}, ReportOf(task, 1, ERunEnd::Done)}, simulation.Core().InboxNext(), simulation.Now(),
 								 simulation.Now());
-	EXPECT_NE(simulation.Shown("job").phase, EJobPhase::Completed);
+	EXPECT_NE(simulation.QueryJob("job").phase, EJobPhase::Completed);
 	simulation.Run(5000);
-	EXPECT_EQ(simulation.Broken() + simulation.Open(), "");
+	EXPECT_EQ(simulation.Violations() + simulation.UnfinishedJobs(), "");
 }
 
 } // namespace Loomreach::Jobs
--- a/UnitTests/FakeLog.h
+++ b/UnitTests/FakeLog.h
@@ -70,7 +70,7 @@
 	}
 
 	/// Runs the main loop for `inMillis` milliseconds, so that calls in flight complete.
-	static void Settle(Millis inMillis = 200)
+	static void RunMainLoopFor(Millis inMillis = 200)
 	{
 		bool over = false;
 		Timer timer;
@@ -112,15 +112,15 @@
 			}
 			// A repeated sequence number gets the first answer again, even from another process with the same epoch: the store can't tell
 			// them apart
-			if (producer.epoch == partition.epoch && partition.answers.contains(producer.number))
-				return partition.answers[producer.number];
-			if (producer.epoch == partition.epoch && producer.number != partition.next && partition.epoch != 0)
+			if (producer.epoch == partition.epoch && partition.answers.contains(producer.sequence))
+				return partition.answers[producer.sequence];
+			if (producer.epoch == partition.epoch && producer.sequence != partition.next && partition.epoch != 0)
 			{
 				answer.result = EAppend::OutOfOrder;
 				return answer;
 			}
 		}
-		if (inCall.at.has_value() && *inCall.at != partition.records.size())
+		if (inCall.expected_end.has_value() && *inCall.expected_end != partition.records.size())
 		{
 			answer.result = EAppend::NotAtEnd;
 			return answer;
@@ -138,8 +138,8 @@
 			if (inCall.producer->epoch > partition.epoch)
 				partition.answers.clear();
 			partition.epoch = inCall.producer->epoch;
-			partition.next = inCall.producer->number + 1;
-			partition.answers[inCall.producer->number] = answer;
+			partition.next = inCall.producer->sequence + 1;
+			partition.answers[inCall.producer->sequence] = answer;
 		}
 		return answer;
 	}
--- a/UnitTests/FleetDriverTests.cpp
+++ b/UnitTests/FleetDriverTests.cpp
@@ -78,7 +78,7 @@
 				 {
 					 PeerAnswer answer;
 					 answer.owner = this->need.cpu_milli > 0;
-					 answer.demand.need = this->need;
+					 answer.demand.in_time = this->need;
 					 inDone(answer);
 				 })
 	{
@@ -91,14 +91,14 @@
 		this->hub.machines.hosts = {SpareHost("a")};
 		this->driver.Claim(0, [](bool) {});
 		for (int i = 0; i < 40 && !this->driver.IsHeld(); ++i)
-			FakeLog::Settle(50);
+			FakeLog::RunMainLoopFor(50);
 	}
 
 	/// Waits for the first order to a host. Returns false if none is sent within 2 s.
 	bool WaitForOrder()
 	{
 		for (int i = 0; i < 40 && this->hub.machines.sent.empty(); ++i)
-			FakeLog::Settle(50);
+			FakeLog::RunMainLoopFor(50);
 		return !this->hub.machines.sent.empty();
 	}
 
@@ -134,7 +134,7 @@
 	EXPECT_FALSE(fleet.driver.IsReadyToHandOver());
 	fleet.hub.machines.open[0](EHostOrderResult::Done);
 	for (int i = 0; i < 20 && !fleet.driver.IsReadyToHandOver(); ++i)
-		FakeLog::Settle(10);
+		FakeLog::RunMainLoopFor(10);
 	EXPECT_TRUE(fleet.driver.IsReadyToHandOver());
 }
 
@@ -156,7 +156,7 @@
 	fleet.need = {16000, 32768, 0};
 	fleet.RequestWave();
 	ASSERT_TRUE(fleet.WaitForOrder());
-	FakeLog::Settle(350);
+	FakeLog::RunMainLoopFor(350);
 	EXPECT_EQ(fleet.hub.machines.sent.size(), 1u);
 }
 
@@ -170,7 +170,7 @@
 	ASSERT_EQ(fleet.hub.machines.sent[0].kind, EHostOrder::Move);
 	fleet.hub.machines.open[0](EHostOrderResult::Done);
 	fleet.RequestWave();
-	FakeLog::Settle(800);
+	FakeLog::RunMainLoopFor(800);
 	EXPECT_EQ(fleet.hub.machines.sent.size(), 1u);
 }
 
--- a/UnitTests/FleetTests.cpp
+++ b/UnitTests/FleetTests.cpp
@@ -126,7 +126,7 @@
 			break;
 		}
 	const WavePlan plan = WavePlanner(fleet.state, "/pool", {}).Plan();
-	EXPECT_EQ(plan.taken_back, 1U);
+	EXPECT_EQ(plan.cancelled_drains, 1U);
 	ApplyPlan(fleet, plan.proposals);
 	EXPECT_EQ(fleet.state.pool_counts.at("/pool").available, 3U);
 }
@@ -295,7 +295,7 @@
 {
 	for (const Unplaced &waiting : inPlan.unplaced)
 	{
-		if (waiting.why != EUnplaced::NoRoom)
+		if (waiting.why != EUnplaced::NoCapacity)
 			continue;
 		const JobSpec &job = inState.jobs.at(waiting.replica.job);
 		for (const auto &[name, host] : inState.hosts)
@@ -305,8 +305,8 @@
 			Resources releasable = host.Free();
 			for (const ReplicaKey &replica : host.replicas)
 				if (inState.placements.at(replica).priority < job.priority)
-					releasable += inState.placements.at(replica).need;
-			RC_ASSERT(!job.need.FitIn(releasable));
+					releasable += inState.placements.at(replica).requested;
+			RC_ASSERT(!job.requested.FitsInto(releasable));
 		}
 	}
 }
--- a/UnitTests/ForwardTests.cpp
+++ b/UnitTests/ForwardTests.cpp
@@ -115,11 +115,11 @@
 	ForwardPlan plan = ReadyPlan(IdleIn(cSixZones), 120);
 	PlanOrders(plan, 2000, 0, 1000);
 	const Address first = plan.Choose(OrderFor("w1", "b"), 1000)->address;
-	plan.OnSilent(first, 1000);
+	plan.OnUnresponsive(first, 1000);
 	const std::optional<Forwarder> second = plan.Choose(OrderFor("w1", "b"), 1001);
 	ASSERT_TRUE(second.has_value());
 	EXPECT_NE(second->address, first);
-	plan.OnSilent(second->address, 1001);
+	plan.OnUnresponsive(second->address, 1001);
 	EXPECT_FALSE(plan.Choose(OrderFor("w1", "b"), 1002).has_value());
 	PlanOrders(plan, 2000, 1002, 6100);
 	EXPECT_EQ(plan.Choose(OrderFor("w1", "b"), 6101)->address, first);
@@ -131,10 +131,10 @@
 	ForwardPlan plan = ReadyPlan(IdleIn(cSixZones), 120);
 	PlanOrders(plan, 2000, 0, 1000);
 	const Address first = plan.Choose(OrderFor("w1", "b"), 1000)->address;
-	plan.OnSilent(first, 1000);
+	plan.OnUnresponsive(first, 1000);
 	PlanOrders(plan, 2000, 1002, 6100);
 	ASSERT_EQ(plan.Choose(OrderFor("w1", "b"), 6101)->address, first);
-	plan.OnSilent(first, 6200);
+	plan.OnUnresponsive(first, 6200);
 	PlanOrders(plan, 2000, 6201, 11'300);
 	EXPECT_NE(plan.Choose(OrderFor("w1", "b"), 11'301)->address, first);
 	// Its answer ends that
@@ -151,17 +151,17 @@
 	ForwardPlan plan(tuning);
 	std::vector<IdleHost> hosts = IdleIn(cSixZones);
 	plan.SetHosts(hosts);
-	EXPECT_EQ(plan.ToAsk().size(), hosts.size());
-	EXPECT_TRUE(plan.ToAsk().empty());
+	EXPECT_EQ(plan.TakeHostsToQuery().size(), hosts.size());
+	EXPECT_TRUE(plan.TakeHostsToQuery().empty());
 	PlanOrders(plan, 2000, 0, 1000);
 	EXPECT_FALSE(plan.Choose(OrderFor("w1", "a"), 1000).has_value());
 	plan.OnClock(HostAt(1), 5000, 1000);
 	EXPECT_EQ(plan.Choose(OrderFor("w1", "a"), 1001)->address, HostAt(1));
 	// Another process at the address may have another clock
-	hosts[1].life = 999;
+	hosts[1].incarnation = 999;
 	plan.SetHosts(hosts);
 	EXPECT_FALSE(plan.Choose(OrderFor("w1", "a"), 1002).has_value());
-	EXPECT_EQ(plan.ToAsk(), std::vector<Address>{HostAt(1)});
+	EXPECT_EQ(plan.TakeHostsToQuery(), std::vector<Address>{HostAt(1)});
 }
 
 TEST(ForwardPlan, FewIdleHostsAreNotUsed)
@@ -169,7 +169,7 @@
 	ForwardPlan plan = ReadyPlan(IdleIn({"a", "a", "a"}), 120);
 	PlanOrders(plan, 2000, 0, 2000);
 	EXPECT_FALSE(plan.Choose(OrderFor("w1", "a"), 2000).has_value());
-	EXPECT_TRUE(plan.ToAsk().empty());
+	EXPECT_TRUE(plan.TakeHostsToQuery().empty());
 }
 
 RC_GTEST_PROP(ForwardPlan, AForwardedOrderEndsNoLaterThanItsOwn, ())
@@ -253,12 +253,12 @@
 		tuning.end_percent = 0;
 		this->owner = std::make_unique<OrderSender<RecordingAgent>>(this->own_agent, *this->owner_peers, tuning);
 		this->AnnounceHosts();
-		FakeLog::Settle(60);
+		FakeLog::RunMainLoopFor(60);
 		// After the first window every order is forwarded
 		for (int i = 0; i < 4; ++i)
 		{
 			this->owner->Send(this->MakeOrder(), [](const OrderAnswer &) {});
-			FakeLog::Settle(2);
+			FakeLog::RunMainLoopFor(2);
 		}
 		this->own_agent.sent.clear();
 		for (const auto &helper : this->helpers)
@@ -284,7 +284,7 @@
 		std::optional<OrderAnswer> got;
 		this->owner->Send(inOrder, [&got](const OrderAnswer &inAnswer) { got = inAnswer; });
 		for (Millis waited = 0; waited < inTimeoutMs && !got.has_value(); waited += 5)
-			FakeLog::Settle(5);
+			FakeLog::RunMainLoopFor(5);
 		return got;
 	}
 	size_t SentByHelpers() const
@@ -362,7 +362,7 @@
 {
 	// A forwarder starts a run, a network partition delays its answer, and the owner's own attempt is never sent. Guards against taking
 	// that for proof that nothing runs: the task would be started a second time after its first run had ended well
-	for (const EOrderResult own : {EOrderResult::NotSent, EOrderResult::NoRoom, EOrderResult::Unhealthy, EOrderResult::TooLate,
+	for (const EOrderResult own : {EOrderResult::NotSent, EOrderResult::NoCapacity, EOrderResult::Unhealthy, EOrderResult::TooLate,
 								   EOrderResult::StaleToken, EOrderResult::Rejected, EOrderResult::NoTicket})
 	{
 		ForwardingHosts hosts;
--- a/UnitTests/HelperSearchTests.cpp
+++ b/UnitTests/HelperSearchTests.cpp
@@ -24,12 +24,12 @@
 TEST(HelperSearch, AsksEveryHostInItsTurn)
 {
 	HelperSearch search;
-	EXPECT_TRUE(search.ToAsk({}, 0).empty());
-	EXPECT_EQ(search.ToAsk({cA, cB, cC, cD, cE}, 1000), (std::vector<Address>{cA, cB, cC}));
-	EXPECT_TRUE(search.ToAsk({cA, cB, cC, cD, cE}, 1100).empty());
-	EXPECT_EQ(search.ToAsk({cA, cB, cC, cD, cE}, 1300), (std::vector<Address>{cD, cE, cA}));
+	EXPECT_TRUE(search.HostsToAsk({}, 0).empty());
+	EXPECT_EQ(search.HostsToAsk({cA, cB, cC, cD, cE}, 1000), (std::vector<Address>{cA, cB, cC}));
+	EXPECT_TRUE(search.HostsToAsk({cA, cB, cC, cD, cE}, 1100).empty());
+	EXPECT_EQ(search.HostsToAsk({cA, cB, cC, cD, cE}, 1300), (std::vector<Address>{cD, cE, cA}));
 	// No host is listed twice, even when there are fewer hosts than are asked at a time
-	EXPECT_EQ(search.ToAsk({cA, cB}, 1600).size(), 2u);
+	EXPECT_EQ(search.HostsToAsk({cA, cB}, 1600).size(), 2u);
 }
 
 TEST(HelperSearch, KnowsHostsThatReachedTheStoreRecently)
@@ -38,18 +38,18 @@
 	search.OnAnswer(cB, true, 1000);
 	search.OnAnswer(cA, true, 1100);
 	search.OnAnswer(cC, false, 1100);
-	EXPECT_EQ(search.Known(1200), (std::vector<Address>{cA, cB}));
+	EXPECT_EQ(search.Reaching(1200), (std::vector<Address>{cA, cB}));
 	// A host that loses the store itself is no longer known as a helper, nor is one whose last answer is too old
 	search.OnAnswer(cA, false, 1300);
-	EXPECT_EQ(search.Known(1300), std::vector<Address>{cB});
-	EXPECT_TRUE(search.Known(2000).empty());
+	EXPECT_EQ(search.Reaching(1300), std::vector<Address>{cB});
+	EXPECT_TRUE(search.Reaching(2000).empty());
 }
 
 TEST(HelperSearch, AsksKnownHelpersEveryTime)
 {
 	HelperSearch search;
 	search.OnAnswer(cE, true, 900);
-	EXPECT_EQ(search.ToAsk({cA, cB, cC, cD, cE}, 1000), (std::vector<Address>{cE, cA, cB, cC}));
+	EXPECT_EQ(search.HostsToAsk({cA, cB, cC, cD, cE}, 1000), (std::vector<Address>{cE, cA, cB, cC}));
 }
 
 } // namespace Loomreach::Jobs
--- a/UnitTests/HostOrderTests.cpp
+++ b/UnitTests/HostOrderTests.cpp
@@ -165,20 +165,20 @@
 	balancer.SetPools(TwoPools());
 	balancer.SetHosts({Host("m0", "busy"), Host("m1", "idle"), Host("m2", "idle"), Host("m3", "idle"), Host("m4", "idle")}, {}, 1000);
 	PoolDemand busy;
-	busy.need = {28000, 1000, 0};
+	busy.in_time = {28000, 1000, 0};
 	PoolDemand idle;
-	idle.spared = {"worker-m1"};
+	idle.releasable = {"worker-m1"};
 	balancer.OnDemand("busy", busy, 1000);
 	balancer.OnDemand("idle", idle, 1000);
 	const std::vector<HostOrder> moves = balancer.TakeMoves(1900);
 	ASSERT_EQ(moves.size(), 1u);
 	EXPECT_GT(moves[0].not_after, 1900);
 	EXPECT_LT(moves[0].not_after, 1000 + cDrainGrantMs);
-	EXPECT_EQ(balancer.InDoubt().size(), 1u);
+	EXPECT_EQ(balancer.UncertainMoves().size(), 1u);
 	balancer.OnMove(moves[0], EHostOrderResult::Unknown, 2000);
-	EXPECT_EQ(balancer.InDoubt().size(), 1u);
+	EXPECT_EQ(balancer.UncertainMoves().size(), 1u);
 	balancer.OnMove(moves[0], EHostOrderResult::Done, 2100);
-	EXPECT_TRUE(balancer.InDoubt().empty());
+	EXPECT_TRUE(balancer.UncertainMoves().empty());
 }
 
 TEST(MaintenancePlanner, AHostDownForOneWaveIsNotDoneForAnother)
@@ -276,7 +276,7 @@
 	balancer.SetPools(TwoPools());
 	balancer.SetHosts({Host("m0", "busy"), Host("s0", "spare"), Host("s1", "spare"), Host("s2", "spare")}, {}, 1000);
 	PoolDemand demand;
-	demand.need = {28000, 1000, 0};
+	demand.in_time = {28000, 1000, 0};
 	balancer.OnDemand("busy", demand, 1000);
 	const std::vector<HostOrder> moves = balancer.TakeMoves(1100);
 	// 28 cores and headroom need three hosts, one more is margin, and one is there
@@ -295,7 +295,7 @@
 		hosts.push_back(Host("i" + std::to_string(i), "idle"));
 	balancer.SetHosts(hosts, {}, 1000);
 	PoolDemand busy;
-	busy.need = {40000, 1000, 0};
+	busy.in_time = {40000, 1000, 0};
 	PoolDemand idle;
 	balancer.OnDemand("busy", busy, 1000);
 	balancer.OnDemand("idle", idle, 1000);
@@ -304,7 +304,7 @@
 	for (const auto &[pool, count] : balancer.ToAsk(1100))
 		asked += pool == "idle" ? count : 0;
 	EXPECT_GT(asked, 0u);
-	idle.spared = {"worker-i2"};
+	idle.releasable = {"worker-i2"};
 	balancer.OnDemand("idle", idle, 1200);
 	const std::vector<HostOrder> moves = balancer.TakeMoves(1300);
 	ASSERT_EQ(moves.size(), 1u);
@@ -320,7 +320,7 @@
 	balancer.SetPools(TwoPools());
 	balancer.SetHosts({Host("s0", "spare")}, {"s0"}, 1000);
 	PoolDemand demand;
-	demand.need = {28000, 1000, 0};
+	demand.in_time = {28000, 1000, 0};
 	balancer.OnDemand("busy", demand, 1000);
 	EXPECT_TRUE(balancer.TakeMoves(1100).empty());
 }
@@ -337,7 +337,7 @@
 	balancer.SetHosts(hosts, {}, 1000);
 	balancer.SetEvacuated({"a"});
 	PoolDemand demand;
-	demand.need = {28000, 1000, 0};
+	demand.in_time = {28000, 1000, 0};
 	balancer.OnDemand("busy", demand, 1000);
 	const std::vector<HostOrder> moves = balancer.TakeMoves(1100);
 	ASSERT_EQ(moves.size(), 2u);
@@ -351,7 +351,7 @@
 	balancer.SetPools(TwoPools());
 	balancer.SetHosts({Host("s0", "spare"), Host("s1", "spare")}, {}, 1000);
 	PoolDemand demand;
-	demand.need = {1000, 1000, 0};
+	demand.in_time = {1000, 1000, 0};
 	balancer.OnDemand("busy", demand, 1000);
 	const std::vector<HostOrder> moves = balancer.TakeMoves(1100);
 	ASSERT_FALSE(moves.empty());
--- a/UnitTests/HttpClientTests.cpp
+++ b/UnitTests/HttpClientTests.cpp
@@ -39,7 +39,7 @@
 		call.path = "/";
 		call.timeout_ms = 50;
 		client.Start(call, [&over](const HttpResult &) { over = true; });
-		Jobs::FakeLog::Settle(200);
+		Jobs::FakeLog::RunMainLoopFor(200);
 	}
 	EXPECT_TRUE(over);
 	const int connection = accept(listener, nullptr, nullptr);
@@ -168,9 +168,9 @@
 	call.timeout_ms = 300;
 	std::vector<HttpResult> results;
 	client.Start(call, [&results](const HttpResult &inResult) { results.push_back(inResult); });
-	Jobs::FakeLog::Settle(50);
+	Jobs::FakeLog::RunMainLoopFor(50);
 	std::this_thread::sleep_for(std::chrono::milliseconds(inPauseMs));
-	Jobs::FakeLog::Settle(350);
+	Jobs::FakeLog::RunMainLoopFor(350);
 	EXPECT_EQ(results.size(), 1u);
 	return results.empty() ? HttpResult{} : results[0];
 }
@@ -204,9 +204,9 @@
 	std::vector<HttpResult> results;
 	const auto note = [&results](const HttpResult &inResult) { results.push_back(inResult); };
 	client.Start(call, note);
-	Jobs::FakeLog::Settle(200);
+	Jobs::FakeLog::RunMainLoopFor(200);
 	client.Start(call, note);
-	Jobs::FakeLog::Settle(400);
+	Jobs::FakeLog::RunMainLoopFor(400);
 	ASSERT_EQ(results.size(), 2u);
 	EXPECT_EQ(results[0].status, 200u);
 	EXPECT_EQ(results[1].status, 0u);
@@ -226,9 +226,9 @@
 	call.timeout_ms = 400;
 	std::optional<HttpResult> result;
 	client.Start(call, [&result](const HttpResult &inResult) { result = inResult; });
-	Jobs::FakeLog::Settle(50);
+	Jobs::FakeLog::RunMainLoopFor(50);
 	std::this_thread::sleep_for(std::chrono::milliseconds(600));
-	Jobs::FakeLog::Settle(100);
+	Jobs::FakeLog::RunMainLoopFor(100);
 	ASSERT_TRUE(result.has_value());
 	EXPECT_EQ(result->status, 200u);
 	EXPECT_EQ(result->body, "whole");
--- a/UnitTests/InboxWriterTests.cpp
+++ b/UnitTests/InboxWriterTests.cpp
@@ -50,8 +50,8 @@
 	size_t done = 0;
 	size_t other = 0;
 	for (int i = 0; i < 1000; ++i)
-		writer.Enter("record", 700, [&](const AppendAnswer &inAnswer) { ++(inAnswer.result == EAppend::Done ? done : other); });
-	FakeLog::Settle(400);
+		writer.Append("record", 700, [&](const AppendAnswer &inAnswer) { ++(inAnswer.result == EAppend::Done ? done : other); });
+	FakeLog::RunMainLoopFor(400);
 	EXPECT_EQ(done, 1000u);
 	EXPECT_EQ(other, 0u);
 	EXPECT_EQ(log.records, 1000u);
@@ -62,7 +62,7 @@
 {
 	SequentialLog log;
 	InboxWriter<SequentialLog> writer(log, cInbox);
-	writer.Enter("record", 700, [](const AppendAnswer &) {});
+	writer.Append("record", 700, [](const AppendAnswer &) {});
 	EXPECT_EQ(log.calls, 1u);
 }
 
@@ -72,8 +72,8 @@
 	InboxWriter<FakeLog> writer(log, cInbox);
 	std::vector<uint64> offsets;
 	for (int i = 0; i < 4; ++i)
-		writer.Enter("record" + std::to_string(i), 700, [&](const AppendAnswer &inAnswer) { offsets.push_back(inAnswer.offset); });
-	FakeLog::Settle(200);
+		writer.Append("record" + std::to_string(i), 700, [&](const AppendAnswer &inAnswer) { offsets.push_back(inAnswer.offset); });
+	FakeLog::RunMainLoopFor(200);
 	EXPECT_EQ(offsets, (std::vector<uint64>{0, 1, 2, 3}));
 	EXPECT_EQ(log.Size(cInbox), 4u);
 }
@@ -95,9 +95,9 @@
 	} log;
 	InboxWriter<MuteOnce> writer(log, cInbox);
 	bool second = false;
-	writer.Enter("first", 700, [](const AppendAnswer &) {});
-	writer.Enter("second", 700, [&](const AppendAnswer &inAnswer) { second = inAnswer.result == EAppend::Done; });
-	FakeLog::Settle(300);
+	writer.Append("first", 700, [](const AppendAnswer &) {});
+	writer.Append("second", 700, [&](const AppendAnswer &inAnswer) { second = inAnswer.result == EAppend::Done; });
+	FakeLog::RunMainLoopFor(300);
 	EXPECT_TRUE(second);
 }
 
@@ -112,9 +112,9 @@
 	} log;
 	InboxWriter<Mute> writer(log, cInbox);
 	std::optional<EAppend> second;
-	writer.Enter("first", 700, [](const AppendAnswer &) {});
-	writer.Enter("second", 1, [&](const AppendAnswer &inAnswer) { second = inAnswer.result; });
-	FakeLog::Settle(200);
+	writer.Append("first", 700, [](const AppendAnswer &) {});
+	writer.Append("second", 1, [&](const AppendAnswer &inAnswer) { second = inAnswer.result; });
+	FakeLog::RunMainLoopFor(200);
 	EXPECT_EQ(second, EAppend::Refused);
 	EXPECT_EQ(log.open.size(), 1u);
 }
--- a/UnitTests/LogCheckTests.cpp
+++ b/UnitTests/LogCheckTests.cpp
@@ -21,7 +21,7 @@
 		const std::optional<LogLine> line = ParseLogLine(text);
 		EXPECT_TRUE(line.has_value()) << text;
 		if (line.has_value())
-			checker.Take(*line);
+			checker.Add(*line);
 	}
 	checker.Finish();
 	return checker;
@@ -191,7 +191,7 @@
 		Logged(At("5.2", "b"), "w1:1-1", "2"),
 		Acknowledged(At("5.3", "b"), "w1:1-1", "2"),
 	});
-	EXPECT_EQ(KindsOf(unseen.Findings()), std::vector{EFinding::CoveredUnseen});
+	EXPECT_EQ(KindsOf(unseen.Findings()), std::vector{EFinding::AcknowledgedUnseen});
 }
 
 TEST(LogCheck, CopiesAndLongRunningTasksMayStartAgain)
@@ -246,7 +246,7 @@
 		Acknowledged(At("2.05", "a"), "w1:1-1", "1"),
 		Logged(At("2.1", "a"), "w1:1-1", "1"),
 	});
-	ASSERT_EQ(KindsOf(early.Findings()), std::vector{EFinding::CoveredBeforeLogged});
+	ASSERT_EQ(KindsOf(early.Findings()), std::vector{EFinding::AcknowledgedBeforeLogged});
 	EXPECT_NE(early.Findings()[0].what.find("done:j.0.0.0"), std::string::npos);
 	// Also when its process is killed right afterwards: it had written all earlier lines
 	const RunChecker killed = CheckLines({
@@ -256,7 +256,7 @@
 		Acknowledged(At("2.05", "a"), "w1:1-1", "1"),
 		At("2.06", "a") + "event=started host=a zone=z life=3",
 	});
-	EXPECT_EQ(KindsOf(killed.Findings()), std::vector{EFinding::CoveredBeforeLogged});
+	EXPECT_EQ(KindsOf(killed.Findings()), std::vector{EFinding::AcknowledgedBeforeLogged});
 	// The end is never persisted, though an earlier one is
 	const RunChecker never = CheckLines({
 		cStartedA,
@@ -266,7 +266,7 @@
 		Ended(At("2.2", "a"), "1", "1", "done", "2", "1"),
 		Acknowledged(At("2.3", "a"), "w1:1-2", "1"),
 	});
-	EXPECT_EQ(KindsOf(never.Findings()), std::vector{EFinding::CoveredBeforeLogged});
+	EXPECT_EQ(KindsOf(never.Findings()), std::vector{EFinding::AcknowledgedBeforeLogged});
 	// What another owner persisted does not count
 	const RunChecker other = CheckLines({
 		cStartedA,
@@ -276,7 +276,7 @@
 		Logged(At("2.1", "a"), "w1:1-1", "1"),
 		Acknowledged(At("4.0", "b"), "w1:1-1", "2"),
 	});
-	EXPECT_EQ(KindsOf(other.Findings()), (std::vector{EFinding::CoveredBeforeLogged, EFinding::CoveredUnseen}));
+	EXPECT_EQ(KindsOf(other.Findings()), (std::vector{EFinding::AcknowledgedBeforeLogged, EFinding::AcknowledgedUnseen}));
 }
 
 TEST(LogCheck, EndsWithoutARunCount)
@@ -315,7 +315,7 @@
 		dropped,
 		Acknowledged(At("2.05", "a"), "w1:1-1", "1"),
 	});
-	EXPECT_EQ(KindsOf(cover.Unproved()), std::vector{EFinding::CoveredBeforeLogged});
+	EXPECT_EQ(KindsOf(cover.Unproved()), std::vector{EFinding::AcknowledgedBeforeLogged});
 	EXPECT_TRUE(cover.Findings().empty());
 	// A killed process: its last lines, which are lost, may have contained the end
 	const RunChecker killed = CheckLines({
@@ -325,7 +325,7 @@
 		At("1.5", "a") + "event=started host=a zone=z life=3",
 		Dispatched(At("3.1", "b"), "0.2", "2"),
 	});
-	EXPECT_EQ(killed.Cuts(), 1u);
+	EXPECT_EQ(killed.TruncatedLogs(), 1u);
 	EXPECT_EQ(KindsOf(killed.Unproved()), std::vector{EFinding::TwoRuns});
 	// A process that stopped by itself has written all its lines
 	const RunChecker stopped = CheckLines({
@@ -336,7 +336,7 @@
 		At("1.5", "a") + "event=started host=a zone=z life=3",
 		Dispatched(At("3.1", "b"), "0.2", "2"),
 	});
-	EXPECT_EQ(stopped.Cuts(), 0u);
+	EXPECT_EQ(stopped.TruncatedLogs(), 0u);
 	EXPECT_EQ(KindsOf(stopped.Findings()), std::vector{EFinding::TwoRuns});
 	// A truncated line, and a log without lines of runs
 	const RunChecker cut_line = CheckLines({cStartedA, At("1.1", "a") + "event=runs_told cell=7 epoch=1 count=2 runs=j.0.0:0.1"});
@@ -359,7 +359,7 @@
 		Ended(At("2.5", "a"), "1", "1", "done", "1", "1"),
 		Acknowledged(At("2.6", "a"), "w1:1-1", "1"),
 	});
-	EXPECT_EQ(KindsOf(checker.Findings()), std::vector{EFinding::CoveredBeforeLogged});
+	EXPECT_EQ(KindsOf(checker.Findings()), std::vector{EFinding::AcknowledgedBeforeLogged});
 }
 
 } // namespace Loomreach::LogCheck
--- a/UnitTests/MachineCallsTests.cpp
+++ b/UnitTests/MachineCallsTests.cpp
@@ -20,7 +20,7 @@
 	calls.List([&count](const std::optional<std::vector<HostEntry>> &inHosts)
 			   { count = inHosts.has_value() ? static_cast<int64>(inHosts->size()) : -1; });
 	for (int i = 0; i < 100 && count == -2; ++i)
-		FakeLog::Settle(20);
+		FakeLog::RunMainLoopFor(20);
 	return count;
 }
 
--- a/UnitTests/MemberTests.cpp
+++ b/UnitTests/MemberTests.cpp
@@ -43,7 +43,7 @@
 	EXPECT_FALSE(codec.OpenRequest(good).has_value());
 	const std::optional<RequestFrame> ask = codec.OpenRequest(codec.SealRequest({5, ClaimRequest{"id", 3, 4, 5}}));
 	ASSERT_TRUE(ask.has_value());
-	EXPECT_EQ(std::get<ClaimRequest>(ask->ask).owner, 4U);
+	EXPECT_EQ(std::get<ClaimRequest>(ask->request).owner, 4U);
 }
 
 RC_GTEST_PROP(PeerCodec, RandomBytesNeverOpen, (const std::string &inBytes))
@@ -56,16 +56,16 @@
 TEST(PeerTracker, RefusesReplaysAndEarlierIncarnations)
 {
 	PeerTracker tracker("self", "z", 1000, 1000);
-	EXPECT_TRUE(tracker.Hear(HeartbeatOf("a", 1, 5), 0));
-	EXPECT_FALSE(tracker.Hear(HeartbeatOf("a", 1, 5), 0));
-	EXPECT_FALSE(tracker.Hear(HeartbeatOf("a", 1, 4), 0));
-	EXPECT_TRUE(tracker.Hear(HeartbeatOf("a", 2, 1), 10));
-	EXPECT_FALSE(tracker.Hear(HeartbeatOf("a", 1, 6), 20));
+	EXPECT_TRUE(tracker.OnHeartbeat(HeartbeatOf("a", 1, 5), 0));
+	EXPECT_FALSE(tracker.OnHeartbeat(HeartbeatOf("a", 1, 5), 0));
+	EXPECT_FALSE(tracker.OnHeartbeat(HeartbeatOf("a", 1, 4), 0));
+	EXPECT_TRUE(tracker.OnHeartbeat(HeartbeatOf("a", 2, 1), 10));
+	EXPECT_FALSE(tracker.OnHeartbeat(HeartbeatOf("a", 1, 6), 20));
 	EXPECT_EQ(tracker.Find("a")->heartbeat.incarnation, 2U);
 	EXPECT_TRUE(tracker.IsLive("a", 1009));
 	EXPECT_FALSE(tracker.IsLive("a", 1010));
 	// An incarnation that was taken for superseded by mistake is heard again once the other one is unresponsive
-	EXPECT_TRUE(tracker.Hear(HeartbeatOf("a", 1, 7), 2000));
+	EXPECT_TRUE(tracker.OnHeartbeat(HeartbeatOf("a", 1, 7), 2000));
 }
 
 View ViewOf(const std::vector<std::pair<std::string, std::string>> &inMembers)
@@ -87,7 +87,7 @@
 		PeerTracker tracker(inSelf, inZone, 1000, 1000);
 		for (const auto &[name, member] : view.members)
 			if (name != inSelf && inSilent.count(name) == 0)
-				tracker.Hear(HeartbeatOf(name, 100 + static_cast<uint64>(name[0]), 1, member.availability_zone), 0);
+				tracker.OnHeartbeat(HeartbeatOf(name, 100 + static_cast<uint64>(name[0]), 1, member.availability_zone), 0);
 		return PlannerAssignment(view, tracker, inSelf, true, false, 10);
 	};
 	for (int key = 0; key < 50; ++key)
@@ -95,12 +95,12 @@
 		const std::string text = "pool-" + std::to_string(key);
 		int planners = 0;
 		for (const auto &[name, member] : view.members)
-			planners += assignment(name, member.availability_zone, {}).IsMine(text) ? 1 : 0;
+			planners += assignment(name, member.availability_zone, {}).IsAssigned(text) ? 1 : 0;
 		EXPECT_EQ(planners, 1);
 		int without_a = 0;
 		for (const auto &[name, member] : view.members)
 			if (name != "a")
-				without_a += assignment(name, member.availability_zone, {"a"}).IsMine(text) ? 1 : 0;
+				without_a += assignment(name, member.availability_zone, {"a"}).IsAssigned(text) ? 1 : 0;
 		EXPECT_EQ(without_a, 1);
 	}
 }
@@ -108,9 +108,9 @@
 TEST(ViewPlanner, APausedProcessListensAgainBeforeItRemovesMembers)
 {
 	ListeningSpan span;
-	EXPECT_EQ(span.Note(1000, 500), 1000);
-	EXPECT_EQ(span.Note(1400, 500), 1000);
-	EXPECT_EQ(span.Note(9000, 500), 9000);
+	EXPECT_EQ(span.Update(1000, 500), 1000);
+	EXPECT_EQ(span.Update(1400, 500), 1000);
+	EXPECT_EQ(span.Update(9000, 500), 9000);
 	TestFleet fleet;
 	const Member self{"a", 1, "r", "z", {}, {}};
 	const Member other{"b", 2, "r", "z", {}, {}};
@@ -130,11 +130,11 @@
 	fleet.Accept(ChangeView{0, {self, newer}, true});
 	PeerTracker tracker("a", "z1", 1000, 1000);
 	// Heard before the network partition: the incarnation before the one in the view
-	tracker.Hear(HeartbeatOf("b", 8, 1, "z2"), 100);
+	tracker.OnHeartbeat(HeartbeatOf("b", 8, 1, "z2"), 100);
 	EXPECT_FALSE(PlanView({fleet.state, tracker, self, 2000, 0, 5000, 1000}).has_value());
 	// A newer incarnation was heard than the one in the view: the one in the view has ended
 	fleet.Accept(ChangeView{1, {self, {"b", 8, "r", "z2", {}, {}}}, false});
-	tracker.Hear(HeartbeatOf("b", 9, 1, "z2"), 3000);
+	tracker.OnHeartbeat(HeartbeatOf("b", 9, 1, "z2"), 3000);
 	EXPECT_TRUE(PlanView({fleet.state, tracker, self, 3100, 0, 5000, 1000}).has_value());
 }
 
@@ -143,11 +143,11 @@
 	const View view = ViewOf({{"a", "z1"}, {"b", "z2"}});
 	PeerTracker tracker("a", "z1", 1000, 1000);
 	EXPECT_TRUE(NeedsLogHeartbeat(view, tracker, "z1", 1000, 5000));
-	tracker.Hear(HeartbeatOf("b", 1, 1, "z2"), 4900);
+	tracker.OnHeartbeat(HeartbeatOf("b", 1, 1, "z2"), 4900);
 	EXPECT_FALSE(NeedsLogHeartbeat(view, tracker, "z1", 1000, 5000));
 	FleetState state;
 	state.zones_alive["z2"] = 7;
-	tracker.HearLog(state, 9000);
+	tracker.UpdateFromLog(state, 9000);
 	EXPECT_TRUE(tracker.HasRecentLogHeartbeat("z2", 11'000));
 	EXPECT_FALSE(tracker.HasRecentLogHeartbeat("z2", 12'001));
 }
--- a/UnitTests/OwnerSpreadTests.cpp
+++ b/UnitTests/OwnerSpreadTests.cpp
@@ -39,7 +39,7 @@
 	StartingFleet(size_t inHosts, size_t inLarge, uint32 inSeed, Millis inFirstClaimMs) : random(inSeed)
 	{
 		LeaseTuning tuning;
-		tuning.first_claim_ms = inFirstClaimMs;
+		tuning.first_claim_delay_ms = inFirstClaimMs;
 		for (size_t i = 0; i < inHosts; ++i)
 		{
 			Host host;
@@ -110,11 +110,11 @@
 	void SendHeartbeat(Host &ioHost)
 	{
 		ioHost.heartbeat.host = ioHost.name;
-		ioHost.heartbeat.life = 1;
+		ioHost.heartbeat.incarnation = 1;
 		++ioHost.heartbeat.number;
 		ioHost.heartbeat.weight = ioHost.weight;
 		ioHost.heartbeat.availability_zone = ioHost.zone;
-		ioHost.heartbeat.every_ms = 60'000;
+		ioHost.heartbeat.interval_ms = 60'000;
 		ioHost.heartbeat.lease_ms = 60'000;
 		this->log.push_back(ioHost.heartbeat);
 	}
@@ -166,7 +166,7 @@
 {
 	HostHeartbeat heartbeat;
 	heartbeat.host = inHost;
-	heartbeat.life = 1;
+	heartbeat.incarnation = 1;
 	heartbeat.number = 1;
 	heartbeat.weight = inWeight;
 	heartbeat.short_of_processor_time = inShort;
@@ -190,7 +190,7 @@
 	EXPECT_TRUE(drowned.CellsToClaim({7}, 1000, 0).empty());
 	EXPECT_EQ(idle.CellsToClaim({7}, 1000, 0), std::vector<uint32>{7});
 	// If no other host claims the cell, it claims it nevertheless
-	EXPECT_EQ(drowned.CellsToClaim({7}, 1000 + tuning.rank_ms, 0), std::vector<uint32>{7});
+	EXPECT_EQ(drowned.CellsToClaim({7}, 1000 + tuning.rank_delay_ms, 0), std::vector<uint32>{7});
 }
 
 TEST(OwnerTable, AReleasedCellDoesNotWaitAsAtTheFirstStart)
@@ -198,7 +198,7 @@
 	// Once an owner has released its cell, no heartbeat lists the cell any more. Guards against its next owner waiting for 3 s as at the
 	// first start of the fleet, which lowered the mean score of simulated days from 0.413 to 0.278
 	LeaseTuning tuning;
-	tuning.first_claim_ms = cFirstClaimWaitMs;
+	tuning.first_claim_delay_ms = cFirstClaimWaitMs;
 	OwnerTable table("me", tuning);
 	table.OnHeartbeat(MakeHeartbeat("me", 500, false, {}), 1000);
 	table.OnHeartbeat(MakeHeartbeat("owner", 120, false, {{7, 1, true}}), 1000);
@@ -228,7 +228,7 @@
 		table.OnHeartbeat(MakeHeartbeat(host, 500, false, {}), 1000);
 	EXPECT_EQ(table.CellsToClaim({1, 2, 3}, 1000, 0).size(), 1u);
 	// With that cell it ranks behind the other two
-	EXPECT_LE(table.CellsToClaim({1, 2, 3}, 1000 + tuning.rank_ms, 1).size(), 1u);
+	EXPECT_LE(table.CellsToClaim({1, 2, 3}, 1000 + tuning.rank_delay_ms, 1).size(), 1u);
 }
 
 /// Guards against choosing owners, hosts short of processor time, stopping hosts or unresponsive hosts as forwarders.
--- a/UnitTests/OwnershipTests.cpp
+++ b/UnitTests/OwnershipTests.cpp
@@ -44,7 +44,7 @@
 {
 	HostHeartbeat heartbeat;
 	heartbeat.host = inHost;
-	heartbeat.life = HashBytes(inHost);
+	heartbeat.incarnation = HashBytes(inHost);
 	heartbeat.number = inNumber;
 	heartbeat.weight = inWeight;
 	heartbeat.cells = std::move(inCells);
@@ -61,7 +61,7 @@
 	Claimant b(log, "b", 2);
 	a.Claim(1);
 	b.Claim(1);
-	FakeLog::Settle();
+	FakeLog::RunMainLoopFor();
 	EXPECT_TRUE(a.settled && b.settled);
 	EXPECT_NE(a.won, b.won);
 	EXPECT_EQ(log.Size(cName), 1u);
@@ -74,7 +74,7 @@
 	log.fates = {FakeLog::EFate::LoseAnswer};
 	Claimant a(log, "a", 1);
 	a.Claim();
-	FakeLog::Settle();
+	FakeLog::RunMainLoopFor();
 	EXPECT_TRUE(a.won);
 	EXPECT_EQ(log.Size(cName), 1u);
 }
@@ -85,7 +85,7 @@
 	log.fates = {FakeLog::EFate::Refuse, FakeLog::EFate::Vanish};
 	Claimant a(log, "a", 1);
 	a.Claim();
-	FakeLog::Settle(400);
+	FakeLog::RunMainLoopFor(400);
 	EXPECT_TRUE(a.won);
 }
 
@@ -96,7 +96,7 @@
 	log.readable = false;
 	Claimant a(log, "a", 1);
 	a.Claim();
-	FakeLog::Settle();
+	FakeLog::RunMainLoopFor();
 	EXPECT_TRUE(a.settled);
 	EXPECT_FALSE(a.won);
 	EXPECT_EQ(log.Size(cName), 0u);
@@ -107,20 +107,20 @@
 	FakeLog log;
 	Claimant a(log, "a", 1);
 	a.Claim();
-	FakeLog::Settle();
+	FakeLog::RunMainLoopFor();
 	bool first = false;
 	a.log.Append({{"k", "1", 0}, {"l", "2", 0}}, [&](bool inDone) { first = inDone; });
-	FakeLog::Settle();
+	FakeLog::RunMainLoopFor();
 	ASSERT_TRUE(first);
 	Claimant b(log, "b", 2);
 	b.Claim();
-	FakeLog::Settle();
+	FakeLog::RunMainLoopFor();
 	ASSERT_TRUE(b.won);
 	EXPECT_EQ(b.records.at("k"), "1");
 	EXPECT_GT(b.log.Epoch(), a.log.Epoch());
 	bool late = true;
 	a.log.Append({{"k", "late", 0}}, [&](bool inDone) { late = inDone; });
-	FakeLog::Settle();
+	FakeLog::RunMainLoopFor();
 	EXPECT_FALSE(late);
 }
 
@@ -130,11 +130,11 @@
 	FakeLog log;
 	Claimant a(log, "a", 1);
 	a.Claim();
-	FakeLog::Settle();
+	FakeLog::RunMainLoopFor();
 	log.fates = {FakeLog::EFate::LoseAnswer, FakeLog::EFate::LoseAnswer, FakeLog::EFate::Refuse};
 	bool done = false;
 	a.log.Append({{"k", "1", 0}}, [&](bool inDone) { done = inDone; });
-	FakeLog::Settle(600);
+	FakeLog::RunMainLoopFor(600);
 	EXPECT_TRUE(done);
 	EXPECT_EQ(log.Size(cName), 2u);
 }
@@ -187,7 +187,7 @@
 	LeaseTuning tuning;
 	OwnerTable table("me", tuning);
 	HostHeartbeat successor = MakeHeartbeat("other", 1, {});
-	successor.life = 77;
+	successor.incarnation = 77;
 	successor.start = 2;
 	table.OnHeartbeat(successor, 1000);
 	table.OnClaimSeen(7, {{"other", HashBytes("other"), 1}, 4, 5}, 1100);
@@ -410,7 +410,7 @@
 	EXPECT_TRUE(small.CellsToClaim({7}, 1000).empty());
 	EXPECT_EQ(large.CellsToClaim({7}, 1000, 1), std::vector<uint32>{7});
 	// If the first does not claim, the next one does, a little later
-	EXPECT_EQ(small.CellsToClaim({7}, 1000 + tuning.rank_ms), std::vector<uint32>{7});
+	EXPECT_EQ(small.CellsToClaim({7}, 1000 + tuning.rank_delay_ms), std::vector<uint32>{7});
 }
 
 TEST(OwnerTable, AHostCountsItsOwnCellsBeforeItsHeartbeatListsThem)
@@ -423,7 +423,7 @@
 	EXPECT_TRUE(table.CellsToClaim({7}, 1000, 1).empty());
 	// What an earlier process of this host owned does not count against it
 	HostHeartbeat earlier = MakeHeartbeat("me", 9, {{1, 1}, {2, 1}});
-	earlier.life = 77;
+	earlier.incarnation = 77;
 	table.OnHeartbeat(earlier, 1100);
 	table.OnHeartbeat(MakeHeartbeat("other", 2, {{3, 1}}), 1100);
 	EXPECT_EQ(table.CellsToClaim({8}, 1100, 0), std::vector<uint32>{8});
@@ -477,7 +477,7 @@
 		const uint32 cell = CellOf("pool" + std::to_string(i), 8);
 		topics.insert(CellLog(cell, 8).topic);
 		topics.insert(InboxLog(cell, 8).topic);
-		EXPECT_LT(CellLog(cell, 8).part, 8u);
+		EXPECT_LT(CellLog(cell, 8).partition, 8u);
 	}
 	EXPECT_LE(topics.size(), 100u);
 }
@@ -488,10 +488,10 @@
 	// one
 	OwnerTable table("me", LeaseTuning{});
 	HostHeartbeat newer = MakeHeartbeat("other", 1, {});
-	newer.life = 2;
+	newer.incarnation = 2;
 	newer.start = 5;
 	HostHeartbeat older = MakeHeartbeat("other", 900, {{7, 3}});
-	older.life = 1;
+	older.incarnation = 1;
 	older.start = 4;
 	table.OnHeartbeat(newer, 1000);
 	table.OnHeartbeat(older, 1010);
@@ -558,7 +558,7 @@
 {
 	OwnerTable table("self", LeaseTuning{});
 	HostHeartbeat seldom = MakeHeartbeat("seldom", 1, {});
-	seldom.every_ms = 17'000;
+	seldom.interval_ms = 17'000;
 	table.OnHeartbeat(seldom, 1000);
 	table.OnHeartbeat(MakeHeartbeat("often", 1, {}), 1000);
 	EXPECT_EQ(table.UnresponsiveFor(12'000, 20'000), std::vector<std::string>{"often"});
--- a/UnitTests/PeerQueryTests.cpp
+++ b/UnitTests/PeerQueryTests.cpp
@@ -79,26 +79,26 @@
 		{
 			++carried_out;
 			PeerAnswer answer;
-			answer.not_entered = true;
+			answer.not_done = true;
 			inReply(answer);
 		},
 		[](EPeerMessage, const std::string &) {});
 	ASSERT_TRUE(helper.Open());
 	const UdpSocket client;
 	PeerQuestion question;
-	question.kind = EQuestion::Enter;
+	question.kind = EQuestion::AppendInbox;
 	question.nonce = 7;
 	for (int i = 0; i < 3; ++i)
 	{
 		client.Send(port, 'Q' + EncodeValue(question));
-		FakeLog::Settle(20);
+		FakeLog::RunMainLoopFor(20);
 	}
 	EXPECT_EQ(carried_out, 1u);
 	EXPECT_EQ(client.Receive(), 3u);
 	// A query with another nonce is a new one
 	question.nonce = 8;
 	client.Send(port, 'Q' + EncodeValue(question));
-	FakeLog::Settle(20);
+	FakeLog::RunMainLoopFor(20);
 	EXPECT_EQ(carried_out, 2u);
 }
 
@@ -114,10 +114,10 @@
 	PeerQuery sender({"127.0.0.1", FreePort()}, metrics, no_answer, [](EPeerMessage, const std::string &) {});
 	ASSERT_TRUE(sender.Open());
 	// A destination on which nobody listens does not affect the other one
-	sender.Tell({{"127.0.0.1", port}, {"127.0.0.1", FreePort()}}, EPeerMessage::Beat, "news");
-	sender.Tell({{"127.0.0.1", port}}, EPeerMessage::Ends, "ends");
-	FakeLog::Settle(20);
-	const std::vector<std::pair<EPeerMessage, std::string>> expected = {{EPeerMessage::Beat, "news"}, {EPeerMessage::Ends, "ends"}};
+	sender.Notify({{"127.0.0.1", port}, {"127.0.0.1", FreePort()}}, EPeerMessage::Heartbeat, "news");
+	sender.Notify({{"127.0.0.1", port}}, EPeerMessage::Ends, "ends");
+	FakeLog::RunMainLoopFor(20);
+	const std::vector<std::pair<EPeerMessage, std::string>> expected = {{EPeerMessage::Heartbeat, "news"}, {EPeerMessage::Ends, "ends"}};
 	EXPECT_EQ(received, expected);
 }
 
--- a/UnitTests/PlatformTests.cpp
+++ b/UnitTests/PlatformTests.cpp
@@ -27,8 +27,8 @@
 	EXPECT_EQ(catalogue->Find("other.example", "/a/x"), nullptr);
 	EXPECT_EQ(catalogue->queues[0].max_attempts, 2u);
 	ASSERT_TRUE(catalogue->queues[0].advice.has_value());
-	EXPECT_EQ(catalogue->queues[0].advice->each_ms, 5);
-	EXPECT_TRUE(catalogue->pools.at("p").guards_capacity);
+	EXPECT_EQ(catalogue->queues[0].advice->per_worker_ms, 5);
+	EXPECT_TRUE(catalogue->pools.at("p").enforces_capacity);
 	EXPECT_TRUE(catalogue->pools.at("s").spare);
 }
 
@@ -61,8 +61,8 @@
 {
 	const std::string entry =
 		R"({"service":"p","address":"10.0.0.1:80","zone":"z","state":"ready","labels":[],"capacity":{"cpu":1,"memMb":1})";
-	EXPECT_EQ(DecodeWorker("i-1", entry + R"(,"born":1790000000123})")->born_ms, 1790000000123);
-	EXPECT_EQ(DecodeWorker("i-1", entry + "}")->born_ms, cStartTimeUnknown);
+	EXPECT_EQ(DecodeWorker("i-1", entry + R"(,"born":1790000000123})")->started_ms, 1790000000123);
+	EXPECT_EQ(DecodeWorker("i-1", entry + "}")->started_ms, cStartTimeUnknown);
 }
 
 /// Guards against a worker entry of another writer that makes tasks go to an address without a worker, or that hides the other entries.
@@ -106,7 +106,7 @@
 	const std::optional<MaintenanceWave> wave = DecodeWave("wave/3", R"({"wave":3,"machines":["m-1","m-2"],"withinS":20.5,"atMost":2})");
 	ASSERT_TRUE(wave.has_value());
 	EXPECT_EQ(wave->within_ms, 20500);
-	EXPECT_EQ(wave->at_most, 2u);
+	EXPECT_EQ(wave->max_down, 2u);
 	EXPECT_FALSE(DecodeWave("config", "{}").has_value());
 	EXPECT_FALSE(DecodeWave("wave/3", "{}").has_value());
 	EXPECT_EQ(EncodeWaveStatus(3, true).value, R"({"state":"completed","wave":3})");
@@ -152,8 +152,8 @@
 TEST(PlatformWorkers, TellsWhenMoreEndsMayFollow)
 {
 	// A worker lists at most 500 ends at a time. Guards against taking a run for stopped that is in neither list of a full answer
-	EXPECT_FALSE(AnswerOf(EOrder::Hold, PollAnswerWith(499)).partial);
-	const OrderAnswer full = AnswerOf(EOrder::Hold, PollAnswerWith(500));
+	EXPECT_FALSE(AnswerOf(EOrder::Poll, PollAnswerWith(499)).partial);
+	const OrderAnswer full = AnswerOf(EOrder::Poll, PollAnswerWith(500));
 	EXPECT_TRUE(full.partial);
 	EXPECT_EQ(full.ended.size(), 500u);
 }
@@ -166,12 +166,12 @@
 	for (const char *body : {"", "{}", R"({"clockMs":5,"running":[]})", R"({"clockMs":5,"ended":[]})", R"({"clockMs":5,"running":[)"})
 	{
 		result.body = body;
-		EXPECT_EQ(AnswerOf(EOrder::Hold, result).result, EOrderResult::Unknown) << body;
+		EXPECT_EQ(AnswerOf(EOrder::Poll, result).result, EOrderResult::Unknown) << body;
 		EXPECT_EQ(AnswerOf(EOrder::Start, result).result, EOrderResult::Done) << body;
 	}
 	result.body = R"({"clockMs":5,"running":[],"ended":[]})";
-	EXPECT_EQ(AnswerOf(EOrder::Hold, result).result, EOrderResult::Done);
-	EXPECT_FALSE(AnswerOf(EOrder::Hold, result).partial);
+	EXPECT_EQ(AnswerOf(EOrder::Poll, result).result, EOrderResult::Done);
+	EXPECT_FALSE(AnswerOf(EOrder::Poll, result).partial);
 }
 
 TEST(PlatformWorkers, NoEndAfterADamagedOneIsRead)
@@ -179,12 +179,12 @@
 	HttpResult result;
 	result.status = 200;
 	result.body = R"({"running":[],"ended":[[1,"a.0.0.0",1,"done",""],[2,"a.0.0.1",1,"vanished",""],[3,"a.0.0.2",1,"done",""]]})";
-	const OrderAnswer answer = AnswerOf(EOrder::Hold, result);
+	const OrderAnswer answer = AnswerOf(EOrder::Poll, result);
 	EXPECT_EQ(answer.ended.size(), 1u);
 	EXPECT_TRUE(answer.partial);
 	// Nor does a row that cannot be decoded mean that its run has stopped
 	result.body = R"({"running":[["a.0.0",1,"",5],["a.0.0.1",1,"",5]],"ended":[]})";
-	EXPECT_TRUE(AnswerOf(EOrder::Hold, result).partial);
+	EXPECT_TRUE(AnswerOf(EOrder::Poll, result).partial);
 }
 
 TEST(JobHostConfig, ReadsWhatTheTemplateFills)
--- a/UnitTests/RequestTests.cpp
+++ b/UnitTests/RequestTests.cpp
@@ -411,7 +411,7 @@
 	restarted.Update(fleet.state);
 	EXPECT_EQ(restarted.Answer("id", range, 8, 2, true, 0, holder), EClaim::NotReady);
 	EXPECT_FALSE(restarted.HandOver(range, 2).has_value());
-	EXPECT_TRUE(restarted.Missing().empty());
+	EXPECT_TRUE(restarted.MissingRanges().empty());
 }
 
 /// Members with their claim tables over one accepted state. Messages are lost and delayed by not being sent.
@@ -475,14 +475,14 @@
 			break;
 		case 4: // Takes over the ranges that it lacks, each from one holder
 			if (tables.count(name) != 0)
-				for (const auto &[range, holder] : tables[name]->Missing())
+				for (const auto &[range, holder] : tables[name]->MissingRanges())
 				{
 					if (tables.count(holder) == 0)
 						continue;
 					const std::optional<std::vector<Claim>> list = tables[holder]->HandOver(range, tables[name]->ViewNumber());
 					if (!list.has_value())
 						continue;
-					tables[name]->TakeIn(range, *list, now);
+					tables[name]->ImportClaims(range, *list, now);
 					fleet.Apply(TakeOver{tables[name]->ViewNumber(), name, {range}});
 				}
 			break;
--- a/UnitTests/RunEndReplicaTests.cpp
+++ b/UnitTests/RunEndReplicaTests.cpp
@@ -34,7 +34,7 @@
 /// Delivers all pending updates of the owner to the host that keeps replicas.
 void Deliver(RunEndReplicator &ioOwner, RunEndReplicas &ioReplicas, Millis inNow)
 {
-	while (std::optional<RunEndsUpdate> update = ioOwner.Take(inNow))
+	while (std::optional<RunEndsUpdate> update = ioOwner.TakeUpdate(inNow))
 		ioReplicas.OnUpdate(std::move(*update), inNow);
 }
 
@@ -52,8 +52,8 @@
 {
 	RunEndReplicator owner = Owner();
 	RunEndReplicas replicas;
-	owner.Note("w1", MakeEnd(1));
-	owner.Note("w2", MakeEnd(5, ERunEnd::Failed));
+	owner.Add("w1", MakeEnd(1));
+	owner.Add("w2", MakeEnd(5, ERunEnd::Failed));
 	Deliver(owner, replicas, 100);
 	EXPECT_TRUE(replicas.TakeOrphans(&IsOwnerRunning, 200).empty());
 	const std::vector<OrphanedRunEnds> orphans = replicas.TakeOrphans(&HasOwnerStopped, 300);
@@ -61,7 +61,7 @@
 	EXPECT_EQ(orphans[0].cell, cCell);
 	EXPECT_EQ(orphans[0].report.worker, "w1");
 	EXPECT_EQ(orphans[0].report.epoch, cEpoch);
-	EXPECT_EQ(orphans[1].report.ended.at(0).number, 5u);
+	EXPECT_EQ(orphans[1].report.ended.at(0).sequence, 5u);
 	EXPECT_TRUE(replicas.TakeOrphans(&HasOwnerStopped, 400).empty());
 }
 
@@ -70,10 +70,10 @@
 {
 	RunEndReplicator owner = Owner();
 	RunEndReplicas replicas;
-	owner.Note("w1", MakeEnd(1));
+	owner.Add("w1", MakeEnd(1));
 	Deliver(owner, replicas, 100);
 	owner.BeginWriting();
-	owner.Note("w1", MakeEnd(2));
+	owner.Add("w1", MakeEnd(2));
 	Deliver(owner, replicas, 110);
 	owner.OnWriting();
 	owner.OnLogged();
@@ -89,8 +89,8 @@
 {
 	RunEndReplicator owner = Owner();
 	RunEndReplicas replicas;
-	owner.Note("w1", MakeEnd(1));
-	const std::optional<RunEndsUpdate> late = owner.Take(100);
+	owner.Add("w1", MakeEnd(1));
+	const std::optional<RunEndsUpdate> late = owner.TakeUpdate(100);
 	Persist(owner);
 	Deliver(owner, replicas, 2000);
 	ASSERT_TRUE(late.has_value());
@@ -105,9 +105,9 @@
 {
 	RunEndReplicator owner = Owner();
 	for (uint64 number = 1; number <= 1000; ++number)
-		owner.Note("w1", MakeEnd(number));
+		owner.Add("w1", MakeEnd(number));
 	size_t rows = 0;
-	while (const std::optional<RunEndsUpdate> update = owner.Take(100))
+	while (const std::optional<RunEndsUpdate> update = owner.TakeUpdate(100))
 	{
 		EXPECT_LT(EncodeValue(*update).size(), 32000u);
 		for (const EndReport &report : update->reports)
@@ -123,7 +123,7 @@
 	RunEndReplicas replicas;
 	for (uint64 number = 1; number <= 5000; ++number)
 	{
-		owner.Note("w1", MakeEnd(number));
+		owner.Add("w1", MakeEnd(number));
 		Deliver(owner, replicas, 100);
 	}
 	EXPECT_EQ(replicas.Size(), 2000u);
--- a/UnitTests/RunTimesTests.cpp
+++ b/UnitTests/RunTimesTests.cpp
@@ -75,12 +75,12 @@
 {
 	RunTimes times;
 	const JobSpec spec = SpecOf("q");
-	EXPECT_EQ(times.Longest(spec, 1000, 1), 1000);
-	EXPECT_GT(times.Longest(spec, 1000, 6), 1250);
-	EXPECT_GT(times.Longest(spec, 1000, 24), times.Longest(spec, 1000, 6));
+	EXPECT_EQ(times.ExpectLongest(spec, 1000, 1), 1000);
+	EXPECT_GT(times.ExpectLongest(spec, 1000, 6), 1250);
+	EXPECT_GT(times.ExpectLongest(spec, 1000, 24), times.ExpectLongest(spec, 1000, 6));
 	for (int i = 0; i < 200; ++i)
 		times.LearnSpread(spec, 0.0);
-	EXPECT_EQ(times.Longest(spec, 1000, 6), 1000);
+	EXPECT_EQ(times.ExpectLongest(spec, 1000, 6), 1000);
 }
 
 TEST(StepRunTimes, SumsUpTheRunsOfAStep)
--- a/UnitTests/SettingsTests.cpp
+++ b/UnitTests/SettingsTests.cpp
@@ -157,7 +157,7 @@
 		EXPECT_TRUE(names.insert(row.name).second) << row.name;
 		EXPECT_EQ(ErrorOf(row.name), static_cast<EError>(i));
 		// An error that asks the caller to retry must state that nothing ran
-		EXPECT_TRUE(!row.come_back || row.outcome == EOutcome::NotRun) << row.name;
+		EXPECT_TRUE(!row.retryable || row.outcome == EOutcome::NotRun) << row.name;
 	}
 }
 
--- a/UnitTests/SharedStoreTests.cpp
+++ b/UnitTests/SharedStoreTests.cpp
@@ -61,7 +61,7 @@
 	SharedStore(size_t inHosts, bool inSpread) : hosts(inHosts)
 	{
 		const StoreBudget budget({16'000, cBytesPerMs});
-		this->interval_ms = inSpread ? std::min<Millis>(budget.Spread(inHosts, cRecordBytes), 2000) : 0;
+		this->interval_ms = inSpread ? std::min<Millis>(budget.SpreadTime(inHosts, cRecordBytes), 2000) : 0;
 		for (Host &host : this->hosts)
 		{
 			host.follow_at = static_cast<Millis>(this->random.Below(cWaitMs));
@@ -122,7 +122,7 @@
 		const bool answered = ioHost.follow_answer_at > 0 && this->now >= ioHost.follow_answer_at;
 		if (!answered && this->now < ioHost.follow_timeout_at)
 			return;
-		ioHost.trust.OnOver(&ioHost.follow_at);
+		ioHost.trust.OnFinished(&ioHost.follow_at);
 		if (answered && this->carries_change[&ioHost])
 		{
 			ioHost.is_informed = true;
@@ -143,7 +143,7 @@
 		}
 		if (ioHost.small_answer_at < 0 || this->now < ioHost.small_answer_at)
 			return;
-		ioHost.trust.OnOver(&ioHost.small_at);
+		ioHost.trust.OnFinished(&ioHost.small_at);
 		ioHost.trust.OnAnswered(this->now - ioHost.small_sent_at);
 		ioHost.small_answer_at = -1;
 		ioHost.small_at = this->now + cSmallReadIntervalMs;
@@ -156,7 +156,7 @@
 		const std::optional<Millis> overdue = ioHost.trust.OverdueAt();
 		if (!overdue.has_value() || this->now < *overdue)
 			return;
-		ioHost.trust.OnGivenUp();
+		ioHost.trust.OnConnectionsClosed();
 		// A read that waits is repeated over another connection. The store can't know that the first answer is not wanted any more
 		const bool waits = ioHost.follow_at < 0 && this->interval_ms == 0 && !ioHost.is_repeated;
 		if (!waits)
@@ -208,7 +208,7 @@
 	{
 		const Millis interval_ms = budget.RoundInterval(hosts, 4);
 		EXPECT_LE(static_cast<int64>(hosts) * 4 * 1000 / interval_ms, 4100) << hosts;
-		EXPECT_LE(static_cast<int64>(hosts) * cRecordBytes / budget.Spread(hosts, cRecordBytes), 20'100) << hosts;
+		EXPECT_LE(static_cast<int64>(hosts) * cRecordBytes / budget.SpreadTime(hosts, cRecordBytes), 20'100) << hosts;
 	}
 	// A small fleet hardly waits
 	EXPECT_LT(budget.RoundInterval(9, 4), 20);
--- a/UnitTests/StalledConnectionTests.cpp
+++ b/UnitTests/StalledConnectionTests.cpp
@@ -86,7 +86,7 @@
 	HttpCall first = CallTo(server);
 	first.timeout_ms = 2000;
 	client.Start(first, [&first_over](const HttpResult &) { first_over = true; });
-	Jobs::FakeLog::Settle(300);
+	Jobs::FakeLog::RunMainLoopFor(300);
 	EXPECT_TRUE(Call(client, CallTo(server)).IsOk());
 	EXPECT_FALSE(first_over);
 }
@@ -104,10 +104,10 @@
 	read.wait_ms = 2000;
 	std::optional<HttpResult> ended;
 	client.Start(read, [&ended](const HttpResult &inResult) { ended = inResult; });
-	Jobs::FakeLog::Settle(100);
+	Jobs::FakeLog::RunMainLoopFor(100);
 	server.StallOpenConnections();
 	Call(client, CallTo(server));
-	Jobs::FakeLog::Settle(1000);
+	Jobs::FakeLog::RunMainLoopFor(1000);
 	EXPECT_TRUE(ended.has_value() && ended->IsOk());
 }
 
@@ -129,10 +129,10 @@
 					 over_after = NowMillis() - began;
 					 good = inResult.IsOk();
 				 });
-	Jobs::FakeLog::Settle(50);
+	Jobs::FakeLog::RunMainLoopFor(50);
 	server.StallOpenConnections();
 	Call(client, CallTo(server));
-	Jobs::FakeLog::Settle(1600);
+	Jobs::FakeLog::RunMainLoopFor(1600);
 	EXPECT_TRUE(good);
 	EXPECT_LT(over_after, poll_call.timeout_ms);
 	EXPECT_GE(over_after, 0);
--- a/UnitTests/StateTests.cpp
+++ b/UnitTests/StateTests.cpp
@@ -219,8 +219,8 @@
 	EXPECT_EQ(queue.Repeats(), 1U);
 	queue.OnFailed(5000);
 	// Read back from the log: the lost answer no longer matters
-	EXPECT_TRUE(queue.OnSeen(1).has_value());
-	EXPECT_FALSE(queue.OnSeen(1).has_value());
+	EXPECT_TRUE(queue.OnReadBack(1).has_value());
+	EXPECT_FALSE(queue.OnReadBack(1).has_value());
 	const std::optional<std::string> second = queue.Take(9000);
 	ASSERT_TRUE(second.has_value());
 	EXPECT_NE(second, first);
@@ -250,8 +250,8 @@
 	queue.Add(ZoneAlive{"a"}, 0);
 	ASSERT_TRUE(queue.Take(10).has_value());
 	queue.OnFailed(10);
-	EXPECT_EQ(queue.OnAdopted(1).size(), 1U);
-	EXPECT_EQ(queue.Unseen(), 0U);
+	EXPECT_EQ(queue.OnStateLoaded(1).size(), 1U);
+	EXPECT_EQ(queue.UnconfirmedCount(), 0U);
 	EXPECT_FALSE(queue.IsBusy());
 }
 
--- a/UnitTests/TeamSharesTests.cpp
+++ b/UnitTests/TeamSharesTests.cpp
@@ -207,7 +207,7 @@
 		while (!cell.waiting.empty() && !lacks_share)
 		{
 			const Resources need{cell.waiting.back(), 0, 0};
-			lacks_share = !cell.owner->HasRoom("a", need, this->now);
+			lacks_share = !cell.owner->HasCapacity("a", need, this->now);
 			if (lacks_share)
 				break;
 			const Millis ends_at = this->now + 300 + static_cast<Millis>(this->random.Below(static_cast<uint64>(cLongestRunMs - 300)));
@@ -218,12 +218,12 @@
 			if (this->Running() > this->limit)
 				this->violations += "at " + std::to_string(this->now) + ": " + std::to_string(this->Running()) + " running\n";
 		}
-		if (this->now < cell.owner->NextAskAt(lacks_share))
+		if (this->now < cell.owner->NextQuestionAt(lacks_share))
 			return;
 		std::map<std::string, Resources> wanted;
 		for (int64 cpu_milli : cell.waiting)
 			wanted["a"].Add({cpu_milli, 0, 0});
-		ShareQuestion question = cell.owner->Ask(cell.epoch, wanted, this->now);
+		ShareQuestion question = cell.owner->BuildQuestion(cell.epoch, wanted, this->now);
 		question.cell = inNumber;
 		this->Send({0, false, question, {}});
 	}
@@ -413,15 +413,15 @@
 	job.accepted_wall_ms = cWallMs;
 	cell.Ingest({EInbox::Submit, job}, 0, 1001, cWallMs);
 	cell.Plan(1002, cWallMs);
-	EXPECT_EQ(cell.Figures().runs, 0u);
+	EXPECT_EQ(cell.Counts().runs, 0u);
 	// The pool has no demand for what the limit of the team does not let run: 8 tasks of 3 cores
-	EXPECT_EQ(cell.Demand("pool", 0, 100, 1002, cWallMs).need.cpu_milli, cLimit);
+	EXPECT_EQ(cell.Demand("pool", 0, 100, 1002, cWallMs).in_time.cpu_milli, cLimit);
 	const std::optional<ShareQuestion> question = cell.AskShares(1003, cWallMs);
 	ASSERT_TRUE(question.has_value());
 	EXPECT_EQ(question->claims.at(0).wanted.cpu_milli, 24000);
 	cell.OnShares({question->number, 1, {{"a", {cLimit, 0, 0}}}}, 1005);
 	cell.Plan(1006, cWallMs);
-	EXPECT_EQ(cell.Figures().runs, 3u);
+	EXPECT_EQ(cell.Counts().runs, 3u);
 	// The runs that the next owner finds in the log count as used, and give it no share
 	std::vector<KeyedRecord> batch = cell.TakeBatch(cWallMs);
 	Cell successor(CellTuning{});
--- a/UnitTests/WorkerCallsTests.cpp
+++ b/UnitTests/WorkerCallsTests.cpp
@@ -30,7 +30,7 @@
 		poll_order.worker = "w";
 		poll_order.address = {"127.0.0.1", server.Port()};
 		calls.Send(poll_order, [&answers](const OrderAnswer &inAnswer) { answers.push_back(inAnswer); });
-		FakeLog::Settle(60);
+		FakeLog::RunMainLoopFor(60);
 	}
 	return answers;
 }
@@ -44,7 +44,7 @@
 	EXPECT_EQ(answers[0].result, EOrderResult::Done);
 	ASSERT_EQ(answers[0].running.size(), 1u);
 	ASSERT_EQ(answers[0].ended.size(), 1u);
-	EXPECT_EQ(answers[0].ended[0].number, 58u);
+	EXPECT_EQ(answers[0].ended[0].sequence, 58u);
 	EXPECT_EQ(answers[1].result, EOrderResult::Done);
 }
 
@@ -53,8 +53,8 @@
 	const std::vector<OrderAnswer> answers =
 		PollWith({R"({"clockMs":7,"born":1790000000123,"running":[],"ended":[]})", R"({"clockMs":7,"running":[],"ended":[]})"});
 	ASSERT_EQ(answers.size(), 2u);
-	EXPECT_EQ(answers[0].born_ms, 1790000000123);
-	EXPECT_EQ(answers[1].born_ms, cStartTimeUnknown);
+	EXPECT_EQ(answers[0].started_ms, 1790000000123);
+	EXPECT_EQ(answers[1].started_ms, cStartTimeUnknown);
 }
 
 TEST(PlatformWorkers, AnIncompleteAnswerProvesNothing)
@@ -95,11 +95,11 @@
 		poll_order.address = {"127.0.0.1", to};
 		calls.Send(poll_order, [&answers, to](const OrderAnswer &inAnswer) { answers[to] = inAnswer; });
 	}
-	FakeLog::Settle(1500);
+	FakeLog::RunMainLoopFor(1500);
 	ASSERT_EQ(answers.size(), 2u);
-	EXPECT_TRUE(answers.at(port).closed);
+	EXPECT_TRUE(answers.at(port).connection_closed);
 	EXPECT_EQ(answers.at(port).result, EOrderResult::NotSent);
-	EXPECT_FALSE(answers.at(stalled.Port()).closed);
+	EXPECT_FALSE(answers.at(stalled.Port()).connection_closed);
 	EXPECT_EQ(answers.at(stalled.Port()).result, EOrderResult::Unknown);
 }
 
--- a/UnitTests/WorkerOrderTests.cpp
+++ b/UnitTests/WorkerOrderTests.cpp
@@ -184,7 +184,7 @@
 		const Millis now = NowMillis();
 		this->cell.SetWorkers(this->workers, now);
 		this->cell.Plan(now, cWallMs + now);
-		if (this->cell.HasNews() && !this->cell.TakeBatch(cWallMs + now).empty())
+		if (this->cell.HasUnwrittenChanges() && !this->cell.TakeBatch(cWallMs + now).empty())
 			this->cell.OnAppended(now);
 		for (Order &order : this->cell.TakeOrders(now))
 			this->Send(order);
@@ -233,7 +233,7 @@
 	poll.address = worker.Entry().address;
 	// libcurl repeats calls only on kept connections
 	calls.Send(poll, note);
-	FakeLog::Settle(100);
+	FakeLog::RunMainLoopFor(100);
 	Order start = poll;
 	start.kind = EOrder::Start;
 	start.task = {"a", 0, 0, 0};
@@ -241,7 +241,7 @@
 	start.until_ms = NowMillis() + 4000;
 	start.not_after = GetParam().not_after > 0 ? NowMillis() + GetParam().not_after : 0;
 	calls.Send(start, note);
-	FakeLog::Settle(cRunMs / 2);
+	FakeLog::RunMainLoopFor(cRunMs / 2);
 	ASSERT_EQ(answers.size(), 2u);
 	EXPECT_EQ(answers[0].result, EOrderResult::Done);
 	EXPECT_EQ(starts.begun.size(), 1u);
@@ -255,9 +255,9 @@
 	AnswerLosingWorker first("w0", GetParam(), starts);
 	AnswerLosingWorker second("w1", GetParam(), starts);
 	CallingCellDriver driver({first.Entry(), second.Entry()}, GetParam().not_after);
-	FakeLog::Settle(200);
+	FakeLog::RunMainLoopFor(200);
 	driver.Submit(MakeJob("a", 1, 1, 1000, 5000));
-	FakeLog::Settle(cRunMs);
+	FakeLog::RunMainLoopFor(cRunMs);
 	ASSERT_GE(starts.begun.size(), 1u);
 	EXPECT_EQ(starts.begun.size(), 1u) << "two runs at once: " << starts.begun.front() << ", " << starts.begun.back();
 	ASSERT_GE(driver.StartResults().size(), 1u);
@@ -268,7 +268,7 @@
 	EXPECT_GE(starts.polls_after_start, 1u);
 	first.EndAll();
 	second.EndAll();
-	FakeLog::Settle(cRunMs);
+	FakeLog::RunMainLoopFor(cRunMs);
 	EXPECT_EQ(driver.Phase("a"), EJobPhase::Completed);
 	EXPECT_EQ(starts.begun.size(), 1u);
 }
