--- a/Loomreach/Entry/EndsSubmitter.h
+++ b/Loomreach/Entry/EndsHandIn.h
@@ -48,4 +48,4 @@
 
 } // namespace Loomreach::Jobs
 
-#include <Loomreach/Entry/EndsSubmitter.inl>
+#include <Loomreach/Entry/EndsHandIn.inl>
--- a/Loomreach/Entry/FleetDriver.h
+++ b/Loomreach/Entry/FleetSeat.h
@@ -83,4 +83,4 @@
 
 } // namespace Loomreach::Jobs
 
-#include <Loomreach/Entry/FleetDriver.inl>
+#include <Loomreach/Entry/FleetSeat.inl>
--- a/Loomreach/Entry/HttpListener.cpp
+++ b/Loomreach/Entry/HttpListener.cpp
@@ -5,7 +5,7 @@
 
 #include <Loomreach/Core/Error.h>
 #include <Loomreach/Entry/HttpListener.h>
-#include <Loomreach/Platform/KeepAlive.h>
+#include <Loomreach/Platform/ConnectionCare.h>
 
 namespace Loomreach
 {
--- a/Loomreach/Entry/JobHost.h
+++ b/Loomreach/Entry/JobHost.h
@@ -4,15 +4,15 @@
 #pragma once
 
 #include <Loomreach/Core/Random.h>
-#include <Loomreach/Entry/EndsSubmitter.h>
-#include <Loomreach/Entry/FleetDriver.h>
+#include <Loomreach/Entry/EndsHandIn.h>
+#include <Loomreach/Entry/FleetSeat.h>
 #include <Loomreach/Entry/HelperSearch.h>
 #include <Loomreach/Entry/InboxWriter.h>
 #include <Loomreach/Entry/JobCalls.h>
 #include <Loomreach/Entry/StoreWatch.h>
 #include <Loomreach/Forward/OrderSender.h>
 #include <Loomreach/Ownership/StoreBudget.h>
-#include <Loomreach/Schedule/RunEndReplicas.h>
+#include <Loomreach/Schedule/EndReplicas.h>
 #include <Loomreach/Schedule/ZoneEvacuations.h>
 
 namespace Loomreach::Jobs
--- a/Loomreach/Entry/LogFollower.h
+++ b/Loomreach/Entry/LogFollower.h
@@ -11,7 +11,7 @@
 #include <Loomreach/Core/Metrics.h>
 #include <Loomreach/Entry/PeerLink.h>
 #include <Loomreach/Platform/PlatformClient.h>
-#include <Loomreach/State/ApplyProposals.h>
+#include <Loomreach/State/Fold.h>
 #include <Loomreach/State/Snapshot.h>
 
 namespace Loomreach
--- a/Loomreach/Fleet/PoolBalancer.h
+++ b/Loomreach/Fleet/PoolBalancer.h
@@ -6,7 +6,7 @@
 
 #pragma once
 
-#include <Loomreach/Fleet/MaintenancePlanner.h>
+#include <Loomreach/Fleet/Upkeep.h>
 #include <Loomreach/Schedule/Catalogue.h>
 #include <Loomreach/Schedule/PoolDemand.h>
 
--- a/Loomreach/Fleet/TeamShares.cpp
+++ b/Loomreach/Fleet/TeamShares.cpp
@@ -8,7 +8,7 @@
 namespace Loomreach::Jobs
 {
 
-/// The demand of a cell counts against other cells for this long after its last question: five question intervals (TeamUsage.cpp).
+/// The demand of a cell counts against other cells for this long after its last question: five question intervals (TeamUse.cpp).
 static constexpr Millis cDemandFreshMs = 1000;
 
 /// Share of its limit that a team uses, in thousandths, of the resource that is scarcest for it.
--- a/Loomreach/Fleet/MaintenancePlanner.cpp
+++ b/Loomreach/Fleet/Upkeep.cpp
@@ -3,7 +3,7 @@
 #include <Loomreach/Loomreach.h>
 
 #include <Loomreach/Core/LogEvent.h>
-#include <Loomreach/Fleet/MaintenancePlanner.h>
+#include <Loomreach/Fleet/Upkeep.h>
 
 namespace Loomreach::Jobs
 {
--- a/Loomreach/Platform/KeepAlive.cpp
+++ b/Loomreach/Platform/ConnectionCare.cpp
@@ -2,7 +2,7 @@
 
 #include <Loomreach/Loomreach.h>
 
-#include <Loomreach/Platform/KeepAlive.h>
+#include <Loomreach/Platform/ConnectionCare.h>
 
 #include <netinet/in.h>
 #include <netinet/tcp.h>
--- a/Loomreach/Platform/HttpClient.cpp
+++ b/Loomreach/Platform/HttpClient.cpp
@@ -4,8 +4,8 @@
 
 #include <Loomreach/Core/Clock.h>
 #include <Loomreach/Core/LogEvent.h>
+#include <Loomreach/Platform/ConnectionCare.h>
 #include <Loomreach/Platform/HttpClient.h>
-#include <Loomreach/Platform/KeepAlive.h>
 
 #include <glib-unix.h>
 #include <sys/epoll.h>
--- a/Loomreach/Platform/HttpClient.h
+++ b/Loomreach/Platform/HttpClient.h
@@ -16,7 +16,7 @@
 #pragma once
 
 #include <Loomreach/Core/GlibHandle.h>
-#include <Loomreach/Platform/ResponseTimeTracker.h>
+#include <Loomreach/Platform/PeerTrust.h>
 #include <Loomreach/Settings/DaemonConfig.h>
 
 #include <curl/curl.h>
--- a/Loomreach/Platform/ResponseTimeTracker.cpp
+++ b/Loomreach/Platform/PeerTrust.cpp
@@ -2,7 +2,7 @@
 
 #include <Loomreach/Loomreach.h>
 
-#include <Loomreach/Platform/ResponseTimeTracker.h>
+#include <Loomreach/Platform/PeerTrust.h>
 
 namespace Loomreach
 {
--- a/Loomreach/Schedule/Cell.h
+++ b/Loomreach/Schedule/Cell.h
@@ -15,12 +15,12 @@
 
 #include <Loomreach/Schedule/ArrivalRate.h>
 #include <Loomreach/Schedule/Catalogue.h>
+#include <Loomreach/Schedule/CellTrail.h>
 #include <Loomreach/Schedule/CrashEvidence.h>
+#include <Loomreach/Schedule/EndReplicator.h>
 #include <Loomreach/Schedule/PoolDemand.h>
-#include <Loomreach/Schedule/RunEndReplicator.h>
-#include <Loomreach/Schedule/RunEventLog.h>
 #include <Loomreach/Schedule/RunTimes.h>
-#include <Loomreach/Schedule/TeamUsage.h>
+#include <Loomreach/Schedule/TeamUse.h>
 #include <Loomreach/Schedule/WorkerLeases.h>
 #include <Loomreach/Schedule/WorkerToken.h>
 
--- a/Loomreach/Schedule/RunEventLog.cpp
+++ b/Loomreach/Schedule/CellTrail.cpp
@@ -3,7 +3,7 @@
 #include <Loomreach/Loomreach.h>
 
 #include <Loomreach/Core/LogEvent.h>
-#include <Loomreach/Schedule/RunEventLog.h>
+#include <Loomreach/Schedule/CellTrail.h>
 #include <Loomreach/Schedule/TaskText.h>
 
 namespace Loomreach::Jobs
--- a/Loomreach/Schedule/RunEndReplicas.cpp
+++ b/Loomreach/Schedule/EndReplicas.cpp
@@ -3,7 +3,7 @@
 #include <Loomreach/Loomreach.h>
 
 #include <Loomreach/Core/LogEvent.h>
-#include <Loomreach/Schedule/RunEndReplicas.h>
+#include <Loomreach/Schedule/EndReplicas.h>
 
 namespace Loomreach::Jobs
 {
--- a/Loomreach/Schedule/RunEndReplicas.h
+++ b/Loomreach/Schedule/EndReplicas.h
@@ -3,7 +3,7 @@
 
 #pragma once
 
-#include <Loomreach/Schedule/RunEndReplicator.h>
+#include <Loomreach/Schedule/EndReplicator.h>
 
 namespace Loomreach::Jobs
 {
--- a/Loomreach/Schedule/RunEndReplicator.cpp
+++ b/Loomreach/Schedule/EndReplicator.cpp
@@ -2,7 +2,7 @@
 
 #include <Loomreach/Loomreach.h>
 
-#include <Loomreach/Schedule/RunEndReplicator.h>
+#include <Loomreach/Schedule/EndReplicator.h>
 
 namespace Loomreach::Jobs
 {
--- a/Loomreach/Schedule/TeamUsage.cpp
+++ b/Loomreach/Schedule/TeamUse.cpp
@@ -4,7 +4,7 @@
 
 #include <Loomreach/Core/Invariant.h>
 #include <Loomreach/Core/LogEvent.h>
-#include <Loomreach/Schedule/TeamUsage.h>
+#include <Loomreach/Schedule/TeamUse.h>
 
 namespace Loomreach::Jobs
 {
--- a/Loomreach/State/ApplyProposals.cpp
+++ b/Loomreach/State/Fold.cpp
@@ -3,8 +3,8 @@
 #include <Loomreach/Loomreach.h>
 
 #include <Loomreach/Core/Invariant.h>
-#include <Loomreach/State/ApplyProposals.h>
 #include <Loomreach/State/ClaimGroups.h>
+#include <Loomreach/State/Fold.h>
 
 namespace Loomreach
 {
--- a/PerformanceTest/FleetBuilder.h
+++ b/PerformanceTest/FleetBuilder.h
@@ -2,7 +2,7 @@
 
 #pragma once
 
-#include <Loomreach/State/ApplyProposals.h>
+#include <Loomreach/State/Fold.h>
 
 namespace Loomreach
 {
--- a/SoakTests/FakePlatform.h
+++ b/SoakTests/FakePlatform.h
@@ -4,7 +4,7 @@
 
 #include <Loomreach/Core/Random.h>
 #include <Loomreach/Fleet/Observations.h>
-#include <Loomreach/State/ApplyProposals.h>
+#include <Loomreach/State/Fold.h>
 
 namespace Loomreach
 {
--- a/UnitTests/CatalogueTests.cpp
+++ b/UnitTests/CatalogueTests.cpp
@@ -4,7 +4,7 @@
 
 #include <Loomreach/Core/Error.h>
 #include <Loomreach/Schedule/Catalogue.h>
-#include <UnitTests/CellSimulation.h>
+#include <UnitTests/CellWorld.h>
 #include <platform/StoreRecords.h>
 
 #include <gtest/gtest.h>
--- a/UnitTests/CellCancelTests.cpp
+++ b/UnitTests/CellCancelTests.cpp
@@ -4,7 +4,7 @@
 #include <Loomreach/Loomreach.h>
 
 #include <Loomreach/Core/Invariant.h>
-#include <UnitTests/CellSimulation.h>
+#include <UnitTests/CellWorld.h>
 
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
--- a/UnitTests/CellEvacuationTests.cpp
+++ b/UnitTests/CellEvacuationTests.cpp
@@ -3,7 +3,7 @@
 #include <Loomreach/Loomreach.h>
 
 #include <Loomreach/Schedule/ZoneEvacuations.h>
-#include <UnitTests/CellScenarios.h>
+#include <UnitTests/CellTroubles.h>
 
 #include <gtest/gtest.h>
 
--- a/UnitTests/CellLateEndTests.cpp
+++ b/UnitTests/CellLateEndTests.cpp
@@ -2,7 +2,7 @@
 
 #include <Loomreach/Loomreach.h>
 
-#include <UnitTests/CellSimulation.h>
+#include <UnitTests/CellWorld.h>
 
 #include <gtest/gtest.h>
 
--- a/UnitTests/CellRestartTests.cpp
+++ b/UnitTests/CellRestartTests.cpp
@@ -4,7 +4,7 @@
 
 #include <Loomreach/Schedule/WorkerToken.h>
 #include <Loomreach/State/Codec.h>
-#include <UnitTests/CellScenarios.h>
+#include <UnitTests/CellTroubles.h>
 
 #include <gtest/gtest.h>
 
--- a/UnitTests/CellTests.cpp
+++ b/UnitTests/CellTests.cpp
@@ -2,7 +2,7 @@
 
 #include <Loomreach/Loomreach.h>
 
-#include <UnitTests/CellScenarios.h>
+#include <UnitTests/CellTroubles.h>
 
 #include <gtest/gtest.h>
 
--- a/UnitTests/CellScenarios.h
+++ b/UnitTests/CellTroubles.h
@@ -2,7 +2,7 @@
 
 #pragma once
 
-#include <UnitTests/CellSimulation.h>
+#include <UnitTests/CellWorld.h>
 
 namespace Loomreach::Jobs
 {
--- a/UnitTests/CellSimulation.h
+++ b/UnitTests/CellWorld.h
@@ -6,7 +6,7 @@
 
 #include <Loomreach/Core/Random.h>
 #include <Loomreach/Schedule/Cell.h>
-#include <Loomreach/Schedule/RunEndReplicas.h>
+#include <Loomreach/Schedule/EndReplicas.h>
 
 namespace Loomreach::Jobs
 {
--- a/UnitTests/CellSimulationWorkers.cpp
+++ b/UnitTests/CellWorldWorkers.cpp
@@ -3,7 +3,7 @@
 #include <Loomreach/Loomreach.h>
 
 #include <Loomreach/Schedule/TaskText.h>
-#include <UnitTests/CellSimulation.h>
+#include <UnitTests/CellWorld.h>
 
 namespace Loomreach::Jobs
 {
--- a/UnitTests/EndsSubmitterTests.cpp
+++ b/UnitTests/EndsSubmitterTests.cpp
@@ -2,10 +2,10 @@
 
 #include <Loomreach/Loomreach.h>
 
-#include <Loomreach/Entry/EndsSubmitter.h>
+#include <Loomreach/Entry/EndsHandIn.h>
 #include <Loomreach/Ownership/CellNames.h>
 #include <Loomreach/State/Codec.h>
-#include <UnitTests/CellSimulation.h>
+#include <UnitTests/CellWorld.h>
 #include <UnitTests/FakeLog.h>
 
 #include <gtest/gtest.h>
--- a/UnitTests/FleetDriverTests.cpp
+++ b/UnitTests/FleetDriverTests.cpp
@@ -3,7 +3,7 @@
 #include <Loomreach/Loomreach.h>
 
 #include <Loomreach/Core/Clock.h>
-#include <Loomreach/Entry/FleetDriver.h>
+#include <Loomreach/Entry/FleetSeat.h>
 #include <UnitTests/FakeLog.h>
 
 #include <gtest/gtest.h>
--- a/UnitTests/RunEndReplicaTests.cpp
+++ b/UnitTests/RunEndReplicaTests.cpp
@@ -2,7 +2,7 @@
 
 #include <Loomreach/Loomreach.h>
 
-#include <Loomreach/Schedule/RunEndReplicas.h>
+#include <Loomreach/Schedule/EndReplicas.h>
 #include <Loomreach/State/Codec.h>
 
 #include <gtest/gtest.h>
--- a/UnitTests/SharedStoreTests.cpp
+++ b/UnitTests/SharedStoreTests.cpp
@@ -8,7 +8,7 @@
 
 #include <Loomreach/Core/Random.h>
 #include <Loomreach/Ownership/StoreBudget.h>
-#include <Loomreach/Platform/ResponseTimeTracker.h>
+#include <Loomreach/Platform/PeerTrust.h>
 
 #include <gtest/gtest.h>
 
--- a/UnitTests/TeamSharesTests.cpp
+++ b/UnitTests/TeamSharesTests.cpp
@@ -6,8 +6,8 @@
 #include <Loomreach/Core/Invariant.h>
 #include <Loomreach/Core/Random.h>
 #include <Loomreach/Fleet/TeamShares.h>
-#include <Loomreach/Schedule/TeamUsage.h>
-#include <UnitTests/CellSimulation.h>
+#include <Loomreach/Schedule/TeamUse.h>
+#include <UnitTests/CellWorld.h>
 
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
--- a/UnitTests/TestFleet.h
+++ b/UnitTests/TestFleet.h
@@ -3,7 +3,7 @@
 
 #pragma once
 
-#include <Loomreach/State/ApplyProposals.h>
+#include <Loomreach/State/Fold.h>
 
 #include <gtest/gtest.h>
 
--- a/UnitTests/WorkerOrderTests.cpp
+++ b/UnitTests/WorkerOrderTests.cpp
@@ -4,7 +4,7 @@
 
 #include <Loomreach/Core/Clock.h>
 #include <Loomreach/Entry/HttpListener.h>
-#include <UnitTests/CellSimulation.h>
+#include <UnitTests/CellWorld.h>
 #include <UnitTests/FakeLog.h>
 #include <platform/WorkerCalls.h>
 
