--- a/Loomreach/Entry/CellSeat.inl
+++ b/Loomreach/Entry/CellDriver.inl
@@ -23,23 +23,23 @@
 {
 	CellTuning tuning;
 	tuning.lease_ms = inConfig.worker_lease_ms;
-	tuning.most_lease_ms = inConfig.worker_lease_ms;
-	tuning.granted_lease_ms = inConfig.worker_most_lease_ms;
+	tuning.max_lease_ms = inConfig.worker_lease_ms;
+	tuning.worker_lease_cap_ms = inConfig.worker_max_lease_ms;
 	tuning.demand_hold_ms = inConfig.demand_hold_ms;
 	tuning.keep_ended_ms = inConfig.keep_ended_ms + inConfig.keep_ended_ms / 4;
 	return tuning;
 }
 
 template <class Hub>
-CellSeat<Hub>::CellSeat(Hub &inHub, const SeatContext &inContext, uint32 inCell)
+CellDriver<Hub>::CellDriver(Hub &inHub, const DriverContext &inContext, uint32 inCell)
 	: hub(inHub), context(inContext), number(inCell),
-	  log(inHub.store, CellLog(inCell, static_cast<uint32>(inContext.config.log_parts)), inContext.process),
+	  log(inHub.store, CellLog(inCell, static_cast<uint32>(inContext.config.log_partitions)), inContext.process),
 	  cell(CellTuningOf(inContext.config))
 {
 }
 
 template <class Hub>
-void CellSeat<Hub>::Claim(uint64 inHeartbeatNumber, const OnOwnership &inDone)
+void CellDriver<Hub>::Claim(uint64 inHeartbeatNumber, const OnOwnership &inDone)
 {
 	this->on_ownership = inDone;
 	this->log.Claim(
@@ -47,7 +47,7 @@
 		[this](const ClaimRecord &inSeen)
 		{
 			const Millis now = NowMillis();
-			if (inSeen.epoch != 0 && inSeen.by.life != this->context.process.life)
+			if (inSeen.epoch != 0 && inSeen.by.incarnation != this->context.process.incarnation)
 				this->context.owners.OnClaimSeen(this->number, inSeen, now);
 			return this->context.lease.MayAct(now) && this->context.owners.IsFree(this->number, now);
 		},
@@ -63,7 +63,7 @@
 }
 
 template <class Hub>
-void CellSeat<Hub>::Begin(const typename OwnedLog<Store>::Records &inRecords)
+void CellDriver<Hub>::Begin(const typename OwnedLog<Store>::Records &inRecords)
 {
 	size_t damaged = 0;
 	for (const auto &[key, value] : inRecords)
@@ -71,7 +71,7 @@
 	this->cell.Begin(this->log.Epoch(), NowMillis(), this->number);
 	this->held = true;
 	this->claimed_at = NowMillis();
-	const CellFigures figures = this->cell.Figures();
+	const CellCounts figures = this->cell.Counts();
 	LogEvent(ELogLevel::Info, "cell_owned")
 		.Field("cell", this->number)
 		.Field("epoch", this->log.Epoch())
@@ -85,21 +85,21 @@
 }
 
 template <class Hub>
-void CellSeat<Hub>::SetWorkers(const std::vector<WorkerEntry> &inWorkers, Millis inTrustUntil)
+void CellDriver<Hub>::SetWorkers(const std::vector<WorkerEntry> &inWorkers, Millis inTrustUntil)
 {
 	std::vector<WorkerEntry> own_workers;
 	for (const WorkerEntry &worker : inWorkers)
-		if (CellOf(worker.pool, static_cast<uint32>(this->context.config.log_parts)) == this->number)
+		if (CellOf(worker.pool, static_cast<uint32>(this->context.config.log_partitions)) == this->number)
 			own_workers.push_back(worker);
 	this->cell.SetWorkers(own_workers, NowMillis(), inTrustUntil);
 	this->ScheduleStep(cStepDelayMs);
 }
 
 template <class Hub>
-void CellSeat<Hub>::ReadInbox()
+void CellDriver<Hub>::ReadInbox()
 {
 	const Millis sent_at = NowMillis();
-	const LogName inbox = InboxLog(this->number, static_cast<uint32>(this->context.config.log_parts));
+	const LogName inbox = InboxLog(this->number, static_cast<uint32>(this->context.config.log_partitions));
 	this->hub.store.Read(inbox, false, this->cell.InboxNext(), cInboxReadWaitMs,
 						 this->Guard(
 							 [this, sent_at](ReadAnswer inAnswer)
@@ -114,7 +114,7 @@
 }
 
 template <class Hub>
-void CellSeat<Hub>::OnInbox(ReadAnswer inAnswer)
+void CellDriver<Hub>::OnInbox(ReadAnswer inAnswer)
 {
 	if (inAnswer.result == ERead::Failed)
 		return this->inbox_retry_timer.Once(cInboxRetryMs, [this] { this->ReadInbox(); });
@@ -140,14 +140,14 @@
 }
 
 template <class Hub>
-void CellSeat<Hub>::ScheduleStep(Millis inDelayMs)
+void CellDriver<Hub>::ScheduleStep(Millis inDelayMs)
 {
 	if (!this->step_timer.IsRunning())
 		this->step_timer.Once(inDelayMs, [this] { this->Step(); });
 }
 
 template <class Hub>
-void CellSeat<Hub>::Step()
+void CellDriver<Hub>::Step()
 {
 	const Millis now = NowMillis();
 	// Without the lease another owner may already be acting on this cell
@@ -157,7 +157,7 @@
 	const double began = NowMillisExact();
 	this->cell.Plan(now, WallMillis());
 	const double planned = NowMillisExact();
-	this->context.metrics.Time(ETiming::Plan, planned - began);
+	this->context.metrics.Observe(ETiming::Plan, planned - began);
 	this->SendOrders();
 	this->ReplicateEnds();
 	this->AskShares(now);
@@ -170,7 +170,7 @@
 			.Field("plan_ms", static_cast<int64>(planned - began))
 			.Field("send_ms", static_cast<int64>(sent - planned))
 			.Field("write_ms", static_cast<int64>(written - sent));
-	for (const AdviceQuestion &question : this->cell.TakeAdvice())
+	for (const AdviceRequest &question : this->cell.TakeAdvice())
 		this->hub.adviser.Ask(question, this->Guard(
 											[this, question](const AdviceAnswer &inAnswer)
 											{
@@ -180,7 +180,7 @@
 }
 
 template <class Hub>
-void CellSeat<Hub>::CheckInboxFreshness(Millis inNow)
+void CellDriver<Hub>::CheckInboxFreshness(Millis inNow)
 {
 	// Checked separately from appends: the store may accept appends while reads fail
 	const bool fresh = inNow - std::max(this->inbox_read_at, this->claimed_at) < cInboxStaleMs;
@@ -193,7 +193,7 @@
 }
 
 template <class Hub>
-void CellSeat<Hub>::AskShares(Millis inNow)
+void CellDriver<Hub>::AskShares(Millis inNow)
 {
 	if (this->awaiting_shares || inNow < this->cell.NextSharesAt())
 		return;
@@ -217,9 +217,9 @@
 }
 
 template <class Hub>
-void CellSeat<Hub>::Write()
+void CellDriver<Hub>::Write()
 {
-	if (this->log.IsBusy() || !this->cell.HasNews())
+	if (this->log.IsBusy() || !this->cell.HasUnwrittenChanges())
 		return;
 	const Millis since = NowMillis() - this->log.LastSentAt();
 	if (since < cAppendIntervalMs)
@@ -248,7 +248,7 @@
 }
 
 template <class Hub>
-void CellSeat<Hub>::SendOrders()
+void CellDriver<Hub>::SendOrders()
 {
 	for (Order &order : this->cell.TakeOrders(NowMillis()))
 	{
@@ -274,22 +274,22 @@
 }
 
 template <class Hub>
-void CellSeat<Hub>::ReplicateEnds()
+void CellDriver<Hub>::ReplicateEnds()
 {
-	while (const std::optional<EndsUpdate> update = this->cell.TakeEndsUpdate(NowMillis()))
+	while (const std::optional<RunEndsUpdate> update = this->cell.TakeEndsUpdate(NowMillis()))
 		if (this->context.replicate_ends)
 			this->context.replicate_ends(*update);
 }
 
 template <class Hub>
-PeerAnswer CellSeat<Hub>::Answer(const PeerQuestion &inQuestion)
+PeerAnswer CellDriver<Hub>::Answer(const PeerQuestion &inQuestion)
 {
 	const Millis now = NowMillis();
 	PeerAnswer answer;
 	answer.owner = this->held && this->context.lease.MayAct(now);
 	if (!answer.owner)
 		return answer;
-	answer.sure = this->inbox_read_at >= 0 && now - this->inbox_read_at < 2 * cInboxReadWaitMs;
+	answer.inbox_current = this->inbox_read_at >= 0 && now - this->inbox_read_at < 2 * cInboxReadWaitMs;
 	switch (inQuestion.kind)
 	{
 	case EQuestion::Show:
@@ -302,15 +302,15 @@
 	}
 	case EQuestion::Count: answer.waiting = this->cell.Waiting(inQuestion.queue); break;
 	case EQuestion::Demand:
-		this->cell.NoteLeft(inQuestion.left, now);
+		this->cell.OnWorkersRemoved(inQuestion.departed, now);
 		answer.demand = this->cell.Demand(inQuestion.id, inQuestion.count, inQuestion.for_ms, now, WallMillis());
 		break;
-	case EQuestion::Shares: // Answered by the fleet driver
-	case EQuestion::Enter:  // Answered by the host itself; any host may append to an inbox
-	case EQuestion::Reach:
+	case EQuestion::Shares:      // Answered by the fleet driver
+	case EQuestion::AppendInbox: // Answered by the host itself; any host may append to an inbox
+	case EQuestion::StoreReach:
 	case EQuestion::Owners:
 	case EQuestion::Forward: break;
-	case EQuestion::Empty: answer.empty = this->cell.Vacate(inQuestion.id, inQuestion.for_ms, now); break;
+	case EQuestion::Drain: answer.drained = this->cell.DrainWorker(inQuestion.id, inQuestion.for_ms, now); break;
 	}
 	return answer;
 }
--- a/Loomreach/Entry/OperatorServer.cpp
+++ b/Loomreach/Entry/OperatorServer.cpp
@@ -183,7 +183,7 @@
 	Json members = Json::array();
 	for (const auto &[name, member] : this->follower.State().view.members)
 	{
-		const bool live = name == this->config.name || this->control.Tracker().IsHeard(member, now);
+		const bool live = name == this->config.name || this->control.Tracker().IsConsideredLive(member, now);
 		members.push_back({{"name", name}, {"availability_zone", member.availability_zone}, {"heard", live}});
 	}
 	body["members"] = std::move(members);
@@ -206,7 +206,7 @@
 	for (size_t i = 0; i < static_cast<size_t>(ESetting::Count); ++i)
 	{
 		const ESetting setting = static_cast<ESetting>(i);
-		const Explained explained = state.settings.Explain(path, setting);
+		const EffectiveSetting explained = state.settings.Explain(path, setting);
 		rows.push_back({{"setting", InfoOf(setting).name},
 						{"value", TextOf(setting, explained.value)},
 						{"from", explained.from.empty() ? "default" : explained.from},
@@ -289,7 +289,8 @@
 		if (next > offset)
 			++reached;
 		else
-			behind.push_back({{"name", name}, {"heard", name == this->config.name || this->control.Tracker().IsHeard(member, now)}});
+			behind.push_back(
+				{{"name", name}, {"heard", name == this->config.name || this->control.Tracker().IsConsideredLive(member, now)}});
 	}
 	this->Reply(inCall.message, {{"reached", reached}, {"behind", std::move(behind)}});
 }
@@ -320,7 +321,7 @@
 	const LogPosition version_before = this->follower.State().settings_version;
 	const SettingsTree settings_before = this->follower.State().settings;
 	this->proposer.Propose(std::move(inBody),
-						   [this, message, version_before, settings_before](const Verdict &inOutcome)
+						   [this, message, version_before, settings_before](const ProposalOutcome &inOutcome)
 						   {
 							   if (inOutcome.Accepted())
 							   {
--- a/Loomreach/Entry/StateReport.cpp
+++ b/Loomreach/Entry/StateReport.cpp
@@ -36,7 +36,7 @@
 	{
 		auto counts = inState.pool_counts.find(path);
 		const PoolCounts hosts = counts == inState.pool_counts.end() ? PoolCounts() : counts->second;
-		const Buffer buffer = ReckonBuffer(inState, pool, {});
+		const Buffer buffer = ComputeBuffer(inState, pool, {});
 		const std::string buffer_purpose =
 			pool.buffer_percent >= 0 ? "the share that the settings state" : "the loss of its largest rack during a wave";
 		auto blocker = inWaveBlockers.find(path);
@@ -45,10 +45,10 @@
 						{"available", hosts.available},
 						{"required", inState.RequiredAvailable(path)},
 						{"capacity_cpu_milli", buffer.capacity},
-						{"services_cpu_milli", buffer.firm},
-						{"batch_cpu_milli", buffer.soft},
+						{"services_cpu_milli", buffer.service_cpu},
+						{"batch_cpu_milli", buffer.batch_cpu},
 						{"spare_cpu_milli", buffer.Spare()},
-						{"buffer_cpu_milli", buffer.wanted},
+						{"buffer_cpu_milli", buffer.required},
 						{"buffer_is_for", buffer_purpose},
 						{"held_by", blocker == inWaveBlockers.end() ? "" : blocker->second}});
 	}
--- a/Loomreach/Fleet/PoolBalancer.h
+++ b/Loomreach/Fleet/PoolBalancer.h
@@ -43,15 +43,15 @@
 	/// Call when the owner of a pool has answered a question that was asked at `inAskedAt`.
 	void OnDemand(const std::string &inPool, const PoolDemand &inDemand, Millis inAskedAt);
 	/// Pools to ask, and how many workers each should drain and grant.
-	std::vector<std::pair<std::string, uint32>> ToAsk(Millis inNow) const;
+	std::vector<std::pair<std::string, uint32>> PoolsToAsk(Millis inNow) const;
 	/// Pools that cannot spare a host.
-	std::set<std::string> Tight(Millis inNow) const;
+	std::set<std::string> PoolsInDeficit(Millis inNow) const;
 	/// Orders of moves to send now.
-	std::vector<HostDuty> TakeMoves(Millis inNow);
+	std::vector<HostOrder> TakeMoves(Millis inNow);
 	/// Call with the outcome of an ordered move.
-	void OnMove(const HostDuty &inOrder, EDutyResult inResult, Millis inNow);
+	void OnMove(const HostOrder &inOrder, EHostOrderResult inResult, Millis inNow);
 	/// Hosts whose ordered move has an unknown outcome and may still happen: their workers are to stay drained.
-	std::vector<HostEntry> InDoubt() const;
+	std::vector<HostEntry> UncertainMoves() const;
 
 private:
 	/// The latest demand of a pool.
@@ -88,9 +88,9 @@
 	/// Logs the sizes that have changed, to explain moves of hosts.
 	void LogSizes(Millis inNow);
 	/// Orders moves to the pools that lack hosts, from spare pools first, then from pools with too many.
-	void FillDeficits(std::map<std::string, int64> &ioDeficits, Millis inNow, std::vector<HostDuty> &outOrders);
+	void FillDeficits(std::map<std::string, int64> &ioDeficits, Millis inNow, std::vector<HostOrder> &outOrders);
 	/// Orders a move. `inNotAfter`: end of the drain grant; 0: none is needed.
-	void OrderMove(const HostEntry &inHost, const std::string &inTo, Millis inNow, Millis inNotAfter, std::vector<HostDuty> &outOrders);
+	void OrderMove(const HostEntry &inHost, const std::string &inTo, Millis inNow, Millis inNotAfter, std::vector<HostOrder> &outOrders);
 	/// End of the drain grants that the owner of a pool has given; 0: none.
 	Millis DrainGrantEnd(const std::string &inPool) const;
 	bool IsSpare(const std::string &inPool) const;
--- a/Loomreach/Ownership/CellNames.h
+++ b/Loomreach/Ownership/CellNames.h
@@ -37,9 +37,9 @@
 /// Number of partitions for the heartbeats of hosts. A slow store handles the appends to a partition one after the other, at 240 ms each:
 /// six owners in one partition would wait for each other longer than a lease lasts, two do not. The last partition is for hosts
 /// without cells, so that owners do not queue behind them. Every host reads all partitions, so more of them would cost more reads.
-inline constexpr uint32 cHostParts = 4;
+inline constexpr uint32 cHeartbeatPartitions = 4;
 
 /// One partition of the log of host heartbeats.
-inline LogName HostsLog(uint32 inPart) { return {"keyed.hosts", inPart}; }
+inline LogName HeartbeatLog(uint32 inPart) { return {"keyed.hosts", inPart}; }
 
 } // namespace Loomreach::Jobs
--- a/Loomreach/Schedule/CellCrashes.cpp
+++ b/Loomreach/Schedule/CellCrashes.cpp
@@ -105,7 +105,7 @@
 }
 
 /// Whether a task's crash counts call for a trial run.
-static bool WarrantsTrial(const TaskCrashes &inCrashes) { return inCrashes.blamed > 0 || inCrashes.beside >= cUnblamedCrashesForTrial; }
+static bool WarrantsTrial(const TaskCrashes &inCrashes) { return inCrashes.blamed > 0 || inCrashes.bystander >= cUnblamedCrashesForTrial; }
 
 CrashCounts::key_type Cell::CrashKey(const CellJob &inJob, const TaskId &inTask)
 {
@@ -143,7 +143,7 @@
 	ioWorker.open_trials = 0;
 	for (auto &[id, run] : ioWorker.runs)
 	{
-		if (run.lasting && !run.blame_exempt && SurvivedMs(ioWorker, run) >= cBlameExemptAfterMs)
+		if (run.long_running && !run.blame_exempt && SurvivedMs(ioWorker, run) >= cBlameExemptAfterMs)
 		{
 			run.blame_exempt = true;
 			this->ClearCrashes(ioWorker, id);
@@ -213,7 +213,7 @@
 {
 	Millis &since = ioJob.volatile_state[inUnit][inTask].trial_wanted_since;
 	since = since < 0 ? inNow : since;
-	const Resources reserved = ioJob.StepOf(inUnit).Room();
+	const Resources reserved = ioJob.StepOf(inUnit).Reserved();
 	const auto [available, reserved_count] = this->WorkersForTrials(ioJob.spec.pool, inNow);
 	CellWorker *emptiest = nullptr;
 	for (CellWorker *worker : available)
@@ -293,9 +293,10 @@
 
 bool Cell::CrashedRightAfterStart(const CellWorker &inWorker, const Run &inRun)
 {
-	const bool at_once = inRun.confirmed_at >= 0 && inWorker.connections_closed_at - inRun.confirmed_at <= cImmediateCrashMs;
+	const bool after_start = inRun.confirmed_at >= 0 && inWorker.connections_closed_at - inRun.confirmed_at <= cImmediateCrashMs;
 	// An expired lease is no proof of a crash: the worker may have been partitioned by connection resets and still run
-	return inWorker.ended && IsLossTimeKnown(inWorker) && inWorker.connections_closed_at >= 0 && HasJustStarted(inWorker, inRun) && at_once;
+	return inWorker.ended && IsLossTimeKnown(inWorker) && inWorker.connections_closed_at >= 0 && HasJustStarted(inWorker, inRun) &&
+		   after_start;
 }
 
 bool Cell::HasSurvivedStart(const CellJob &inJob, uint64 inUnit) const
@@ -318,38 +319,38 @@
 	return false;
 }
 
-ERival Cell::JudgeSuspect(const CrashRival &inRival)
+ESuspectState Cell::JudgeSuspect(const CrashSuspect &inSuspect)
 {
-	const CellJob *job = this->FindJob(inRival.job);
-	if (job == nullptr || inRival.unit >= job->record.steps.size())
-		return ERival::Open;
+	const CellJob *job = this->FindJob(inSuspect.job);
+	if (job == nullptr || inSuspect.unit >= job->record.steps.size())
+		return ESuspectState::Undecided;
 	const bool proved =
 		std::any_of(job->crashes.begin(), job->crashes.end(),
-					[&inRival](const auto &inCounted) { return inCounted.first.first == inRival.unit && inCounted.second.proved; });
+					[&inSuspect](const auto &inCounted) { return inCounted.first.first == inSuspect.unit && inCounted.second.proved; });
 	if (proved)
-		return ERival::Proved;
-	return this->HasSurvivedStart(*job, inRival.unit) ? ERival::Cleared : ERival::Open;
+		return ESuspectState::Proved;
+	return this->HasSurvivedStart(*job, inSuspect.unit) ? ESuspectState::Cleared : ESuspectState::Undecided;
 }
 
-CrashWeight Cell::WeightOf(const TaskCrashes &inCrashes)
+CrashSummary Cell::WeightOf(const TaskCrashes &inCrashes)
 {
-	return WeighCrashes(inCrashes, [this](const CrashRival &inRival) { return this->JudgeSuspect(inRival); });
+	return SummarizeCrashes(inCrashes, [this](const CrashSuspect &inSuspect) { return this->JudgeSuspect(inSuspect); });
 }
 
-std::vector<CrashRival> Cell::OtherSuspects(const std::vector<RunId> &inSuspects, const RunId &inRun)
+std::vector<CrashSuspect> Cell::OtherSuspects(const std::vector<RunId> &inSuspects, const RunId &inRun)
 {
-	std::vector<CrashRival> rivals;
+	std::vector<CrashSuspect> suspects;
 	const auto unit_of = [this](const TaskId &inTask) -> uint64 { return this->FindJob(inTask.job)->Unit(inTask.round, inTask.step); };
 	for (const RunId &other : inSuspects)
 	{
 		if (this->OpenJobOf(other.task) == nullptr)
 			continue;
-		CrashRival rival{other.task.job, unit_of(other.task)};
-		const bool is_own = rival.job == inRun.task.job && rival.unit == unit_of(inRun.task);
-		if (!is_own && std::find(rivals.begin(), rivals.end(), rival) == rivals.end())
-			rivals.push_back(std::move(rival));
+		CrashSuspect suspect{other.task.job, unit_of(other.task)};
+		const bool is_own = suspect.job == inRun.task.job && suspect.unit == unit_of(inRun.task);
+		if (!is_own && std::find(suspects.begin(), suspects.end(), suspect) == suspects.end())
+			suspects.push_back(std::move(suspect));
 	}
-	return rivals;
+	return suspects;
 }
 
 bool Cell::CountCrash(CellWorker &ioWorker, const RunId &inRun, const std::vector<RunId> &inSuspects, bool inChance, Millis inNow)
@@ -361,35 +362,35 @@
 	// when it was lost
 	const bool by_others = inChance && run.trial != ETrial::None;
 	const bool tells_nothing = by_others || run.confirmed_at < 0 || !IsLossTimeKnown(ioWorker);
-	++(tells_nothing ? crashes.beside : crashes.blamed);
-	const bool at_once = !inChance && Cell::CrashedRightAfterStart(ioWorker, run);
-	crashes.at_once += at_once ? 1 : 0;
-	crashes.cases.push_back({!tells_nothing, at_once, inChance, this->OtherSuspects(inSuspects, inRun)});
+	++(tells_nothing ? crashes.bystander : crashes.blamed);
+	const bool after_start = !inChance && Cell::CrashedRightAfterStart(ioWorker, run);
+	crashes.after_start += after_start ? 1 : 0;
+	crashes.cases.push_back({!tells_nothing, after_start, inChance, this->OtherSuspects(inSuspects, inRun)});
 	this->MarkChanged(job);
-	const CrashWeight weight = this->WeightOf(crashes);
+	const CrashSummary weight = this->WeightOf(crashes);
 	const bool only_suspect = inSuspects.size() == 1;
 	// Recent crashes without a recent start suggest that this one is random as well
-	CrashDoubts doubts;
-	doubts.workers_crash =
+	ChanceIndicators indicators;
+	indicators.other_workers_crashed =
 		std::any_of(this->recent_losses.begin(), this->recent_losses.end(), [](const WorkerLoss &inLost) { return !inLost.just_started; });
-	doubts.unit_is_sound = this->HasSurvivedStart(job, job.Unit(inRun.task.round, inRun.task.step));
-	const bool proved = only_suspect && at_once && IsCrasherProved(weight, doubts);
+	indicators.step_task_survived = this->HasSurvivedStart(job, job.Unit(inRun.task.round, inRun.task.step));
+	const bool proved = only_suspect && after_start && IsCrashCauseProved(weight, indicators);
 	// The proof may depend on other suspects whose trial runs are outstanding
-	CrashWeight cleared = weight;
-	cleared.sole = cleared.at_once;
-	if (only_suspect && at_once && !proved && IsCrasherProved(cleared, doubts))
+	CrashSummary cleared = weight;
+	cleared.sole_suspect_after_start = cleared.after_start;
+	if (only_suspect && after_start && !proved && IsCrashCauseProved(cleared, indicators))
 		this->AwaitOtherSuspects(job, inRun.task, inNow);
-	const bool exceeds_limit = weight.clear >= cMinClearCrashes && weight.Total() >= cMaxCrashes;
+	const bool exceeds_limit = weight.sole_suspect >= cMinClearCrashes && weight.Total() >= cMaxCrashes;
 	// The specified limit applies to all crashes, explained or not
-	const bool given_up = proved || exceeds_limit || IsMoreThanBorne(crashes);
+	const bool given_up = proved || exceeds_limit || ExceedsCrashLimit(crashes);
 	LogEvent(ELogLevel::Warning, "task_blamed")
 		.Field("request", inRun.task.job)
 		.Field("task", TaskText(inRun.task))
 		.Field("run", inRun.run)
 		.Field("worker", ioWorker.entry.id)
 		.Field("blamed", crashes.blamed)
-		.Field("at_once", crashes.at_once)
-		.Field("beside", crashes.beside)
+		.Field("at_once", crashes.after_start)
+		.Field("beside", crashes.bystander)
 		.Field("seen_ms", SurvivedMs(ioWorker, run))
 		.Field("after_start_ms",
 			   run.confirmed_at < 0 || ioWorker.connections_closed_at < 0 ? -1 : ioWorker.connections_closed_at - run.confirmed_at)
@@ -398,11 +399,11 @@
 		.Field("trial", NameOf(cTrialNames, run.trial))
 		.Field("alone", only_suspect ? 1 : 0)
 		.Field("chance", inChance ? 1 : 0)
-		.Field("rivals", crashes.cases.back().rivals.size())
-		.Field("sole", weight.sole)
+		.Field("rivals", crashes.cases.back().suspects.size())
+		.Field("sole", weight.sole_suspect_after_start)
 		.Field("explained", weight.explained)
-		.Field("workers_crash", doubts.workers_crash ? 1 : 0)
-		.Field("unit_is_sound", doubts.unit_is_sound ? 1 : 0)
+		.Field("workers_crash", indicators.other_workers_crashed ? 1 : 0)
+		.Field("unit_is_sound", indicators.step_task_survived ? 1 : 0)
 		.Field("outcome", given_up ? "given up" : (WarrantsTrial(crashes) ? "starts on trial" : "counted"))
 		.Field("cell", this->run_events.Cell())
 		.Field("epoch", this->epoch);
@@ -435,11 +436,11 @@
 		}
 		VolatileTaskState &state = *this->FindVolatileState(task);
 		TaskCrashes &crashes = job->crashes[Cell::CrashKey(*job, task)];
-		const CrashWeight weight = this->WeightOf(crashes);
-		CrashDoubts doubts;
-		doubts.unit_is_sound = this->HasSurvivedStart(*job, job->Unit(task.round, task.step));
-		const bool proved = IsCrasherProved(weight, doubts);
-		const bool decided = proved || weight.explained > 0 || doubts.unit_is_sound || inNow >= state.not_before;
+		const CrashSummary weight = this->WeightOf(crashes);
+		ChanceIndicators indicators;
+		indicators.step_task_survived = this->HasSurvivedStart(*job, job->Unit(task.round, task.step));
+		const bool proved = IsCrashCauseProved(weight, indicators);
+		const bool decided = proved || weight.explained > 0 || indicators.step_task_survived || inNow >= state.not_before;
 		if (!decided)
 		{
 			++it;
@@ -450,10 +451,10 @@
 		LogEvent(ELogLevel::Warning, "task_judged")
 			.Field("request", task.job)
 			.Field("task", TaskText(task))
-			.Field("at_once", weight.at_once)
-			.Field("sole", weight.sole)
+			.Field("at_once", weight.after_start)
+			.Field("sole", weight.sole_suspect_after_start)
 			.Field("explained", weight.explained)
-			.Field("unit_is_sound", doubts.unit_is_sound ? 1 : 0)
+			.Field("unit_is_sound", indicators.step_task_survived ? 1 : 0)
 			.Field("outcome", proved ? "given up" : "starts on trial")
 			.Field("cell", this->run_events.Cell())
 			.Field("epoch", this->epoch);
@@ -477,7 +478,7 @@
 		if (CellJob *job = this->OpenJobOf(id.task); job != nullptr)
 		{
 			TaskCrashes &crashes = job->crashes[Cell::CrashKey(*job, id.task)];
-			++crashes.beside;
+			++crashes.bystander;
 			crashes.cases.push_back({false, false, chance, this->OtherSuspects(suspects, id)});
 			this->MarkChanged(*job);
 		}
--- a/Loomreach/Schedule/CellTypes.h
+++ b/Loomreach/Schedule/CellTypes.h
@@ -7,7 +7,7 @@
 #pragma once
 
 #include <Loomreach/Schedule/Advice.h>
-#include <Loomreach/Schedule/StepSeen.h>
+#include <Loomreach/Schedule/StepRunTimes.h>
 #include <Loomreach/Schedule/TaskCrashes.h>
 #include <Loomreach/Schedule/Worker.h>
 
@@ -17,10 +17,10 @@
 /// Times, limits and weights of one cell. Times are in ms.
 struct CellTuning
 {
-	Millis lease_ms = 4000;       ///< Lease granted to a worker's runs by each poll. Setting `worker_lease_ms`.
-	Millis most_lease_ms = 10000; ///< Longest lease that any owner may have granted. Setting `worker_most_lease_ms`.
+	Millis lease_ms = 4000;      ///< Lease granted to a worker's runs by each poll. Setting `worker_lease_ms`.
+	Millis max_lease_ms = 10000; ///< Longest lease that any owner may have granted. Setting `worker_most_lease_ms`.
 	/// Workers truncate longer leases to this, including a lease whose end was computed for the clock of a previous incarnation.
-	Millis granted_lease_ms = 10000;
+	Millis worker_lease_cap_ms = 10000;
 	Millis poll_wait_ms = 1500; ///< How long a long poll waits for a run end; well below the lease.
 	/// Poll wait while latency-sensitive and best-effort runs share the worker: tail latency must be seen before it does harm.
 	Millis short_poll_wait_ms = 500;
@@ -107,8 +107,8 @@
 	Resources requested;            ///< What its task requests; counts against the team's limit.
 	std::string team;               ///< Empty: no team.
 	bool latency_sensitive = false; ///< Long-running with a latency target.
-	bool fills = false;
-	bool lasting = false;
+	bool best_effort = false;
+	bool long_running = false;
 	bool resumed = false;   ///< Started from a checkpoint, so its run time is not representative.
 	bool inherited = false; ///< Found in the log at take-over: a previous owner may have ordered it to stop.
 	/// The run was on a previous incarnation that this owner never heard from. Until then a previous owner may still submit its end.
@@ -126,7 +126,7 @@
 	Millis next_stop_at = 0;
 	int64 percent = 0;
 	Millis progress_at = 0;       ///< When `percent` was reported.
-	int64 figure = 0;             ///< As in RunningRow.
+	int64 measurement = 0;        ///< As in RunningRun.
 	int64 throttle_percent = 100; ///< Share of full speed that it was last told to work at.
 	bool throttle_in_flight = false;
 	std::string ticket;
@@ -136,22 +136,22 @@
 inline Run NewRun(const JobSpec &inJob, const StepSpec &inStep, ERunState inState, Millis inNow)
 {
 	Run run;
-	run.requested = inStep.need;
+	run.requested = inStep.requested;
 	run.team = inJob.team;
 	run.state = inState;
 	run.since = inNow;
-	run.reserved = inStep.Room();
-	run.latency_sensitive = inStep.lasting && inStep.target_ms > 0;
-	run.fills = inStep.fills;
-	run.lasting = inStep.lasting;
+	run.reserved = inStep.Reserved();
+	run.latency_sensitive = inStep.long_running && inStep.latency_target_ms > 0;
+	run.best_effort = inStep.best_effort;
+	run.long_running = inStep.long_running;
 	return run;
 }
 
 /// State of one incarnation of a worker. The next one, which may have the same id, starts with none of it.
 struct WorkerIncarnation
 {
-	int64 born_ms = cBirthUnknown; ///< Identifies the incarnation together with the worker's id.
-	uint64 incarnation_number = 0; ///< Part of the token of its orders; higher than for every earlier incarnation.
+	int64 started_ms = cStartTimeUnknown; ///< Identifies the incarnation together with the worker's id.
+	uint64 incarnation_number = 0;        ///< Part of the token of its orders; higher than for every earlier incarnation.
 	/// Something suggests that another incarnation has begun. The next poll decides; until then nothing is started.
 	bool restart_suspected = false;
 	bool leave_announced = false;    ///< The worker has announced that it leaves.
@@ -179,7 +179,7 @@
 	uint64 logged_seq = 0;               ///< Up to here: in the log, so the worker may drop them.
 	uint64 sent_ack_seq = 0;             ///< Up to here: acknowledged to the worker by a poll.
 	uint64 acked_seq = 0;                ///< Up to here: acknowledged by a poll that the worker answered.
-	std::vector<EndedRow> unlogged_ends; ///< Invariant: the polled ends after `logged_seq` up to `recorded_seq`, in order.
+	std::vector<EndedRun> unlogged_ends; ///< Invariant: the polled ends after `logged_seq` up to `recorded_seq`, in order.
 	Millis ends_logged_at = 0;           ///< When `logged_seq` last rose.
 	Millis backoff_until = 0;            ///< It refused an order; nothing new until then.
 	Millis quarantine_until = 0;
@@ -199,7 +199,7 @@
 /// Ends of a worker's previous incarnations that are not in the log yet.
 struct PreviousIncarnationEnds
 {
-	std::vector<EndedRow> rows;
+	std::vector<EndedRun> rows;
 	size_t series_count = 0;    ///< This many are in the current series of appends.
 	size_t appending_count = 0; ///< This many are in the log once the append in flight completes.
 };
@@ -217,13 +217,13 @@
 	Millis assumed_present_until = 0;
 	/// Its location is in the log or in the append in flight. A successor also polls workers with a logged location that the list lacks.
 	bool location_logged = false;
-	int64 logged_started_ms = cBirthUnknown; ///< Incarnation that the log names, likewise.
-	std::map<RunId, Run> runs;               ///< Invariant: exactly the runs that the task records place here.
-	Resources used;                          ///< Sum of the runs' reserved resources.
-	uint32 open_trials = 0;                  ///< Trial runs that currently forbid other starts.
-	uint32 unsized_runs = 0;                 ///< Runs whose reserved resources are unknown.
-	Millis lease_expires_at = 0;             ///< On the owner's clock; everything dispatched has lapsed by then unless extended.
-	Millis last_unanswered_at = -cNeverMs;   ///< When an order last got no answer; it may still be carried out.
+	int64 logged_started_ms = cStartTimeUnknown; ///< Incarnation that the log names, likewise.
+	std::map<RunId, Run> runs;                   ///< Invariant: exactly the runs that the task records place here.
+	Resources used;                              ///< Sum of the runs' reserved resources.
+	uint32 open_trials = 0;                      ///< Trial runs that currently forbid other starts.
+	uint32 unsized_runs = 0;                     ///< Runs whose reserved resources are unknown.
+	Millis lease_expires_at = 0;                 ///< On the owner's clock; everything dispatched has lapsed by then unless extended.
+	Millis last_unanswered_at = -cNeverMs;       ///< When an order last got no answer; it may still be carried out.
 	PreviousIncarnationEnds previous_ends;
 	Millis drain_until = 0;        ///< Being drained for maintenance; nothing new until then.
 	Millis drain_grant_until = 0;  ///< It was reported empty, so its host may be moved or taken down until then.
@@ -296,7 +296,7 @@
 	JobSpec spec;
 	JobRecord record;
 	std::vector<std::vector<VolatileTaskState>> volatile_state; ///< By unit and task.
-	std::vector<StepSeen> seen;                                 ///< By unit.
+	std::vector<StepRunTimes> seen;                             ///< By unit.
 	CrashCounts crashes;                                        ///< In the log whenever `record` is.
 	CrashCasesByTask crash_cases;                               ///< As restored; merged into `crashes` when the cell begins.
 	bool crashes_logged = false;                                ///< Crash records are in the log or in the append in flight.
@@ -327,7 +327,7 @@
 {
 	std::string worker;
 	uint64 epoch = 0; ///< Of the owner that polled the worker.
-	std::vector<EndedRow> ended;
+	std::vector<EndedRun> ended;
 
 	template <class Archive>
 	void serialize(Archive &ioArchive)
--- a/Loomreach/Schedule/CrashEvidence.cpp
+++ b/Loomreach/Schedule/CrashEvidence.cpp
@@ -15,41 +15,42 @@
 /// After a task has crashed three workers it may be started at most twice more.
 static constexpr uint32 cMaxCrashes = 5;
 
-bool IsMoreThanBorne(const TaskCrashes &inCrashes) { return inCrashes.Total() >= cMaxCrashes; }
+bool ExceedsCrashLimit(const TaskCrashes &inCrashes) { return inCrashes.Total() >= cMaxCrashes; }
 
-CrashWeight WeighCrashes(const TaskCrashes &inCrashes, const RivalJudge &inJudge)
+CrashSummary SummarizeCrashes(const TaskCrashes &inCrashes, const SuspectStateLookup &inJudge)
 {
-	CrashWeight weight;
+	CrashSummary weight;
 	weight.blamed = inCrashes.blamed;
-	weight.at_once = inCrashes.at_once;
-	weight.beside = inCrashes.beside;
+	weight.after_start = inCrashes.after_start;
+	weight.bystander = inCrashes.bystander;
 	for (const CrashCase &crash : inCrashes.cases)
 	{
 		bool is_sole = true;
 		bool is_explained = false;
-		for (const CrashRival &rival : crash.rivals)
+		for (const CrashSuspect &suspect : crash.suspects)
 		{
-			const ERival state = inJudge(rival);
-			is_sole = is_sole && state == ERival::Cleared;
-			is_explained = is_explained || state == ERival::Proved;
+			const ESuspectState state = inJudge(suspect);
+			is_sole = is_sole && state == ESuspectState::Cleared;
+			is_explained = is_explained || state == ESuspectState::Proved;
 		}
 		if (!is_explained)
 		{
-			weight.clear += crash.blamed && !crash.chance && is_sole ? 1 : 0;
-			weight.sole += crash.at_once && is_sole ? 1 : 0;
+			weight.sole_suspect += crash.blamed && !crash.chance && is_sole ? 1 : 0;
+			weight.sole_suspect_after_start += crash.after_start && is_sole ? 1 : 0;
 			continue;
 		}
 		++weight.explained;
-		weight.at_once -= crash.at_once ? 1 : 0;
-		--(crash.blamed ? weight.blamed : weight.beside);
+		weight.after_start -= crash.after_start ? 1 : 0;
+		--(crash.blamed ? weight.blamed : weight.bystander);
 	}
 	return weight;
 }
 
-bool IsCrasherProved(const CrashWeight &inWeight, const CrashDoubts &inDoubts)
+bool IsCrashCauseProved(const CrashSummary &inWeight, const ChanceIndicators &inIndicators)
 {
-	const bool in_doubt = inDoubts.workers_crash || inDoubts.unit_is_sound || inWeight.sole < cProvingCrashes;
-	return inWeight.at_once >= (in_doubt ? cProvingCrashesInDoubt : cProvingCrashes);
+	const bool in_doubt =
+		inIndicators.other_workers_crashed || inIndicators.step_task_survived || inWeight.sole_suspect_after_start < cProvingCrashes;
+	return inWeight.after_start >= (in_doubt ? cProvingCrashesInDoubt : cProvingCrashes);
 }
 
 } // namespace Loomreach::Jobs
--- a/Loomreach/Schedule/TaskCrashes.cpp
+++ b/Loomreach/Schedule/TaskCrashes.cpp
@@ -7,7 +7,7 @@
 namespace Loomreach::Jobs
 {
 
-CrashCasesByTask CasesOf(const CrashCounts &inCounts)
+CrashCasesByTask ExtractCrashCases(const CrashCounts &inCounts)
 {
 	CrashCasesByTask cases;
 	for (const auto &[task, crashes] : inCounts)
@@ -15,7 +15,7 @@
 	return cases;
 }
 
-void TakeCases(CrashCounts &ioCounts, const CrashCasesByTask &inCases)
+void MergeCrashCases(CrashCounts &ioCounts, const CrashCasesByTask &inCases)
 {
 	for (const auto &[task, cases] : inCases)
 	{
@@ -25,10 +25,11 @@
 		TaskCrashes &crashes = counted->second;
 		const auto blamed = static_cast<uint32>(
 			std::count_if(cases.cases.begin(), cases.cases.end(), [](const CrashCase &inCase) { return inCase.blamed; }));
-		const auto at_once = static_cast<uint32>(
-			std::count_if(cases.cases.begin(), cases.cases.end(), [](const CrashCase &inCase) { return inCase.at_once; }));
+		const auto after_start = static_cast<uint32>(
+			std::count_if(cases.cases.begin(), cases.cases.end(), [](const CrashCase &inCase) { return inCase.after_start; }));
 		// Counts that were reset after these cases were written do not include them
-		const bool fits = blamed <= crashes.blamed && at_once <= crashes.at_once && cases.cases.size() - blamed <= crashes.beside;
+		const bool fits =
+			blamed <= crashes.blamed && after_start <= crashes.after_start && cases.cases.size() - blamed <= crashes.bystander;
 		if (!fits)
 			continue;
 		crashes.cases = cases.cases;
--- a/Loomreach/State/Fold.cpp
+++ b/Loomreach/State/Fold.cpp
@@ -94,7 +94,7 @@
 {
 	if (inHost.phase != EHostPhase::Active)
 		return FailFalse(EError::WrongPhase, inHost.spec.name + " is " + std::string(NameOfPhase(inHost.phase)));
-	if (!inWave.empty() && inWave != cPlatformDrain)
+	if (!inWave.empty() && inWave != cPlatformDrainWave)
 	{
 		auto wave = this->state.waves.find(inWave);
 		if (wave == this->state.waves.end())
@@ -178,7 +178,7 @@
 	case EHostStep::Drained: ioHost.phase = EHostPhase::Drained; break;
 	case EHostStep::Out:
 		ioHost.phase = EHostPhase::Out;
-		ioHost.out_boot = inProposal.boot;
+		ioHost.boot_before_reboot = inProposal.boot;
 		break;
 	case EHostStep::Returned:
 		// Stays unavailable until it is reported healthy
@@ -274,13 +274,13 @@
 		team_used = used->second;
 	// The placement being replaced releases its resources
 	if (inOld != nullptr && inOld->host == inProposal.host)
-		free += inOld->need;
+		free += inOld->requested;
 	if (inOld != nullptr && inOld->team == inJob.team)
-		team_used -= inOld->need.cpu_milli;
-	if (!inJob.need.FitIn(free))
+		team_used -= inOld->requested.cpu_milli;
+	if (!inJob.requested.FitsInto(free))
 		return FailFalse(EError::CapacityExceeded, inProposal.host + " has no room for " + inProposal.replica.Text());
 	auto quota = this->state.team_quota_cpu.find(inJob.team);
-	if (quota != this->state.team_quota_cpu.end() && team_used + inJob.need.cpu_milli > quota->second)
+	if (quota != this->state.team_quota_cpu.end() && team_used + inJob.requested.cpu_milli > quota->second)
 		return FailFalse(EError::QuotaExceeded,
 						 "team " + inJob.team + " uses " + std::to_string(team_used) + " of its quota of " + std::to_string(quota->second));
 	return true;
@@ -310,10 +310,10 @@
 		return false;
 	if (old_placement != nullptr)
 		this->state.Detach(inProposal.replica, *old_placement);
-	const Placement placement{inProposal.host, this->position, job->second.need, job->second.team, job->second.priority};
+	const Placement placement{inProposal.host, this->position, job->second.requested, job->second.team, job->second.priority};
 	this->state.Attach(inProposal.replica, placement);
 	this->state.placements[inProposal.replica] = placement;
-	LOOM_INVARIANT(host->second.used.FitIn(host->second.spec.capacity), "a host's replicas take no more than its capacity");
+	LOOM_INVARIANT(host->second.used.FitsInto(host->second.spec.capacity), "a host's replicas take no more than its capacity");
 	return true;
 }
 
@@ -518,9 +518,9 @@
 
 } // namespace
 
-Verdict FoldProposal(FleetState &ioState, LogPosition inPosition, const Proposal &inProposal)
+ProposalOutcome ApplyProposal(FleetState &ioState, LogPosition inPosition, const Proposal &inProposal)
 {
-	Verdict outcome{inProposal.id, inProposal.Kind(), inPosition, EError::None, {}};
+	ProposalOutcome outcome{inProposal.id, inProposal.Kind(), inPosition, EError::None, {}};
 	auto proposer = ioState.proposers.find(inProposal.id.incarnation);
 	// A process appends in order and repeats a batch until it is confirmed, so a sequence number that is not newer is a duplicate
 	if (proposer != ioState.proposers.end() && inProposal.id.sequence <= proposer->second.sequence)
@@ -539,10 +539,10 @@
 	return outcome;
 }
 
-std::vector<Verdict> FoldRecord(FleetState &ioState, LogOffset inOffset, std::string_view inRecord)
+std::vector<ProposalOutcome> ApplyLogRecord(FleetState &ioState, LogOffset inOffset, std::string_view inRecord)
 {
 	LOOM_INVARIANT(inOffset >= ioState.next_offset, "records are applied once and in log order");
-	std::vector<Verdict> outcomes;
+	std::vector<ProposalOutcome> outcomes;
 	const std::optional<Batch> batch = DecodeBatch(inRecord);
 	if (!batch.has_value())
 	{
@@ -552,7 +552,7 @@
 	{
 		uint64 index = 0;
 		for (const Proposal &proposal : *batch)
-			outcomes.push_back(FoldProposal(ioState, PositionAt(inOffset, index++), proposal));
+			outcomes.push_back(ApplyProposal(ioState, PositionAt(inOffset, index++), proposal));
 	}
 	ioState.next_offset = inOffset + 1;
 	return outcomes;
--- a/Loomreach/State/Records.h
+++ b/Loomreach/State/Records.h
@@ -44,7 +44,7 @@
 	Resources &operator+=(const Resources &inOther);
 	Resources &operator-=(const Resources &inOther);
 	/// Whether no resource exceeds that of `inCapacity`.
-	bool FitIn(const Resources &inCapacity) const;
+	bool FitsInto(const Resources &inCapacity) const;
 	template <class Archive>
 	void serialize(Archive &ioArchive)
 	{
@@ -155,7 +155,7 @@
 };
 
 /// Used in place of a wave's name when a host is drained because the platform is about to remove it.
-constexpr std::string_view cPlatformDrain = "@platform";
+constexpr std::string_view cPlatformDrainWave = "@platform";
 
 /// Takes a host one step through its lifecycle. Precondition: `generation` is the host's present one.
 struct StepHost
--- a/UnitTests/CellCancelTests.cpp
+++ b/UnitTests/CellCancelTests.cpp
@@ -1,5 +1,5 @@
 // Cancelled jobs whose runs begin late: a start order was delayed for seconds, and its sender may have stopped. No run of such a job may go
-// on for longer than a worker in contact needs to stop it (CellWorld::CheckCanceled).
+// on for longer than a worker in contact needs to stop it (CellSimulation::CheckCanceled).
 
 #include <Loomreach/Loomreach.h>
 
@@ -19,9 +19,9 @@
 constexpr Millis cLongRunMs = 30000;
 
 /// Delayed starts, and owners that are killed or hand over. Polls and stops arrive.
-Trouble DelayedStarts(Random &ioRandom)
+SimulationFaults DelayedStarts(Random &ioRandom)
 {
-	Trouble faults;
+	SimulationFaults faults;
 	faults.late_start = 20 + ioRandom.Below(80);
 	faults.owner_kill = ioRandom.Below(40);
 	faults.owner_handover = ioRandom.Below(15);
@@ -37,9 +37,9 @@
 }
 
 /// The same with polls and stops that are lost or late too, and workers that are unreachable, slow, replaced or drained.
-Trouble DelayedOrders(Random &ioRandom)
+SimulationFaults DelayedOrders(Random &ioRandom)
 {
-	Trouble faults = DelayedStarts(ioRandom);
+	SimulationFaults faults = DelayedStarts(ioRandom);
 	faults.late_order = ioRandom.Below(20);
 	faults.lost_order = ioRandom.Below(8);
 	faults.lost_answer = ioRandom.Below(8);
@@ -55,9 +55,9 @@
 }
 
 /// Entries that lapse often, with the default lease: it ends in time what a successor cannot reach.
-Trouble LapsingEntries(Random &ioRandom)
+SimulationFaults LapsingEntries(Random &ioRandom)
 {
-	Trouble faults = DelayedStarts(ioRandom);
+	SimulationFaults faults = DelayedStarts(ioRandom);
 	faults.entry_lapse = 10 + ioRandom.Below(20);
 	faults.owner_kill = 10 + ioRandom.Below(30);
 	faults.lease_ms = 0;
@@ -67,7 +67,7 @@
 /// Options of a cancel simulation.
 struct CancelOptions
 {
-	bool needs_address = true; ///< See CellWorld.
+	bool needs_address = true; ///< See CellSimulation.
 	/// The cancelled jobs' tasks are long-running, and until the cancel their stops are limited by how many others are missing.
 	bool long_running = false;
 };
@@ -76,10 +76,10 @@
 void MakeLongRunning(JobSpec &ioJob)
 {
 	StepSpec &step = ioJob.steps[0];
-	step.lasting = true;
+	step.long_running = true;
 	step.max_per_worker = 1;
-	step.limits_misses = true;
-	step.may_miss = 1;
+	step.limits_unavailable = true;
+	step.max_unavailable = 1;
 }
 
 /// Result of a cancel simulation.
@@ -90,11 +90,11 @@
 };
 
 /// Cancels jobs within five seconds of their submission, beside other jobs that keep the workers' leases renewed.
-CancelResult RunCancelSimulation(uint64 inSeed, Trouble (*inKind)(Random &), const CancelOptions &inOptions = {})
+CancelResult RunCancelSimulation(uint64 inSeed, SimulationFaults (*inKind)(Random &), const CancelOptions &inOptions = {})
 {
 	SetInvariantsAbort(true);
 	Random random(inSeed);
-	CellWorld simulation(inSeed, inKind(random), 2 + random.Below(4));
+	CellSimulation simulation(inSeed, inKind(random), 2 + random.Below(4));
 	simulation.needs_address = inOptions.needs_address;
 	std::vector<std::pair<Millis, std::string>> cancels;
 	for (Millis at = 0; at < 30000; at += 100)
@@ -122,7 +122,7 @@
 	simulation.Run(15000);
 	simulation.ClearFaults();
 	simulation.Run(40000);
-	return {simulation.Broken() + simulation.Open(), simulation.StartsAfterCancel()};
+	return {simulation.Violations() + simulation.UnfinishedJobs(), simulation.StartsAfterCancel()};
 }
 
 /// One worker and one cell, driven step by step.
@@ -157,7 +157,7 @@
 			this->now += 10;
 			this->cell.Plan(this->now, this->now);
 			this->AnswerOrders();
-			if (this->batch.empty() && this->cell.HasNews())
+			if (this->batch.empty() && this->cell.HasUnwrittenChanges())
 				this->batch = this->cell.TakeBatch(this->now);
 			if (!this->batch.empty() && this->log_answers)
 				this->Append();
@@ -185,7 +185,7 @@
 	std::vector<KeyedRecord> batch; ///< The append in flight.
 	std::map<std::string, std::string> log;
 	std::vector<Order> sent;
-	std::vector<RunningRow> running; ///< Runs on the worker.
+	std::vector<RunningRun> running; ///< Runs on the worker.
 
 private:
 	void AnswerOrders()
@@ -203,10 +203,10 @@
 				answer.result = EOrderResult::Done;
 				answer.clock_ms = this->now;
 			}
-			if (answers && order.kind == EOrder::Hold)
+			if (answers && order.kind == EOrder::Poll)
 				answer.running = this->running;
 			if (answers && order.kind == EOrder::Stop)
-				std::erase_if(this->running, [&](const RunningRow &inRow) { return inRow.task == order.task && inRow.run == order.run; });
+				std::erase_if(this->running, [&](const RunningRun &inRow) { return inRow.task == order.task && inRow.run == order.run; });
 			this->cell.OnAnswer(order, answer, this->now - 5, this->now);
 		}
 	}
@@ -271,10 +271,10 @@
 	// The worker is polled though nothing else runs there, and it gets the stop, so that the run can never begin
 	harness.Advance(1000);
 	EXPECT_EQ(harness.Count(EOrder::Stop), 1u);
-	EXPECT_EQ(harness.cell.Figures().runs, 0u);
+	EXPECT_EQ(harness.cell.Counts().runs, 0u);
 }
 
-TEST(CellCancel, ARunStaysKnownWhileItsWorkerIsSilent)
+TEST(CellCancel, ARunStaysKnownWhileItsWorkerIsUnresponsive)
 {
 	OneWorkerHarness harness;
 	harness.Begin(1);
@@ -286,17 +286,17 @@
 	harness.Ingest(EInbox::Cancel, MakeJob("a", 1, 1, 1000, 300));
 	harness.Advance(1000);
 	EXPECT_EQ(harness.cell.Query("queue", "a").phase, EJobPhase::Canceled);
-	EXPECT_EQ(harness.cell.Figures().runs, 1u);
+	EXPECT_EQ(harness.cell.Counts().runs, 1u);
 	// The next owner finds the run in the log, polls its worker, and stops what has begun in the meantime
 	harness.Begin(2);
-	EXPECT_EQ(harness.cell.Figures().runs, 1u);
+	EXPECT_EQ(harness.cell.Counts().runs, 1u);
 	harness.ListWorker();
 	harness.running = {{{"a", 0, 0, 0}, 1, "", 0, 0}};
 	harness.worker_answers = true;
 	harness.Advance(500);
 	EXPECT_TRUE(harness.running.empty());
 	harness.Advance(1000);
-	EXPECT_EQ(harness.cell.Figures().runs, 0u);
+	EXPECT_EQ(harness.cell.Counts().runs, 0u);
 }
 
 TEST(CellCancel, ARunIsAskedAfterWhenItsWorkerIsListedAgain)
@@ -318,7 +318,7 @@
 	const auto to_nowhere = [](const Order &inOrder) { return inOrder.address.port == 0; };
 	harness.Advance(2000);
 	EXPECT_EQ(std::count_if(harness.sent.begin(), harness.sent.end(), to_nowhere), 0);
-	EXPECT_EQ(harness.cell.Figures().runs, 1u);
+	EXPECT_EQ(harness.cell.Counts().runs, 1u);
 	harness.ListWorker();
 	harness.Advance(500);
 	EXPECT_TRUE(harness.running.empty());
@@ -345,7 +345,7 @@
 	EXPECT_EQ(std::count_if(harness.sent.begin(), harness.sent.end(), to_nowhere), 0);
 	EXPECT_TRUE(harness.running.empty());
 	harness.Advance(500);
-	EXPECT_EQ(harness.cell.Figures().runs, 0u);
+	EXPECT_EQ(harness.cell.Counts().runs, 0u);
 	// A worker that was removed leaves no address record behind
 	harness.Advance(6000);
 	harness.cell.SetWorkers({}, harness.now);
@@ -369,7 +369,7 @@
 	harness.log_answers = true;
 	harness.Advance(500);
 	EXPECT_EQ(harness.Count(EOrder::Start), 0u);
-	EXPECT_EQ(harness.cell.Figures().runs, 0u);
+	EXPECT_EQ(harness.cell.Counts().runs, 0u);
 	EXPECT_EQ(harness.cell.Query("queue", "a").phase, EJobPhase::Canceled);
 }
 
@@ -388,7 +388,7 @@
 /// Guards against an owner whose appends succeed while its inbox reads do not, and that starts what was cancelled seconds before.
 TEST(CellCancel, StartsNothingWhileTheInboxCannotBeRead)
 {
-	CellWorld simulation(1, Trouble{}, 4);
+	CellSimulation simulation(1, SimulationFaults{}, 4);
 	simulation.Run(500);
 	simulation.Core().SetInboxFresh(false);
 	simulation.Submit(MakeJob("job", 1, 4, 500, 800));
@@ -397,7 +397,7 @@
 	simulation.Core().SetInboxFresh(true);
 	simulation.Run(5000);
 	EXPECT_EQ(simulation.Starts(), 4u);
-	EXPECT_EQ(simulation.Broken() + simulation.Open(), "");
+	EXPECT_EQ(simulation.Violations() + simulation.UnfinishedJobs(), "");
 }
 
 } // namespace Loomreach::Jobs
--- a/UnitTests/CellCrashTests.cpp
+++ b/UnitTests/CellCrashTests.cpp
@@ -23,7 +23,7 @@
 constexpr Millis cCrashMs = 10;
 constexpr size_t cWorkers = 12;
 
-std::string Failures(const CellWorld &inSimulation) { return inSimulation.Broken() + inSimulation.GivenUp(); }
+std::string Failures(const CellSimulation &inSimulation) { return inSimulation.Violations() + inSimulation.WronglyFailedJobs(); }
 
 } // namespace
 
@@ -31,16 +31,16 @@
 {
 	Random random(1);
 	int next = 0;
-	CellWorld simulation(1, Trouble{}, cWorkers);
+	CellSimulation simulation(1, SimulationFaults{}, cWorkers);
 	simulation.Run(500);
 	for (int i = 0; i < 3; ++i)
 		simulation.Submit(MakeCrashingJob(simulation, "bad" + std::to_string(i), 1, cCrashMs));
 	SubmitHealthyJobs(simulation, random, 20, next);
 	simulation.Run(60000);
 	EXPECT_EQ(Failures(simulation), "");
-	EXPECT_EQ(simulation.Open(), "");
+	EXPECT_EQ(simulation.UnfinishedJobs(), "");
 	for (int i = 0; i < 3; ++i)
-		EXPECT_EQ(simulation.Shown("bad" + std::to_string(i)).phase, EJobPhase::Failed);
+		EXPECT_EQ(simulation.QueryJob("bad" + std::to_string(i)).phase, EJobPhase::Failed);
 }
 
 TEST(CellCrash, GivesItUpAlsoWhereWorkersComeBackAfterTheirLeases)
@@ -50,7 +50,7 @@
 	{
 		Random random(seed);
 		int next = 0;
-		CellWorld simulation(seed, Trouble{}, cWorkers);
+		CellSimulation simulation(seed, SimulationFaults{}, cWorkers);
 		simulation.back_after_ms = 8000;
 		simulation.Run(500);
 		for (int i = 0; i < 3; ++i)
@@ -58,7 +58,7 @@
 		SubmitHealthyJobs(simulation, random, 20, next);
 		simulation.Run(90000);
 		EXPECT_EQ(Failures(simulation), "") << seed;
-		EXPECT_EQ(simulation.Open(), "") << seed;
+		EXPECT_EQ(simulation.UnfinishedJobs(), "") << seed;
 	}
 }
 
@@ -68,13 +68,13 @@
 {
 	for (uint64 seed = 1; seed <= 200; ++seed)
 	{
-		CellWorld simulation(seed, Trouble{}, cWorkers);
+		CellSimulation simulation(seed, SimulationFaults{}, cWorkers);
 		simulation.crashed_keep_ids = true;
 		AssignRacks(simulation);
 		simulation.Run(500);
 		simulation.Submit(MakeCrashingJob(simulation, "bad", 1, cCrashMs));
 		simulation.Run(30000);
-		EXPECT_EQ(simulation.Shown("bad").phase, EJobPhase::Failed) << seed;
+		EXPECT_EQ(simulation.QueryJob("bad").phase, EJobPhase::Failed) << seed;
 		EXPECT_EQ(simulation.CrashesCausedBy({"bad", 0, 0, 0}), 2u) << seed;
 	}
 }
@@ -82,7 +82,7 @@
 /// A pool sized by requested resources alone was left with two hosts for sixty tasks that waited for their trial runs.
 TEST(CellCrash, TasksThatWaitForATrialCountForTheSizeOfTheirPool)
 {
-	CellWorld simulation(1, Trouble{}, 2);
+	CellSimulation simulation(1, SimulationFaults{}, 2);
 	simulation.Run(500);
 	simulation.run_ms["sound"] = 1000;
 	simulation.Submit(MakeJob("sound", 1, 12, 500, 800));
@@ -91,13 +91,13 @@
 	for (int i = 0; i < 100; ++i)
 	{
 		simulation.Run(100);
-		most = std::max(most, simulation.Core().Demand("pool", 0, 1500, simulation.Now(), simulation.Now()).least_hosts);
+		most = std::max(most, simulation.Core().Demand("pool", 0, 1500, simulation.Now(), simulation.Now()).min_hosts);
 	}
 	EXPECT_GT(most, 2u);
 	simulation.Run(30000);
 	EXPECT_EQ(Failures(simulation), "");
-	EXPECT_EQ(simulation.Open(), "");
-	EXPECT_EQ(simulation.Core().Demand("pool", 0, 1500, simulation.Now(), simulation.Now()).least_hosts, 0u);
+	EXPECT_EQ(simulation.UnfinishedJobs(), "");
+	EXPECT_EQ(simulation.Core().Demand("pool", 0, 1500, simulation.Now(), simulation.Now()).min_hosts, 0u);
 }
 
 TEST(CellCrash, CountsOnWhenTheOwnerChanges)
@@ -106,7 +106,7 @@
 	{
 		Random random(seed);
 		int next = 0;
-		CellWorld simulation(seed, Trouble{}, cWorkers);
+		CellSimulation simulation(seed, SimulationFaults{}, cWorkers);
 		simulation.Run(500);
 		simulation.Submit(MakeCrashingJob(simulation, "bad", 2, cCrashMs));
 		for (int i = 0; i < 20; ++i)
@@ -117,32 +117,32 @@
 		}
 		simulation.Run(60000);
 		EXPECT_EQ(Failures(simulation), "") << seed;
-		EXPECT_EQ(simulation.Open(), "") << seed;
+		EXPECT_EQ(simulation.UnfinishedJobs(), "") << seed;
 	}
 }
 
 TEST(CellCrash, GivesUpAGangOneOfWhoseMembersCrashesItsWorker)
 {
-	CellWorld simulation(1, Trouble{}, cWorkers);
+	CellSimulation simulation(1, SimulationFaults{}, cWorkers);
 	simulation.Run(500);
 	JobSpec gang = MakeCrashingJob(simulation, "gang", 3, cCrashMs);
 	gang.steps[0].gang = true;
 	simulation.Submit(gang);
 	simulation.Run(60000);
 	EXPECT_EQ(Failures(simulation), "");
-	EXPECT_EQ(simulation.Shown("gang").phase, EJobPhase::Failed);
+	EXPECT_EQ(simulation.QueryJob("gang").phase, EJobPhase::Failed);
 }
 
-TEST(CellCrash, GivesUpALastingTaskThatCrashesEachWorker)
+TEST(CellCrash, GivesUpALongRunningTaskThatCrashesEachWorker)
 {
-	CellWorld simulation(1, Trouble{}, cWorkers);
+	CellSimulation simulation(1, SimulationFaults{}, cWorkers);
 	simulation.Run(500);
-	JobSpec lasting = MakeCrashingJob(simulation, "lasting", 2, cCrashMs);
-	lasting.steps[0].lasting = true;
-	simulation.Submit(lasting);
+	JobSpec long_running_job = MakeCrashingJob(simulation, "lasting", 2, cCrashMs);
+	long_running_job.steps[0].long_running = true;
+	simulation.Submit(long_running_job);
 	simulation.Run(60000);
 	EXPECT_EQ(Failures(simulation), "");
-	EXPECT_EQ(simulation.Shown("lasting").phase, EJobPhase::Failed);
+	EXPECT_EQ(simulation.QueryJob("lasting").phase, EJobPhase::Failed);
 }
 
 TEST(CellCrash, GivesUpATaskThatCrashesEachWorkerLaterInItsRun)
@@ -151,15 +151,15 @@
 	{
 		Random random(1);
 		int next = 0;
-		CellWorld simulation(1, Trouble{}, cWorkers);
+		CellSimulation simulation(1, SimulationFaults{}, cWorkers);
 		simulation.Run(500);
 		simulation.run_ms["bad"] = 5000;
 		simulation.Submit(MakeCrashingJob(simulation, "bad", 1, after));
 		SubmitHealthyJobs(simulation, random, 20, next);
 		simulation.Run(60000);
 		EXPECT_EQ(Failures(simulation), "") << after;
-		EXPECT_EQ(simulation.Open(), "") << after;
-		EXPECT_EQ(simulation.Shown("bad").phase, EJobPhase::Failed) << after;
+		EXPECT_EQ(simulation.UnfinishedJobs(), "") << after;
+		EXPECT_EQ(simulation.QueryJob("bad").phase, EJobPhase::Failed) << after;
 	}
 }
 
@@ -170,12 +170,12 @@
 	{
 		Random random(seed);
 		int next = 0;
-		CellWorld simulation(seed, Trouble{}, cWorkers);
+		CellSimulation simulation(seed, SimulationFaults{}, cWorkers);
 		AssignRacks(simulation);
 		simulation.Run(500);
-		JobSpec lasting = MakeJob("lasting", 1, 4, 1000, 500);
-		lasting.steps[0].lasting = true;
-		simulation.Submit(lasting);
+		JobSpec long_running_job = MakeJob("lasting", 1, 4, 1000, 500);
+		long_running_job.steps[0].long_running = true;
+		simulation.Submit(long_running_job);
 		for (int i = 0; i < 8; ++i)
 		{
 			SubmitHealthyJobs(simulation, random, 4, next);
@@ -188,7 +188,7 @@
 		simulation.Cancel("lasting");
 		simulation.Run(60000);
 		EXPECT_EQ(Failures(simulation), "") << seed;
-		EXPECT_EQ(simulation.Open(), "") << seed;
+		EXPECT_EQ(simulation.UnfinishedJobs(), "") << seed;
 	}
 }
 
@@ -199,7 +199,7 @@
 	{
 		Random random(seed);
 		int next = 0;
-		CellWorld simulation(seed, Trouble{}, cWorkers);
+		CellSimulation simulation(seed, SimulationFaults{}, cWorkers);
 		AssignRacks(simulation);
 		simulation.Run(500);
 		for (int i = 0; i < 12; ++i)
@@ -216,7 +216,7 @@
 		simulation.ClearFaults();
 		simulation.Run(60000);
 		EXPECT_EQ(Failures(simulation), "") << seed;
-		EXPECT_EQ(simulation.Open(), "") << seed;
+		EXPECT_EQ(simulation.UnfinishedJobs(), "") << seed;
 	}
 }
 
@@ -224,7 +224,7 @@
 {
 	// The lease of such a run may have expired before its worker crashed, with no run on it. Guards against blaming the task for
 	// that crash: its job would be failed once the workers of its other runs had crashed by chance
-	CellWorld simulation(1, Trouble{}, 4);
+	CellSimulation simulation(1, SimulationFaults{}, 4);
 	simulation.run_ms["a"] = 2000;
 	simulation.Run(500);
 	simulation.Submit(MakeJob("a", 1, 1, 1000, 2000));
@@ -246,7 +246,7 @@
 			simulation.Crash(worker, true, 500);
 	simulation.Run(20000);
 	EXPECT_EQ(Failures(simulation), "");
-	EXPECT_EQ(simulation.Shown("a").phase, EJobPhase::Completed);
+	EXPECT_EQ(simulation.QueryJob("a").phase, EJobPhase::Completed);
 }
 
 TEST(CellCrash, GivesUpATaskAtWhoseEveryTrialOthersOfTheRackGoAsWell)
@@ -254,12 +254,12 @@
 	// A trial run proves nothing if another worker of the rack is lost during it; without a limit the task would be tried forever
 	for (uint64 seed = 1; seed <= 20; ++seed)
 	{
-		CellWorld simulation(seed, Trouble{}, 6);
+		CellSimulation simulation(seed, SimulationFaults{}, 6);
 		simulation.Run(500);
-		JobSpec lasting = MakeJob("lasting", 1, 6, 1000, 500);
-		lasting.steps[0].lasting = true;
-		lasting.steps[0].max_per_worker = 1;
-		simulation.Submit(lasting);
+		JobSpec long_running_job = MakeJob("lasting", 1, 6, 1000, 500);
+		long_running_job.steps[0].long_running = true;
+		long_running_job.steps[0].max_per_worker = 1;
+		simulation.Submit(long_running_job);
 		simulation.Run(2000);
 		simulation.Submit(MakeCrashingJob(simulation, "bad", 1, cCrashMs));
 		const TaskId bad{"bad", 0, 0, 0};
@@ -278,12 +278,12 @@
 				}
 		}
 		EXPECT_EQ(Failures(simulation), "") << seed;
-		EXPECT_EQ(simulation.Shown("bad").phase, EJobPhase::Failed) << seed;
+		EXPECT_EQ(simulation.QueryJob("bad").phase, EJobPhase::Failed) << seed;
 	}
 }
 
 /// Crashes the workers on which a job runs. Returns their number.
-static size_t CrashWorkersOf(CellWorld &ioSimulation, const std::string &inJob)
+static size_t CrashWorkersOf(CellSimulation &ioSimulation, const std::string &inJob)
 {
 	std::vector<std::string> lost;
 	for (const auto &[id, worker] : ioSimulation.Workers())
@@ -295,17 +295,17 @@
 	return lost.size();
 }
 
-TEST(CellCrash, ALastingTaskThatIsAtWorkIsSuspectedNoMore)
+TEST(CellCrash, ALongRunningTaskThatIsAtWorkIsSuspectedNoMore)
 {
 	// Over months the workers of long-running tasks crash by chance, also right after a start. If all these crashes counted, the job would
 	// be failed; and a run isolated for its trial would keep all others off its worker for good
 	for (uint64 seed = 1; seed <= 10; ++seed)
 	{
-		CellWorld simulation(seed, Trouble{}, 3);
+		CellSimulation simulation(seed, SimulationFaults{}, 3);
 		simulation.Run(500);
-		JobSpec lasting = MakeJob("lasting", 1, 1, 1000, 500);
-		lasting.steps[0].lasting = true;
-		simulation.Submit(lasting);
+		JobSpec long_running_job = MakeJob("lasting", 1, 1, 1000, 500);
+		long_running_job.steps[0].long_running = true;
+		simulation.Submit(long_running_job);
 		simulation.Run(1000);
 		for (int month = 0; month < 6; ++month)
 		{
@@ -352,9 +352,9 @@
 {
 	Random random(inSeed);
 	int next = 0;
-	Trouble faults;
+	SimulationFaults faults;
 	faults.owner_kill = random.Below(10);
-	CellWorld simulation(inSeed, faults, cWorkers);
+	CellSimulation simulation(inSeed, faults, cWorkers);
 	simulation.crashed_keep_ids = inWorkerIds == EWorkerIds::Kept;
 	AssignRacks(simulation);
 	simulation.Run(500);
@@ -379,10 +379,10 @@
 	simulation.Run(10000);
 	simulation.ClearFaults();
 	simulation.Run(60000);
-	EXPECT_EQ(simulation.Broken(), "") << inSeed;
-	EXPECT_EQ(simulation.Open(), "") << inSeed;
+	EXPECT_EQ(simulation.Violations(), "") << inSeed;
+	EXPECT_EQ(simulation.UnfinishedJobs(), "") << inSeed;
 	result.healthy = static_cast<size_t>(next);
-	const std::string wrongly_failed = simulation.GivenUp();
+	const std::string wrongly_failed = simulation.WronglyFailedJobs();
 	result.wrongly_failed = static_cast<size_t>(std::count(wrongly_failed.begin(), wrongly_failed.end(), '\n'));
 	for (int i = 0; i < 10; ++i)
 		for (uint32 task = 0; task < 2; ++task)
@@ -439,9 +439,9 @@
 	{
 		Random random(seed);
 		int next = 0;
-		Trouble faults;
+		SimulationFaults faults;
 		faults.owner_kill = random.Below(10);
-		CellWorld simulation(seed, faults, cWorkers);
+		CellSimulation simulation(seed, faults, cWorkers);
 		AssignRacks(simulation);
 		simulation.Run(500);
 		for (int i = 0; i < 10; ++i)
@@ -460,7 +460,7 @@
 		simulation.ClearFaults();
 		simulation.Run(60000);
 		EXPECT_EQ(Failures(simulation), "") << seed;
-		EXPECT_EQ(simulation.Open(), "") << seed;
+		EXPECT_EQ(simulation.UnfinishedJobs(), "") << seed;
 	}
 }
 
@@ -470,12 +470,12 @@
 static std::string RunAllFaults(uint64 inSeed, uint64 inFailing, size_t &outWronglyFailed, size_t &outHealthy)
 {
 	Random random(inSeed);
-	Trouble faults = AllFaults(random);
+	SimulationFaults faults = AllFaults(random);
 	faults.capacity_shrink = random.Below(10);
 	// A host whose links lose packets is out of contact, and tasks that fail too often are rightly failed
 	faults.lost_order = 0;
 	faults.failed_run = std::min(faults.failed_run, inFailing);
-	CellWorld simulation(inSeed, faults, cWorkers);
+	CellSimulation simulation(inSeed, faults, cWorkers);
 	AssignRacks(simulation);
 	simulation.Run(500);
 	int next = 0;
@@ -490,10 +490,10 @@
 	simulation.Run(10000);
 	simulation.ClearFaults();
 	simulation.Run(90000);
-	const std::string wrongly_failed = simulation.GivenUp();
+	const std::string wrongly_failed = simulation.WronglyFailedJobs();
 	outWronglyFailed += static_cast<size_t>(std::count(wrongly_failed.begin(), wrongly_failed.end(), '\n'));
 	outHealthy += static_cast<size_t>(next);
-	return simulation.Broken() + simulation.Open();
+	return simulation.Violations() + simulation.UnfinishedJobs();
 }
 
 RC_GTEST_PROP(CellCrash, KeepsTheRulesUnderEverything, ())
--- a/UnitTests/CellMissesTests.cpp
+++ b/UnitTests/CellDrainsTests.cpp
@@ -39,21 +39,21 @@
 		this->cell.Begin(1, this->now);
 	}
 
-	void Submit(uint32 inCount, uint32 inMayMiss)
+	void Submit(uint32 inCount, uint32 inMaxUnavailable)
 	{
 		InboxRecord record;
-		this->may_miss = inMayMiss;
+		this->max_unavailable = inMaxUnavailable;
 		record.spec.id = "lasting";
 		record.spec.queue = "queue";
 		record.spec.pool = "pool";
 		record.spec.accepted_wall_ms = cWallClockOffsetMs + this->now;
 		StepSpec step;
 		step.count = inCount;
-		step.need = {1500, 512, 0};
-		step.lasting = true;
+		step.requested = {1500, 512, 0};
+		step.long_running = true;
 		step.max_per_worker = 1;
-		step.limits_misses = true;
-		step.may_miss = inMayMiss;
+		step.limits_unavailable = true;
+		step.max_unavailable = inMaxUnavailable;
 		record.spec.steps.push_back(step);
 		this->count = inCount;
 		this->cell.Ingest(record, 0, this->now, cWallClockOffsetMs + this->now);
@@ -127,7 +127,7 @@
 		}
 		this->cell.Plan(this->now, cWallClockOffsetMs + this->now);
 		this->Send();
-		if (this->cell.HasNews() && !this->cell.TakeBatch(cWallClockOffsetMs + this->now).empty())
+		if (this->cell.HasUnwrittenChanges() && !this->cell.TakeBatch(cWallClockOffsetMs + this->now).empty())
 			this->cell.OnAppended(this->now);
 	}
 
@@ -189,14 +189,14 @@
 			this->ended[inOrder.worker].push_back(
 				{this->ended[inOrder.worker].size() + 1, inOrder.task, inOrder.run, ERunEnd::Stopped, ""});
 			break;
-		case EOrder::Hold:
+		case EOrder::Poll:
 			for (const RunId &run : runs)
 				answer.running.push_back({run.task, run.run, "", 100, 0});
-			for (const EndedRow &row : this->ended[inOrder.worker])
-				if (row.number > inOrder.last_seen)
+			for (const EndedRun &row : this->ended[inOrder.worker])
+				if (row.sequence > inOrder.acknowledged_end)
 					answer.ended.push_back(row);
 			break;
-		case EOrder::Pace: break;
+		case EOrder::Throttle: break;
 		}
 		return answer;
 	}
@@ -204,23 +204,23 @@
 	void CheckStop(const Order &inOrder)
 	{
 		const uint32 others = this->count - this->RunningTasks();
-		if (others >= this->may_miss)
+		if (others >= this->max_unavailable)
 			this->violations += "at " + std::to_string(this->now) + ": " + TaskText(inOrder.task) + " is stopped while " +
 								std::to_string(others) + " others are missing\n";
 	}
 
 	std::map<std::string, std::set<RunId>> running;
-	std::map<std::string, std::vector<EndedRow>> ended;
+	std::map<std::string, std::vector<EndedRun>> ended;
 	std::map<std::pair<std::string, TaskId>, uint32> highest_ended_run;
 	std::vector<PendingMessage> messages;
 	std::vector<Order> withheld;
 	uint32 count = 0;
-	uint32 may_miss = 0;
+	uint32 max_unavailable = 0;
 };
 
 } // namespace
 
-TEST(CellMisses, AStartThatCameLateIsNotStoppedWhileOthersAreAway)
+TEST(CellDrains, AStartThatCameLateIsNotStoppedWhileOthersAreAway)
 {
 	// Starts without an answer were stopped in case they arrived later. The stops got no answer either, the starts arrived, and the
 	// repeated stops ended running tasks while others of their step were missing
@@ -244,7 +244,7 @@
 	EXPECT_EQ(simulation.RunningTasks(), 3u);
 }
 
-TEST(CellMisses, RestartsATaskWhoseStartNeverArrived)
+TEST(CellDrains, RestartsATaskWhoseStartNeverArrived)
 {
 	// Once its lease is over the start can no longer take effect: the task is restarted within a second
 	ScriptedSimulation simulation(6);
@@ -259,7 +259,7 @@
 	EXPECT_EQ(simulation.violations, "");
 }
 
-TEST(CellMisses, AStopIsDecidedAnewEachTimeItIsSent)
+TEST(CellDrains, AStopIsDecidedAnewEachTimeItIsSent)
 {
 	// The stop of a task on a drained worker got no answer, and was repeated though another task had become missing in the meantime
 	ScriptedSimulation simulation(8);
@@ -276,14 +276,14 @@
 	};
 	for (int i = 0; i < 30 && !stop_seen; ++i)
 	{
-		simulation.cell.Vacate(drained_worker, 1500, simulation.now);
+		simulation.cell.DrainWorker(drained_worker, 1500, simulation.now);
 		simulation.Run(100);
 	}
 	ASSERT_TRUE(stop_seen);
 	simulation.unresponsive.insert(simulation.WorkerOf(1));
 	for (int i = 0; i < 30; ++i)
 	{
-		simulation.cell.Vacate(drained_worker, 1500, simulation.now);
+		simulation.cell.DrainWorker(drained_worker, 1500, simulation.now);
 		simulation.Run(100);
 	}
 	EXPECT_EQ(simulation.violations, "");
@@ -291,7 +291,7 @@
 	// The other task is restarted elsewhere once its lease is over; then this one may be stopped
 	for (int i = 0; i < 60; ++i)
 	{
-		simulation.cell.Vacate(drained_worker, 1500, simulation.now);
+		simulation.cell.DrainWorker(drained_worker, 1500, simulation.now);
 		simulation.Run(100);
 	}
 	EXPECT_EQ(simulation.violations, "");
@@ -299,7 +299,7 @@
 	EXPECT_EQ(simulation.RunningTasks(), 3u);
 }
 
-TEST(CellMisses, HeldBackStopsDoNotHoldEachOtherBack)
+TEST(CellDrains, HeldBackStopsDoNotHoldEachOtherBack)
 {
 	// Two stops got no answer and a third task was lost for good: each of the two stops waited forever for the other
 	ScriptedSimulation simulation(4);
@@ -319,7 +319,7 @@
 		for (int i = 0; i < inTimes && simulation.RunningTasks() > 2; ++i)
 		{
 			for (const std::string &worker : drained_workers)
-				simulation.cell.Vacate(worker, 1500, simulation.now);
+				simulation.cell.DrainWorker(worker, 1500, simulation.now);
 			simulation.Run(100);
 		}
 	};
--- a/UnitTests/CellSeatTests.cpp
+++ b/UnitTests/CellDriverTests.cpp
@@ -3,7 +3,7 @@
 #include <Loomreach/Loomreach.h>
 
 #include <Loomreach/Core/Clock.h>
-#include <Loomreach/Entry/CellSeat.h>
+#include <Loomreach/Entry/CellDriver.h>
 #include <Loomreach/State/Codec.h>
 #include <UnitTests/FakeLog.h>
 
@@ -20,7 +20,7 @@
 
 struct UnresponsiveAdviser
 {
-	static void Ask(const AdviceQuestion &, const std::function<void(const AdviceAnswer &)> &) {}
+	static void Ask(const AdviceRequest &, const std::function<void(const AdviceAnswer &)> &) {}
 };
 
 struct TestHub
@@ -54,23 +54,23 @@
 		this->hub.store.limited_log = this->Inbox();
 		this->hub.store.reads_left = inAnswers;
 		this->driver =
-			std::make_unique<CellSeat<TestHub>>(this->hub,
-												SeatContext{this->config,
-															this->metrics,
-															this->lease,
-															this->owners,
-															{"host", 1, 1},
-															[](const Order &, const std::function<void(const OrderAnswer &)> &) {}},
-												cCell);
+			std::make_unique<CellDriver<TestHub>>(this->hub,
+												  DriverContext{this->config,
+																this->metrics,
+																this->lease,
+																this->owners,
+																{"host", 1, 1},
+																[](const Order &, const std::function<void(const OrderAnswer &)> &) {}},
+												  cCell);
 	}
 
-	LogName Inbox() const { return InboxLog(cCell, static_cast<uint32>(this->config.log_parts)); }
+	LogName Inbox() const { return InboxLog(cCell, static_cast<uint32>(this->config.log_partitions)); }
 	void Claim()
 	{
 		this->driver->Claim(0, [](bool) {});
 		for (int i = 0; i < 40 && !this->driver->IsHeld(); ++i)
-			FakeLog::Settle(20);
-		FakeLog::Settle(100);
+			FakeLog::RunMainLoopFor(20);
+		FakeLog::RunMainLoopFor(100);
 	}
 	PeerAnswer Show(const std::string &inJob)
 	{
@@ -87,12 +87,12 @@
 	Metrics metrics;
 	OwnLease lease;
 	OwnerTable owners;
-	std::unique_ptr<CellSeat<TestHub>> driver;
+	std::unique_ptr<CellDriver<TestHub>> driver;
 };
 
 } // namespace
 
-TEST(CellSeat, IsNotSureBeforeItHasReadTheWholeInbox)
+TEST(CellDriver, IsNotSureBeforeItHasReadTheWholeInbox)
 {
 	// While a cell has no owner, more jobs may wait in its inbox than one read returns. Guards against a new owner that reports the others
 	// as unknown after its first read, though they were accepted.
@@ -102,15 +102,15 @@
 	const PeerAnswer unread = fixture.Show("job25");
 	EXPECT_TRUE(unread.owner);
 	EXPECT_FALSE(unread.known);
-	EXPECT_FALSE(unread.sure);
+	EXPECT_FALSE(unread.inbox_current);
 }
 
-TEST(CellSeat, IsSureOnceItHasReadAll)
+TEST(CellDriver, IsSureOnceItHasReadAll)
 {
 	TestCellDriver fixture(2);
 	fixture.Claim();
 	EXPECT_TRUE(fixture.Show("job25").known);
-	EXPECT_TRUE(fixture.Show("never").sure);
+	EXPECT_TRUE(fixture.Show("never").inbox_current);
 	EXPECT_FALSE(fixture.Show("never").known);
 }
 
--- a/UnitTests/CellEvacuationTests.cpp
+++ b/UnitTests/CellEvacuationTests.cpp
@@ -18,7 +18,7 @@
 
 std::string ZoneOf(size_t inNumber) { return "z" + std::to_string(inNumber % cZones); }
 
-void AssignZones(CellWorld &ioSimulation)
+void AssignZones(CellSimulation &ioSimulation)
 {
 	size_t number = 0;
 	for (auto &[id, worker] : ioSimulation.Workers())
@@ -30,14 +30,14 @@
 std::string RunEvacuations(uint64 inSeed)
 {
 	Random random(inSeed);
-	Trouble faults = PlannedFaultsWithTakeovers(random);
+	SimulationFaults faults = PlannedFaultsWithTakeovers(random);
 	faults.owner_kill = random.Below(15);
 	faults.worker_partition = random.Below(10);
 	faults.lost_answer = random.Below(8);
 	// An owner that keeps its cell through a longer pause may have orders in flight for as long
 	faults.long_owner_pause = 0;
 	faults.listed_end_counts = false;
-	CellWorld simulation(inSeed, faults, 6);
+	CellSimulation simulation(inSeed, faults, 6);
 	AssignZones(simulation);
 	int next = 0;
 	simulation.Submit(MakeLongRunningJob(2));
@@ -55,7 +55,7 @@
 	simulation.Cancel("lasting");
 	simulation.ClearFaults();
 	simulation.Run(60000);
-	return simulation.Broken() + simulation.Open();
+	return simulation.Violations() + simulation.UnfinishedJobs();
 }
 
 } // namespace
@@ -70,7 +70,7 @@
 /// Guards against stopping the runs in the zone, and against a zone that stays closed after its evacuation.
 TEST(CellEvacuation, LetsRunsEndAndUsesTheZoneAgain)
 {
-	CellWorld simulation(1, Trouble{}, 1);
+	CellSimulation simulation(1, SimulationFaults{}, 1);
 	AssignZones(simulation);
 	simulation.run_ms["first"] = 3000;
 	simulation.Run(500);
@@ -79,24 +79,24 @@
 	simulation.Evacuate(ZoneOf(0));
 	simulation.Submit(MakeJob("second", 1, 1, 500, 800));
 	simulation.Run(6000);
-	EXPECT_EQ(simulation.Shown("first").phase, EJobPhase::Completed);
-	EXPECT_EQ(simulation.Shown("second").phase, EJobPhase::Queued);
+	EXPECT_EQ(simulation.QueryJob("first").phase, EJobPhase::Completed);
+	EXPECT_EQ(simulation.QueryJob("second").phase, EJobPhase::Queued);
 	simulation.EndEvacuation(ZoneOf(0));
 	simulation.Run(6000);
-	EXPECT_EQ(simulation.Shown("second").phase, EJobPhase::Completed);
-	EXPECT_EQ(simulation.Broken(), "");
+	EXPECT_EQ(simulation.QueryJob("second").phase, EJobPhase::Completed);
+	EXPECT_EQ(simulation.Violations(), "");
 }
 
 /// Guards against a record that is read again after a newer one and restores the older state.
 TEST(ZoneEvacuations, NeverGoesBackToAnOlderRecord)
 {
 	ZoneEvacuations zones;
-	EXPECT_TRUE(zones.Note({"a", true}, 3));
-	EXPECT_TRUE(zones.Note({"a", false}, 5));
-	EXPECT_FALSE(zones.Note({"a", true}, 3));
+	EXPECT_TRUE(zones.Apply({"a", true}, 3));
+	EXPECT_TRUE(zones.Apply({"a", false}, 5));
+	EXPECT_FALSE(zones.Apply({"a", true}, 3));
 	EXPECT_TRUE(zones.Zones().empty());
-	EXPECT_TRUE(zones.Note({"a", true}, 7));
-	EXPECT_FALSE(zones.Note({"a", true}, 7));
+	EXPECT_TRUE(zones.Apply({"a", true}, 7));
+	EXPECT_FALSE(zones.Apply({"a", true}, 7));
 	EXPECT_EQ(zones.Zones(), std::set<std::string>{"a"});
 }
 
@@ -105,12 +105,12 @@
 TEST(ZoneEvacuations, AWholeReadingOpensTheZonesThatItDoesNotName)
 {
 	ZoneEvacuations zones;
-	zones.Note({"a", true}, 3);
-	zones.Note({"b", true}, 4);
-	zones.Note({"c", true}, 9);
-	EXPECT_TRUE(zones.Keep({"b"}, 9));
+	zones.Apply({"a", true}, 3);
+	zones.Apply({"b", true}, 4);
+	zones.Apply({"c", true}, 9);
+	EXPECT_TRUE(zones.RetainNamed({"b"}, 9));
 	EXPECT_EQ(zones.Zones(), (std::set<std::string>{"b", "c"}));
-	EXPECT_FALSE(zones.Keep({"b", "c"}, 9));
+	EXPECT_FALSE(zones.RetainNamed({"b", "c"}, 9));
 }
 
 } // namespace Loomreach::Jobs
--- a/UnitTests/CellLateEndTests.cpp
+++ b/UnitTests/CellLateEndTests.cpp
@@ -39,7 +39,7 @@
 			this->now += 10;
 			this->cell.Plan(this->now, this->now);
 			this->AnswerOrders();
-			if (this->cell.HasNews() && !this->writes && !this->cell.TakeBatch(this->now).empty())
+			if (this->cell.HasUnwrittenChanges() && !this->writes && !this->cell.TakeBatch(this->now).empty())
 				this->writes = true;
 			if (this->writes && this->log_answers)
 				this->Append();
@@ -59,17 +59,17 @@
 	bool writes = false;
 	std::string unresponsive;    ///< Worker that does not answer.
 	std::vector<Order> started;  ///< Start orders, oldest first.
-	std::vector<EndedRow> ended; ///< Ends that the worker of the first start order lists.
+	std::vector<EndedRun> ended; ///< Ends that the worker of the first start order lists.
 
 private:
 	/// Runs that were started on a worker and have not ended.
-	std::vector<RunningRow> RunningOn(const std::string &inWorker) const
+	std::vector<RunningRun> RunningOn(const std::string &inWorker) const
 	{
-		std::vector<RunningRow> rows;
+		std::vector<RunningRun> rows;
 		for (const Order &order : this->started)
 		{
 			bool over = order.worker != inWorker;
-			for (const EndedRow &row : this->ended)
+			for (const EndedRun &row : this->ended)
 				over = over || (row.task == order.task && row.run == order.run);
 			if (!over)
 				rows.push_back({order.task, order.run, "", 0, 0});
@@ -89,10 +89,10 @@
 				answer.result = EOrderResult::Done;
 				answer.clock_ms = this->now;
 			}
-			if (answer.result == EOrderResult::Done && order.kind == EOrder::Hold)
+			if (answer.result == EOrderResult::Done && order.kind == EOrder::Poll)
 				answer.running = this->RunningOn(order.worker);
 			const bool is_first = !this->started.empty() && order.worker == this->started.front().worker;
-			if (answer.result == EOrderResult::Done && order.kind == EOrder::Hold && is_first)
+			if (answer.result == EOrderResult::Done && order.kind == EOrder::Poll && is_first)
 				answer.ended = this->ended;
 			this->cell.OnAnswer(order, answer, this->now - 5, this->now);
 		}
--- a/UnitTests/CellLeaseTests.cpp
+++ b/UnitTests/CellLeaseTests.cpp
@@ -22,7 +22,7 @@
 constexpr Millis cShortLeaseMs = 4000;
 
 /// Starts a job under a lease, then makes its worker unreachable.
-void PartitionBusyWorker(CellWorld &ioSimulation, Millis inLeaseMs)
+void PartitionBusyWorker(CellSimulation &ioSimulation, Millis inLeaseMs)
 {
 	ioSimulation.SetLease(inLeaseMs);
 	ioSimulation.ReplaceOwner();
@@ -37,12 +37,12 @@
 /// The next owner grants another lease.
 std::string RunRollout(Millis inBeforeMs, Millis inAfterMs)
 {
-	CellWorld simulation(1, Trouble{}, 2);
+	CellSimulation simulation(1, SimulationFaults{}, 2);
 	PartitionBusyWorker(simulation, inBeforeMs);
 	simulation.SetLease(inAfterMs);
 	simulation.ReplaceOwner();
 	simulation.Run(40000);
-	return simulation.Broken() + simulation.Open();
+	return simulation.Violations() + simulation.UnfinishedJobs();
 }
 
 } // namespace
@@ -51,7 +51,7 @@
 
 TEST(CellLease, ARolloutAndBackStartsNothingTwice)
 {
-	CellWorld simulation(1, Trouble{}, 2);
+	CellSimulation simulation(1, SimulationFaults{}, 2);
 	PartitionBusyWorker(simulation, cLongLeaseMs);
 	// An owner with a short lease takes over, and soon another: the first owner's lease still counts
 	for (int i = 0; i < 3; ++i)
@@ -62,7 +62,7 @@
 		simulation.Run(1500);
 	}
 	simulation.Run(40000);
-	EXPECT_EQ(simulation.Broken() + simulation.Open(), "");
+	EXPECT_EQ(simulation.Violations() + simulation.UnfinishedJobs(), "");
 }
 
 TEST(CellLease, ALongerLeaseIsGivenOnlyOnceTheLogHoldsIt)
@@ -70,13 +70,13 @@
 	WorkerLeases leases;
 	leases.Restore(cShortLeaseMs);
 	leases.Begin(cLongLeaseMs, cLongLeaseMs, 0);
-	EXPECT_EQ(leases.ToGive(), cShortLeaseMs);
-	ASSERT_EQ(leases.ToLog(0), cLongLeaseMs);
+	EXPECT_EQ(leases.LeaseToGrant(), cShortLeaseMs);
+	ASSERT_EQ(leases.LeaseToLog(0), cLongLeaseMs);
 	leases.OnWriting(cLongLeaseMs);
-	EXPECT_EQ(leases.ToGive(), cShortLeaseMs);
+	EXPECT_EQ(leases.LeaseToGrant(), cShortLeaseMs);
 	leases.OnLogged();
-	EXPECT_EQ(leases.ToGive(), cLongLeaseMs);
-	EXPECT_FALSE(leases.ToLog(0).has_value());
+	EXPECT_EQ(leases.LeaseToGrant(), cLongLeaseMs);
+	EXPECT_FALSE(leases.LeaseToLog(0).has_value());
 }
 
 TEST(CellLease, AFormerOwnersLongerLeaseStaysInTheLogUntilItIsOver)
@@ -84,12 +84,12 @@
 	WorkerLeases leases;
 	leases.Restore(cLongLeaseMs);
 	leases.Begin(cShortLeaseMs, cShortLeaseMs, 0);
-	EXPECT_EQ(leases.Longest(0), cLongLeaseMs);
-	EXPECT_EQ(leases.ToGive(), cShortLeaseMs);
-	EXPECT_FALSE(leases.ToLog(cLongLeaseMs).has_value());
+	EXPECT_EQ(leases.LongestGranted(0), cLongLeaseMs);
+	EXPECT_EQ(leases.LeaseToGrant(), cShortLeaseMs);
+	EXPECT_FALSE(leases.LeaseToLog(cLongLeaseMs).has_value());
 	const Millis over = LongestLease(cLongLeaseMs);
-	EXPECT_EQ(leases.ToLog(over), cShortLeaseMs);
-	EXPECT_EQ(leases.Longest(over), cShortLeaseMs);
+	EXPECT_EQ(leases.LeaseToLog(over), cShortLeaseMs);
+	EXPECT_EQ(leases.LongestGranted(over), cShortLeaseMs);
 }
 
 TEST(CellLease, ARolloutThatShortensItStartsNothingTwice) { EXPECT_EQ(RunRollout(cLongLeaseMs, cShortLeaseMs), ""); }
--- a/UnitTests/CellPromiseTests.cpp
+++ b/UnitTests/CellPromiseTests.cpp
@@ -17,12 +17,12 @@
 
 static constexpr Millis cSlackMs = 300;
 
-TEST(CellPromise, IsKeptByASuccessorThatBeginsBeforeItIsOver)
+TEST(CellDrainGrant, IsKeptByASuccessorThatBeginsBeforeItIsOver)
 {
 	std::string violations;
 	for (uint64 seed = 1; seed <= 20; ++seed)
 	{
-		CellWorld simulation(seed, Trouble{}, 1);
+		CellSimulation simulation(seed, SimulationFaults{}, 1);
 		simulation.run_ms["job"] = 5000;
 		simulation.Run(500);
 		SimulatedWorker &worker = simulation.Workers().at("w0");
@@ -34,7 +34,7 @@
 		simulation.ReplaceOwner();
 		simulation.Submit(MakeJob("job", 1, 1, 500, 800));
 		simulation.Run(3000);
-		violations += simulation.Broken();
+		violations += simulation.Violations();
 	}
 	EXPECT_EQ(violations, "");
 }
--- a/UnitTests/CellRestartTests.cpp
+++ b/UnitTests/CellRestartTests.cpp
@@ -40,7 +40,7 @@
 	}
 	void Restart() { this->simulation.Restart(this->simulation.Workers().at("w0"), true, cBackMs); }
 
-	CellWorld simulation;
+	CellSimulation simulation;
 
 private:
 	int next_job = 0;
@@ -50,7 +50,7 @@
 
 /// Ends that nobody had read were acknowledged to the next incarnation by the previous one's sequence numbers, and their tasks were
 /// restarted.
-TEST(CellRestart, StartsNoTaskAgainThatEndedInTheNextLife)
+TEST(CellRestart, StartsNoTaskAgainThatEndedInTheNextIncarnation)
 {
 	for (uint64 seed = 1; seed <= 20; ++seed)
 	{
@@ -59,7 +59,7 @@
 		restarted.simulation.Run(static_cast<Millis>(100 + 50 * seed));
 		restarted.Submit(4);
 		restarted.simulation.Run(10000);
-		EXPECT_EQ(restarted.simulation.Broken() + restarted.simulation.Open(), "") << "seed " << seed;
+		EXPECT_EQ(restarted.simulation.Violations() + restarted.simulation.UnfinishedJobs(), "") << "seed " << seed;
 	}
 }
 
@@ -74,7 +74,7 @@
 		restarted.Restart();
 		restarted.Submit(4);
 		restarted.simulation.Run(10000);
-		EXPECT_EQ(restarted.simulation.Broken() + restarted.simulation.Open(), "") << "seed " << seed;
+		EXPECT_EQ(restarted.simulation.Violations() + restarted.simulation.UnfinishedJobs(), "") << "seed " << seed;
 	}
 }
 
@@ -92,7 +92,7 @@
 			restarted.simulation.Run(cBackMs + 20);
 		}
 		restarted.simulation.Run(10000);
-		EXPECT_EQ(restarted.simulation.Broken() + restarted.simulation.Open(), "") << "seed " << seed;
+		EXPECT_EQ(restarted.simulation.Violations() + restarted.simulation.UnfinishedJobs(), "") << "seed " << seed;
 	}
 }
 
@@ -102,28 +102,28 @@
 	for (uint64 seed = 1; seed <= 20; ++seed)
 	{
 		Random random(seed);
-		CellWorld simulation(seed, {}, 8);
+		CellSimulation simulation(seed, {}, 8);
 		AssignRacks(simulation);
 		simulation.crashed_keep_ids = true;
 		simulation.Submit(MakeCrashingJob(simulation, "crasher", 1, 10));
 		int next = 0;
 		SubmitHealthyJobs(simulation, random, 10, next);
 		simulation.Run(40000);
-		EXPECT_EQ(simulation.Broken() + simulation.Open() + simulation.GivenUp(), "") << "seed " << seed;
-		EXPECT_TRUE(IsFinal(simulation.Shown("crasher").phase)) << "seed " << seed;
+		EXPECT_EQ(simulation.Violations() + simulation.UnfinishedJobs() + simulation.WronglyFailedJobs(), "") << "seed " << seed;
+		EXPECT_TRUE(IsFinal(simulation.QueryJob("crasher").phase)) << "seed " << seed;
 	}
 }
 
 /// Late orders for a previous incarnation were executed by the next one.
-TEST(WorkerToken, RisesWithEachLifeAndStaysBelowTheNextOwners)
+TEST(WorkerToken, RisesWithEachIncarnationAndStaysBelowTheNextOwners)
 {
-	for (const uint64 epoch : {uint64(0), uint64(1), uint64(57), cTokensAnEpoch, 3 * cTokensAnEpoch + 1})
+	for (const uint64 epoch : {uint64(0), uint64(1), uint64(57), cTokensPerEpoch, 3 * cTokensPerEpoch + 1})
 	{
 		const uint64 next = NextEpoch(epoch);
 		EXPECT_GT(next, epoch);
 		EXPECT_EQ(EpochOf(next), next);
 		EXPECT_GT(TokenOf(next, 1), TokenOf(next, 0));
-		EXPECT_LT(TokenOf(next, 5 * cTokensAnEpoch), NextEpoch(next));
+		EXPECT_LT(TokenOf(next, 5 * cTokensPerEpoch), NextEpoch(next));
 		EXPECT_EQ(EpochOf(TokenOf(next, 12)), next);
 	}
 }
@@ -137,7 +137,7 @@
 public:
 	IncarnationHarness()
 	{
-		this->cell.Begin(cTokensAnEpoch, this->now);
+		this->cell.Begin(cTokensPerEpoch, this->now);
 		this->ListWorker(1000);
 	}
 
@@ -149,7 +149,7 @@
 		entry.pool = "pool";
 		entry.address = {"127.0.0.1", 1};
 		entry.capacity = {16000, 32768, 0};
-		entry.born_ms = inStartedMs;
+		entry.started_ms = inStartedMs;
 		entry.draining = inDrains;
 		this->cell.SetWorkers({entry}, this->now);
 	}
@@ -164,7 +164,7 @@
 	{
 		OrderAnswer answer;
 		answer.result = EOrderResult::Done;
-		answer.born_ms = inStartedMs;
+		answer.started_ms = inStartedMs;
 		answer.clock_ms = inClock;
 		return answer;
 	}
@@ -194,7 +194,7 @@
 } // namespace
 
 /// A late entry of a previous incarnation made the cell ask its worker for an incarnation that had ended.
-TEST(CellRestart, TakesNoNewsFromAFormerLifesEntry)
+TEST(CellRestart, TakesNoUpdateFromAPreviousIncarnationsEntry)
 {
 	IncarnationHarness harness;
 	std::vector<Order> orders = harness.TakeDueOrders();
@@ -202,7 +202,7 @@
 	harness.cell.OnAnswer(orders[0], harness.PollAnswer(2000, 500), harness.now, harness.now);
 	orders = harness.TakeDueOrders();
 	ASSERT_EQ(orders.size(), 1u);
-	EXPECT_GT(orders[0].token, cTokensAnEpoch);
+	EXPECT_GT(orders[0].token, cTokensPerEpoch);
 	harness.cell.OnAnswer(orders[0], harness.PollAnswer(2000, 1000), harness.now, harness.now);
 	harness.ListWorker(2000);
 	// The current incarnation has not said that it leaves
@@ -218,7 +218,7 @@
 }
 
 /// A worker that the list showed as restarted got more runs before anything was known of its incarnation.
-TEST(CellRestart, AsksAWorkerAtOnceThatTheListShowsInAnotherLife)
+TEST(CellRestart, PollsAWorkerAtOnceThatTheListShowsInAnotherIncarnation)
 {
 	IncarnationHarness harness;
 	std::vector<Order> orders = harness.TakeDueOrders();
@@ -227,13 +227,13 @@
 	harness.ListWorker(2000);
 	orders = harness.TakeDueOrders();
 	ASSERT_EQ(orders.size(), 1u);
-	EXPECT_EQ(orders[0].kind, EOrder::Hold);
+	EXPECT_EQ(orders[0].kind, EOrder::Poll);
 	EXPECT_EQ(orders[0].wait_ms, 0);
-	EXPECT_EQ(orders[0].last_seen, 0u);
+	EXPECT_EQ(orders[0].acknowledged_end, 0u);
 }
 
 /// A worker got runs by its previous incarnation's capacity.
-TEST(CellRestart, StartsNothingByTheFormerLifesRoom)
+TEST(CellRestart, StartsNothingByThePreviousIncarnationsCapacity)
 {
 	IncarnationHarness harness;
 	std::vector<Order> orders = harness.TakeDueOrders();
@@ -257,7 +257,7 @@
 	harness.cell.Ingest({EInbox::Submit, MakeJob("job", 1, 1, 1000, 500)}, 0, harness.now, harness.now);
 	ASSERT_EQ(harness.WriteAndDispatch(), 1u);
 	const Order start = harness.started.back();
-	harness.cell.OnAnswer(start, harness.PollAnswer(cBirthUnknown, 1000), harness.now, harness.now);
+	harness.cell.OnAnswer(start, harness.PollAnswer(cStartTimeUnknown, 1000), harness.now, harness.now);
 	ASSERT_EQ(harness.polls.size(), 1u);
 	// The list shows a later incarnation that the worker does not confirm
 	harness.ListWorker(2000);
@@ -267,11 +267,11 @@
 	newer.running.push_back({start.task, start.run, "", 50, 0});
 	harness.cell.OnAnswer(again[0], newer, harness.now, harness.now);
 	harness.cell.OnAnswer(harness.polls[0], harness.PollAnswer(1000, 1500), harness.now, harness.now);
-	EXPECT_EQ(harness.cell.Figures().runs, 1u);
+	EXPECT_EQ(harness.cell.Counts().runs, 1u);
 }
 
 /// Ends of the previous incarnation that a former owner submits after the next one has begun count once, and for their tasks alone.
-TEST(CellRestart, CountsAFormerLifesEndsThatAreHandedInLate)
+TEST(CellRestart, CountsAPreviousIncarnationsEndsThatAreSubmittedLate)
 {
 	IncarnationHarness harness;
 	std::vector<Order> orders = harness.TakeDueOrders();
@@ -281,11 +281,11 @@
 	const Order first = harness.started[0];
 	const Order second = harness.started[1];
 	for (const Order &start : {first, second})
-		harness.cell.OnAnswer(start, harness.PollAnswer(cBirthUnknown, 1000), harness.now, harness.now);
+		harness.cell.OnAnswer(start, harness.PollAnswer(cStartTimeUnknown, 1000), harness.now, harness.now);
 	ASSERT_EQ(harness.polls.size(), 1u);
 	harness.ListWorker(2000);
 	harness.cell.OnAnswer(harness.polls[0], harness.PollAnswer(2000, 10), harness.now, harness.now);
-	const EndReport report{"w", cTokensAnEpoch, {{7, first.task, first.run, ERunEnd::Done, ""}}};
+	const EndReport report{"w", cTokensPerEpoch, {{7, first.task, first.run, ERunEnd::Done, ""}}};
 	InboxRecord record;
 	record.kind = EInbox::Ends;
 	record.ends = report;
@@ -299,11 +299,11 @@
 	EXPECT_EQ(harness.started.back().task, second.task);
 	// Their sequence numbers do not apply to the current incarnation
 	for (const Order &poll : harness.TakeDueOrders())
-		EXPECT_EQ(poll.last_seen, 0u);
+		EXPECT_EQ(poll.acknowledged_end, 0u);
 }
 
 /// A worker's ticket for a policy's queue was its previous incarnation's, and each start was refused.
-TEST(CellRestart, AsksForATicketOfTheNextLife)
+TEST(CellRestart, AsksForATicketOfTheNextIncarnation)
 {
 	IncarnationHarness harness;
 	std::vector<Order> orders = harness.TakeDueOrders();
@@ -312,18 +312,18 @@
 	job.advised = true;
 	harness.cell.Ingest({EInbox::Submit, job}, 0, harness.now, harness.now);
 	harness.TakeDueOrders();
-	std::vector<AdviceQuestion> questions = harness.cell.TakeAdvice();
-	ASSERT_EQ(questions.size(), 1u);
+	std::vector<AdviceRequest> requests = harness.cell.TakeAdvice();
+	ASSERT_EQ(requests.size(), 1u);
 	// The worker restarts before the answer is used
 	harness.ListWorker(2000);
 	orders = harness.TakeDueOrders();
 	ASSERT_EQ(orders.size(), 1u);
-	harness.cell.OnAdvice(questions[0], {true, 60000, {{"w", "ticket"}}}, harness.now);
+	harness.cell.OnAdvice(requests[0], {true, 60000, {{"w", "ticket"}}}, harness.now);
 	harness.cell.OnAnswer(orders[0], harness.PollAnswer(2000, 10), harness.now, harness.now);
 	harness.TakeDueOrders();
-	questions = harness.cell.TakeAdvice();
-	ASSERT_EQ(questions.size(), 1u);
-	EXPECT_EQ(questions[0].workers, std::vector<std::string>{"w"});
+	requests = harness.cell.TakeAdvice();
+	ASSERT_EQ(requests.size(), 1u);
+	EXPECT_EQ(requests[0].workers, std::vector<std::string>{"w"});
 }
 
 /// A ticket requested for the previous incarnation arrived during the next one: each new start was refused until the ticket expired.
@@ -336,9 +336,9 @@
 	job.advised = true;
 	harness.cell.Ingest({EInbox::Submit, job}, 0, harness.now, harness.now);
 	harness.TakeDueOrders();
-	const std::vector<AdviceQuestion> questions = harness.cell.TakeAdvice();
-	ASSERT_EQ(questions.size(), 1u);
-	harness.cell.OnAdvice(questions[0], {true, 60000, {{"w", "ticket"}}}, harness.now);
+	const std::vector<AdviceRequest> requests = harness.cell.TakeAdvice();
+	ASSERT_EQ(requests.size(), 1u);
+	harness.cell.OnAdvice(requests[0], {true, 60000, {{"w", "ticket"}}}, harness.now);
 	ASSERT_EQ(harness.WriteAndDispatch(), 1u);
 	OrderAnswer refusal;
 	refusal.result = EOrderResult::NoTicket;
@@ -348,7 +348,7 @@
 }
 
 /// A run that a successor found in the log and still waits for was counted again at each further crash of its worker.
-TEST(CellRestart, CountsOneCrashForARunThatWasOnOneLife)
+TEST(CellRestart, CountsOneCrashForARunThatWasOnOneIncarnation)
 {
 	IncarnationHarness before;
 	std::vector<Order> orders = before.TakeDueOrders();
@@ -359,7 +359,7 @@
 	after.cell = Cell(CellTuning{});
 	for (const KeyedRecord &record : before.written)
 		ASSERT_TRUE(after.cell.Restore(record.key, record.value));
-	after.cell.Begin(2 * cTokensAnEpoch, after.now);
+	after.cell.Begin(2 * cTokensPerEpoch, after.now);
 	for (const int64 started_ms : {2000, 3000, 4000})
 	{
 		after.ListWorker(started_ms);
@@ -368,7 +368,7 @@
 		after.cell.OnAnswer(orders[0], after.PollAnswer(started_ms, 10), after.now, after.now);
 	}
 	// Until nobody can submit its end any more
-	for (Millis clock = 510; after.cell.Figures().runs > 0 && clock < 20000; clock += 500)
+	for (Millis clock = 510; after.cell.Counts().runs > 0 && clock < 20000; clock += 500)
 		for (const Order &order : after.TakeDueOrders())
 			after.cell.OnAnswer(order, after.PollAnswer(4000, clock), after.now, after.now);
 	uint32 counted = 0;
--- a/UnitTests/CellTests.cpp
+++ b/UnitTests/CellTests.cpp
@@ -26,7 +26,7 @@
 	}
 	Cell successor(CellTuning{});
 	size_t appends = 0;
-	while (cell.HasNews())
+	while (cell.HasUnwrittenChanges())
 	{
 		size_t bytes = 0;
 		for (const KeyedRecord &record : cell.TakeBatch(cWall))
@@ -39,22 +39,22 @@
 			break;
 		++appends;
 		// Only the last append contains the inbox position: a successor that has some of them reads from the beginning
-		EXPECT_EQ(successor.InboxNext(), successor.Figures().jobs < 1000 ? 0u : 1000u);
+		EXPECT_EQ(successor.InboxNext(), successor.Counts().jobs < 1000 ? 0u : 1000u);
 		cell.OnAppended(1000);
 	}
 	EXPECT_GT(appends, 3u);
 	EXPECT_EQ(successor.InboxNext(), 1000u);
 	successor.Begin(2, 2000);
-	EXPECT_EQ(successor.Figures().active, 1000u);
+	EXPECT_EQ(successor.Counts().active, 1000u);
 }
 
 TEST(Cell, QuietDayEndsEveryJob)
 {
 	Random random(1);
-	CellWorld simulation(1, Trouble{}, 4);
+	CellSimulation simulation(1, SimulationFaults{}, 4);
 	RunMixedWorkload(simulation, random);
 	simulation.Run(20000);
-	EXPECT_EQ(simulation.Broken(), "");
+	EXPECT_EQ(simulation.Violations(), "");
 	EXPECT_TRUE(simulation.AllEnded());
 	EXPECT_GT(simulation.Starts(), 100u);
 }
@@ -62,49 +62,49 @@
 TEST(Cell, RunsSurviveAChangeOfOwner)
 {
 	// Owners are killed about every second: work still goes on, and nothing runs twice
-	Trouble faults;
+	SimulationFaults faults;
 	faults.owner_kill = 60;
 	Random random(7);
-	CellWorld simulation(7, faults, 4);
+	CellSimulation simulation(7, faults, 4);
 	RunMixedWorkload(simulation, random);
 	simulation.Run(15000);
 	simulation.ClearFaults();
 	simulation.Run(40000);
-	EXPECT_EQ(simulation.Broken(), "");
+	EXPECT_EQ(simulation.Violations(), "");
 	EXPECT_GT(simulation.Takeovers(), 3u);
 	EXPECT_TRUE(simulation.AllEnded());
 }
 
 TEST(Cell, NothingIsShownBeforeTheLogHoldsIt)
 {
-	Trouble faults;
+	SimulationFaults faults;
 	faults.slow_append = 100;
-	CellWorld simulation(3, faults, 2);
+	CellSimulation simulation(3, faults, 2);
 	simulation.Submit(MakeJob("a", 1, 1, 1000, 300));
 	// Read from the inbox, but its first record is still being written
 	simulation.Run(500);
-	EXPECT_EQ(simulation.Shown("a").phase, EJobPhase::Queued);
+	EXPECT_EQ(simulation.QueryJob("a").phase, EJobPhase::Queued);
 	EXPECT_EQ(simulation.Starts(), 0u);
 	simulation.Run(20000);
-	EXPECT_EQ(simulation.Shown("a").phase, EJobPhase::Completed);
+	EXPECT_EQ(simulation.QueryJob("a").phase, EJobPhase::Completed);
 }
 
 TEST(Cell, AJobThatFailsTooOftenIsFailed)
 {
-	Trouble faults;
+	SimulationFaults faults;
 	faults.failed_run = 100;
-	CellWorld simulation(5, faults, 3);
+	CellSimulation simulation(5, faults, 3);
 	simulation.Submit(MakeJob("a", 1, 1, 1000, 1200));
 	simulation.Run(60000);
-	EXPECT_EQ(simulation.Shown("a").phase, EJobPhase::Failed);
+	EXPECT_EQ(simulation.QueryJob("a").phase, EJobPhase::Failed);
 	EXPECT_EQ(simulation.Starts(), 3u);
-	EXPECT_EQ(simulation.Broken(), "");
+	EXPECT_EQ(simulation.Violations(), "");
 }
 
 TEST(Cell, AStragglerIsStartedElsewhere)
 {
 	// One worker takes twenty times as long; others take over its runs
-	CellWorld simulation(11, Trouble{}, 3);
+	CellSimulation simulation(11, SimulationFaults{}, 3);
 	simulation.Run(200);
 	simulation.Workers().begin()->second.slow_factor = 20;
 	for (int i = 0; i < 12; ++i)
@@ -113,8 +113,8 @@
 		simulation.Run(400);
 	}
 	simulation.Run(8000);
-	EXPECT_EQ(simulation.Broken(), "");
-	EXPECT_EQ(simulation.Open(), "");
+	EXPECT_EQ(simulation.Violations(), "");
+	EXPECT_EQ(simulation.UnfinishedJobs(), "");
 }
 
 /// Where the other workers were full, a straggler's second run was placed on the slow worker again.
@@ -123,7 +123,7 @@
 	size_t open = 0;
 	for (uint64 seed = 1; seed <= 200; ++seed)
 	{
-		CellWorld simulation(seed, Trouble{}, 3);
+		CellSimulation simulation(seed, SimulationFaults{}, 3);
 		simulation.Run(200);
 		simulation.Workers().begin()->second.slow_factor = 20;
 		for (int i = 0; i < 12; ++i)
@@ -132,7 +132,7 @@
 			simulation.Run(400);
 		}
 		simulation.Run(8000);
-		EXPECT_EQ(simulation.Broken(), "") << seed;
+		EXPECT_EQ(simulation.Violations(), "") << seed;
 		open += simulation.AllEnded() ? 0 : 1;
 	}
 	EXPECT_EQ(open, 0u);
@@ -141,7 +141,7 @@
 TEST(Cell, ATaskThatIsLongByItselfEnds)
 {
 	// A task ten times as long as others of its queue was stopped as a straggler and restarted 34 times in 34 seconds
-	CellWorld simulation(5, Trouble{}, 4);
+	CellSimulation simulation(5, SimulationFaults{}, 4);
 	for (int i = 0; i < 12; ++i)
 	{
 		simulation.Submit(MakeJob("short" + std::to_string(i), 1, 2, 1000, 300));
@@ -151,23 +151,23 @@
 	simulation.run_ms["long"] = 12000;
 	simulation.Submit(MakeJob("long", 1, 2, 1000, 300));
 	simulation.Run(40000);
-	EXPECT_EQ(simulation.Shown("long").phase, EJobPhase::Completed);
-	EXPECT_EQ(simulation.Broken(), "");
+	EXPECT_EQ(simulation.QueryJob("long").phase, EJobPhase::Completed);
+	EXPECT_EQ(simulation.Violations(), "");
 }
 
 TEST(Cell, AListThatMayBeCutProvesNoEnd)
 {
 	// With a slow log, more ends waited than a poll lists; the other runs were taken for stopped and their tasks restarted
-	Trouble faults;
+	SimulationFaults faults;
 	faults.slow_append = 100;
 	faults.poll_page_size = 2;
-	CellWorld simulation(3, faults, 1);
+	CellSimulation simulation(3, faults, 1);
 	simulation.run_ms["a"] = 300;
 	simulation.Submit(MakeJob("a", 1, 8, 1000, 300));
 	simulation.Run(30000);
 	EXPECT_EQ(simulation.Starts(), 8u);
-	EXPECT_EQ(simulation.Shown("a").phase, EJobPhase::Completed);
-	EXPECT_EQ(simulation.Broken(), "");
+	EXPECT_EQ(simulation.QueryJob("a").phase, EJobPhase::Completed);
+	EXPECT_EQ(simulation.Violations(), "");
 }
 
 TEST(Cell, ARunRefusedAsOldIsAskedAfter)
@@ -199,24 +199,24 @@
 			if (order.kind == EOrder::Start)
 				answer.result = ++started == 1 ? EOrderResult::StaleRun : EOrderResult::Done;
 			// The run's end, until it is acknowledged
-			if (order.kind == EOrder::Hold && started > 0 && order.last_seen == 0)
+			if (order.kind == EOrder::Poll && started > 0 && order.acknowledged_end == 0)
 				answer.ended.push_back({1, {"a", 0, 0, 0}, 1, ERunEnd::Done, ""});
 			cell.OnAnswer(order, answer, now, now + 5);
 		}
-		if (cell.HasNews() && !cell.TakeBatch(cWall + now).empty())
+		if (cell.HasUnwrittenChanges() && !cell.TakeBatch(cWall + now).empty())
 			cell.OnAppended(now + 5);
 	}
 	EXPECT_EQ(started, 1u);
 	EXPECT_EQ(cell.Query("queue", "a").phase, EJobPhase::Completed);
 }
 
-TEST(Cell, HandsOverEveryEndThatAWorkerToldOf)
+TEST(Cell, HandsOverEveryEndThatAWorkerReported)
 {
 	// An end was known, but not in the append in flight, when the owner handed over; its worker left before it was polled again
-	Trouble faults;
+	SimulationFaults faults;
 	faults.slow_append = 100;
 	faults.listed_end_counts = true;
-	CellWorld simulation(3, faults, 2);
+	CellSimulation simulation(3, faults, 2);
 	simulation.run_ms["a"] = 1500;
 	simulation.Submit(MakeJob("a", 1, 4, 1000, 300));
 	const auto ended = [&simulation]
@@ -239,21 +239,21 @@
 		worker.unreachable_until = worker.ended.empty() ? 0 : 1'000'000;
 	simulation.Run(15000);
 	EXPECT_EQ(simulation.Starts(), 4u);
-	EXPECT_EQ(simulation.Broken(), "");
+	EXPECT_EQ(simulation.Violations(), "");
 }
 
 /// Asks for a drain grant: the log must hold it before it is given.
-static bool GrantsDrainOnceLogged(CellWorld &ioSimulation, const std::string &inWorker)
+static bool GrantsDrainOnceLogged(CellSimulation &ioSimulation, const std::string &inWorker)
 {
-	EXPECT_FALSE(ioSimulation.Core().Vacate(inWorker, 1500, ioSimulation.Now()));
+	EXPECT_FALSE(ioSimulation.Core().DrainWorker(inWorker, 1500, ioSimulation.Now()));
 	ioSimulation.Run(100);
-	return ioSimulation.Core().Vacate(inWorker, 1500, ioSimulation.Now());
+	return ioSimulation.Core().DrainWorker(inWorker, 1500, ioSimulation.Now());
 }
 
 /// The same for workers that a pool can release.
-static PoolDemand ReleasesOnceLogged(CellWorld &ioSimulation, uint32 inSpare)
+static PoolDemand ReleasesOnceLogged(CellSimulation &ioSimulation, uint32 inSpare)
 {
-	EXPECT_TRUE(ioSimulation.Core().Demand("pool", inSpare, 1500, ioSimulation.Now(), 0).spared.empty());
+	EXPECT_TRUE(ioSimulation.Core().Demand("pool", inSpare, 1500, ioSimulation.Now(), 0).releasable.empty());
 	ioSimulation.Run(100);
 	return ioSimulation.Core().Demand("pool", inSpare, 1500, ioSimulation.Now(), 0);
 }
@@ -261,7 +261,7 @@
 TEST(Cell, KeepsADrainGrantOverAHandover)
 {
 	// A drain was granted, its owner handed over, and the next one started something on the worker before its host was removed
-	CellWorld simulation(3, Trouble{}, 1);
+	CellSimulation simulation(3, SimulationFaults{}, 1);
 	simulation.Run(1000);
 	const std::string id = simulation.Workers().begin()->first;
 	ASSERT_TRUE(GrantsDrainOnceLogged(simulation, id));
@@ -271,14 +271,14 @@
 	EXPECT_TRUE(simulation.Workers().at(id).running.empty());
 	simulation.Run(10000);
 	EXPECT_EQ(simulation.Takeovers(), 1u);
-	EXPECT_EQ(simulation.Open(), "");
+	EXPECT_EQ(simulation.UnfinishedJobs(), "");
 }
 
 TEST(Cell, KeepsADrainGrantWhenTheWorkersEntryLapses)
 {
 	// A drain was granted, and the worker's entry lapsed and came back within the grant. Treated as a new worker it got runs, which were
 	// lost with its host (seed 27 of all faults)
-	CellWorld simulation(3, Trouble{}, 1);
+	CellSimulation simulation(3, SimulationFaults{}, 1);
 	simulation.Run(1000);
 	SimulatedWorker &worker = simulation.Workers().begin()->second;
 	ASSERT_TRUE(GrantsDrainOnceLogged(simulation, worker.id));
@@ -289,27 +289,27 @@
 	simulation.Run(900);
 	EXPECT_TRUE(worker.running.empty());
 	simulation.Run(10000);
-	EXPECT_EQ(simulation.Open(), "");
+	EXPECT_EQ(simulation.UnfinishedJobs(), "");
 }
 
 TEST(Cell, WhatFitsNowhereWaits)
 {
-	CellWorld simulation(5, Trouble{}, 3);
+	CellSimulation simulation(5, SimulationFaults{}, 3);
 	simulation.Submit(MakeJob("huge", 1, 1, 99000, 300));
 	simulation.Run(10000);
-	EXPECT_EQ(simulation.Shown("huge").phase, EJobPhase::Queued);
+	EXPECT_EQ(simulation.QueryJob("huge").phase, EJobPhase::Queued);
 	EXPECT_EQ(simulation.Core().Waiting("queue"), 1u);
 }
 
 TEST(Cell, SparesOnlyEmptyWorkers)
 {
-	CellWorld simulation(5, Trouble{}, 4);
+	CellSimulation simulation(5, SimulationFaults{}, 4);
 	simulation.Submit(MakeLongRunningJob(2));
 	simulation.Run(3000);
 	const PoolDemand demand = ReleasesOnceLogged(simulation, 4);
-	EXPECT_EQ(demand.spared.size(), 2u);
-	EXPECT_EQ(demand.least_hosts, 2u);
-	for (const std::string &id : demand.spared)
+	EXPECT_EQ(demand.releasable.size(), 2u);
+	EXPECT_EQ(demand.min_hosts, 2u);
+	for (const std::string &id : demand.releasable)
 		EXPECT_TRUE(simulation.Workers().at(id).running.empty());
 }
 
@@ -317,9 +317,9 @@
 {
 	// A successful end was known but not logged when the drain of its worker was granted and the host moved. The owner lost its lease; the
 	// next one found the run in the log and its worker lost, and restarted the task
-	Trouble faults;
+	SimulationFaults faults;
 	faults.slow_append = 100;
-	CellWorld simulation(3, faults, 1);
+	CellSimulation simulation(3, faults, 1);
 	simulation.Submit(MakeJob("a", 1, 1, 1000, 300));
 	simulation.Run(1500);
 	const std::string id = simulation.Workers().begin()->first;
@@ -330,8 +330,9 @@
 		simulation.Run(20);
 		began = began || simulation.Starts() > 0;
 		const Millis now = 2500 + i * 20;
-		granted = began && (simulation.Core().Vacate(id, 1500, now) || !simulation.Core().Demand("pool", 1, 1500, now, 0).spared.empty());
-		EXPECT_TRUE(!granted || simulation.Shown("a").phase == EJobPhase::Completed);
+		granted = began &&
+				  (simulation.Core().DrainWorker(id, 1500, now) || !simulation.Core().Demand("pool", 1, 1500, now, 0).releasable.empty());
+		EXPECT_TRUE(!granted || simulation.QueryJob("a").phase == EJobPhase::Completed);
 	}
 	EXPECT_TRUE(granted);
 }
@@ -340,18 +341,18 @@
 {
 	// A worker's last ends were in the log, but with no runs left on it no poll acknowledged them. Its drain was granted 4 ms after the
 	// append, and its host moved with 100 ends that count as never recorded
-	CellWorld simulation(3, Trouble{}, 1);
+	CellSimulation simulation(3, SimulationFaults{}, 1);
 	simulation.Submit(MakeJob("a", 1, 4, 1000, 300));
 	const std::string id = simulation.Workers().begin()->first;
 	Millis now = 1000;
-	for (; now < 6000 && simulation.Shown("a").phase != EJobPhase::Completed; now += 10)
+	for (; now < 6000 && simulation.QueryJob("a").phase != EJobPhase::Completed; now += 10)
 		simulation.Run(10);
 	bool granted = false;
 	for (int i = 0; i < 100 && !granted; ++i)
 	{
 		simulation.Run(5);
 		now += 5;
-		granted = simulation.Core().Vacate(id, 1500, now);
+		granted = simulation.Core().DrainWorker(id, 1500, now);
 		EXPECT_TRUE(!granted || simulation.Workers().at(id).ended.empty());
 	}
 	EXPECT_TRUE(granted);
@@ -361,26 +362,26 @@
 {
 	// The worker list shows a worker for 4.5 s after its host has moved, and workers that had left were counted in place of those that
 	// could be released
-	CellWorld simulation(5, Trouble{}, 4);
+	CellSimulation simulation(5, SimulationFaults{}, 4);
 	simulation.Run(3000);
 	const PoolDemand first = ReleasesOnceLogged(simulation, 2);
-	ASSERT_EQ(first.spared.size(), 2u);
-	simulation.Core().NoteLeft(first.spared, simulation.Now());
+	ASSERT_EQ(first.releasable.size(), 2u);
+	simulation.Core().OnWorkersRemoved(first.releasable, simulation.Now());
 	const PoolDemand second = ReleasesOnceLogged(simulation, 2);
-	ASSERT_EQ(second.spared.size(), 2u);
-	for (const std::string &id : second.spared)
-		EXPECT_EQ(std::count(first.spared.begin(), first.spared.end(), id), 0) << id;
+	ASSERT_EQ(second.releasable.size(), 2u);
+	for (const std::string &id : second.releasable)
+		EXPECT_EQ(std::count(first.releasable.begin(), first.releasable.end(), id), 0) << id;
 	// Nor is anything started there, even when it is no longer being drained
 	simulation.Submit(MakeJob("job", 1, 4, 1000, 3000));
 	simulation.Run(2500);
-	for (const std::string &id : first.spared)
+	for (const std::string &id : first.releasable)
 		EXPECT_TRUE(simulation.Workers().at(id).running.empty()) << id;
 }
 
 TEST(Cell, WorkersWhoseEntriesLapsedGoOnWorking)
 {
 	// The store was unavailable for longer than three heartbeats of the workers: all entries lapse, and come back within two seconds
-	CellWorld simulation(5, Trouble{}, 3);
+	CellSimulation simulation(5, SimulationFaults{}, 3);
 	simulation.Run(1000);
 	simulation.OnStoreRecovered(2000);
 	for (auto &[id, worker] : simulation.Workers())
@@ -394,13 +395,13 @@
 	simulation.Submit(MakeJob("late", 1, 4, 1000, 500));
 	simulation.Run(3000);
 	EXPECT_EQ(simulation.Starts(), 4u);
-	EXPECT_EQ(simulation.Broken(), "");
+	EXPECT_EQ(simulation.Violations(), "");
 }
 
 TEST(Cell, AWorkerThatLeftTheListGetsNothingNew)
 {
 	// Without an outage, a missing entry means that its worker leaves, even if it never said so
-	CellWorld simulation(5, Trouble{}, 2);
+	CellSimulation simulation(5, SimulationFaults{}, 2);
 	simulation.Run(1000);
 	SimulatedWorker &leaving = simulation.Workers().begin()->second;
 	leaving.unlisted = true;
@@ -411,10 +412,10 @@
 	EXPECT_EQ(simulation.Starts(), 8u);
 }
 
-TEST(Cell, MovesLastingTasksOffAWorkerThatLeftTheList)
+TEST(Cell, MovesLongRunningTasksOffAWorkerThatLeftTheList)
 {
 	// Such tasks stayed until the worker ended, and were missing until its lease was over
-	CellWorld simulation(5, Trouble{}, 4);
+	CellSimulation simulation(5, SimulationFaults{}, 4);
 	simulation.Submit(MakeLongRunningJob(2));
 	simulation.Run(3000);
 	SimulatedWorker *leaving = nullptr;
@@ -429,13 +430,13 @@
 	for (const auto &[id, worker] : simulation.Workers())
 		at_work += worker.running.size();
 	EXPECT_EQ(at_work, 2u);
-	EXPECT_EQ(simulation.Broken(), "");
+	EXPECT_EQ(simulation.Violations(), "");
 }
 
-TEST(Cell, StopsNothingThatLastsWhileAnotherIsOnASilentWorker)
+TEST(Cell, StopsNoLongRunningTaskWhileAnotherIsOnAnUnresponsiveWorker)
 {
 	// A task on an unresponsive worker counted as running, as it was last listed
-	CellWorld simulation(5, Trouble{}, 5);
+	CellSimulation simulation(5, SimulationFaults{}, 5);
 	simulation.Submit(MakeLongRunningJob(3));
 	simulation.Run(3000);
 	std::vector<std::string> busy;
@@ -448,7 +449,7 @@
 	// 3.0 s later: the unresponsive worker's lease is not over, its task is missing
 	for (int i = 0; i < 15; ++i)
 	{
-		simulation.Core().Vacate(busy[1], 1500, 5500 + i * 100);
+		simulation.Core().DrainWorker(busy[1], 1500, 5500 + i * 100);
 		simulation.Run(100);
 		EXPECT_EQ(simulation.Workers().at(busy[1]).running.size(), 1u) << i;
 	}
@@ -458,7 +459,7 @@
 {
 	// The owner of a cell handed over 0.4 s after it had ordered two tasks to stop. The next one saw them listed as running, as they are
 	// until they have stopped, and stopped another
-	CellWorld simulation(5, Trouble{}, 5);
+	CellSimulation simulation(5, SimulationFaults{}, 5);
 	simulation.stop_duration_ms = 900;
 	simulation.Submit(MakeLongRunningJob(3));
 	simulation.Run(3000);
@@ -474,29 +475,29 @@
 				return true;
 		return false;
 	};
-	simulation.Core().Vacate(busy[0], 1500, 4000);
+	simulation.Core().DrainWorker(busy[0], 1500, 4000);
 	simulation.Run(100);
 	ASSERT_TRUE(is_stopping(busy[0]));
 	simulation.ReplaceOwner();
 	for (int i = 0; i < 8; ++i)
 	{
 		simulation.Run(100);
-		simulation.Core().Vacate(busy[1], 1500, 4100 + (i + 1) * 100);
+		simulation.Core().DrainWorker(busy[1], 1500, 4100 + (i + 1) * 100);
 		EXPECT_FALSE(is_stopping(busy[1])) << i;
 	}
 	// Later it is drained all the same
 	simulation.Run(4000);
 	for (int i = 0; i < 20; ++i)
 	{
-		simulation.Core().Vacate(busy[1], 1500, 8900 + i * 100);
+		simulation.Core().DrainWorker(busy[1], 1500, 8900 + i * 100);
 		simulation.Run(100);
 	}
 	EXPECT_TRUE(simulation.Workers().at(busy[1]).running.empty());
 }
 
-TEST(Cell, MovesLastingTasksOffAnEmptiedWorker)
+TEST(Cell, MovesLongRunningTasksOffADrainedWorker)
 {
-	CellWorld simulation(5, Trouble{}, 4);
+	CellSimulation simulation(5, SimulationFaults{}, 4);
 	simulation.Submit(MakeLongRunningJob(2));
 	simulation.Run(3000);
 	std::string busy;
@@ -507,7 +508,7 @@
 	bool empty = false;
 	for (int i = 0; i < 40 && !empty; ++i)
 	{
-		empty = simulation.Core().Vacate(busy, 1500, 4000 + i * 100);
+		empty = simulation.Core().DrainWorker(busy, 1500, 4000 + i * 100);
 		simulation.Run(100);
 	}
 	EXPECT_TRUE(empty);
--- a/UnitTests/FleetTests.cpp
+++ b/UnitTests/FleetTests.cpp
@@ -3,7 +3,7 @@
 #include <Loomreach/Loomreach.h>
 
 #include <Loomreach/Core/Invariant.h>
-#include <Loomreach/Fleet/HostKeeper.h>
+#include <Loomreach/Fleet/HostLifecycle.h>
 #include <Loomreach/Fleet/JobBackoff.h>
 #include <Loomreach/Fleet/PlacementPlanner.h>
 #include <Loomreach/Fleet/RollingPlan.h>
@@ -126,7 +126,7 @@
 			break;
 		}
 	const WavePlan plan = WavePlanner(fleet.state, "/pool", {}).Plan();
-	EXPECT_EQ(plan.taken_back, 1U);
+	EXPECT_EQ(plan.cancelled_drains, 1U);
 	ApplyPlan(fleet, plan.proposals);
 	EXPECT_EQ(fleet.state.pool_counts.at("/pool").available, 3U);
 }
@@ -188,7 +188,7 @@
 	EXPECT_LE(max_turns_per_day, 14);
 }
 
-TEST(HostKeeper, CountsAHostAsDrainedOnlyByItsWorkersAnswer)
+TEST(HostLifecycle, CountsAHostAsDrainedOnlyByItsWorkersAnswer)
 {
 	TestFleet fleet;
 	fleet.Accept(ApplySettings{0, TestFleet::OnePool(0, 0), "me"});
@@ -200,7 +200,7 @@
 	observed.first_polled = 1;
 	observed.last_answer = 10'000;
 	const auto decide = [&](bool inAcknowledged)
-	{ return HostKeeper(fleet.state, seen, {}, 10'000).Decide(fleet.state.hosts.at("h0"), inAcknowledged); };
+	{ return HostLifecycle(fleet.state, seen, {}, 10'000).Decide(fleet.state.hosts.at("h0"), inAcknowledged); };
 	EXPECT_TRUE(decide(true).empty());
 	observed.quiet_since = 9'000;
 	EXPECT_TRUE(decide(false).empty());
@@ -245,7 +245,7 @@
 	EXPECT_TRUE(backoff.Waiting(fleet.state, 17'001).empty());
 }
 
-TEST(HostKeeper, QuarantinesAHostThatFailsManyJobs)
+TEST(HostLifecycle, QuarantinesAHostThatFailsManyJobs)
 {
 	TestFleet fleet;
 	std::vector<SettingsNode> nodes = {{"/pool", ENodeKind::Pool, {{ESetting::MinAvailablePercent, {50, {}}}}}};
@@ -261,7 +261,7 @@
 	}
 	Observations seen;
 	seen.hosts["h0"].last_answer = 100;
-	const std::vector<ProposalBody> decided = HostKeeper(fleet.state, seen, {}, 100).Decide(fleet.state.hosts.at("h0"), true);
+	const std::vector<ProposalBody> decided = HostLifecycle(fleet.state, seen, {}, 100).Decide(fleet.state.hosts.at("h0"), true);
 	ASSERT_EQ(decided.size(), 1U);
 	EXPECT_EQ(std::get<StepHost>(decided[0]).step, EHostStep::Quarantine);
 }
@@ -295,7 +295,7 @@
 {
 	for (const Unplaced &waiting : inPlan.unplaced)
 	{
-		if (waiting.why != EUnplaced::NoRoom)
+		if (waiting.why != EUnplaced::NoCapacity)
 			continue;
 		const JobSpec &job = inState.jobs.at(waiting.replica.job);
 		for (const auto &[name, host] : inState.hosts)
@@ -305,8 +305,8 @@
 			Resources releasable = host.Free();
 			for (const ReplicaKey &replica : host.replicas)
 				if (inState.placements.at(replica).priority < job.priority)
-					releasable += inState.placements.at(replica).need;
-			RC_ASSERT(!job.need.FitIn(releasable));
+					releasable += inState.placements.at(replica).requested;
+			RC_ASSERT(!job.requested.FitsInto(releasable));
 		}
 	}
 }
--- a/UnitTests/SharedStoreTests.cpp
+++ b/UnitTests/SharedStoreTests.cpp
@@ -33,7 +33,7 @@
 /// One host. It follows the record, and makes a small read every second over the same kept connections.
 struct Host
 {
-	PeerTrust trust;
+	ResponseTimeTracker trust;
 	bool is_informed = false;
 	Millis informed_at = -1;
 	Millis follow_at = 0;         ///< Time of the next read of the record; -1 while one is in flight.
@@ -61,7 +61,7 @@
 	SharedStore(size_t inHosts, bool inSpread) : hosts(inHosts)
 	{
 		const StoreBudget budget({16'000, cBytesPerMs});
-		this->interval_ms = inSpread ? std::min<Millis>(budget.Spread(inHosts, cRecordBytes), 2000) : 0;
+		this->interval_ms = inSpread ? std::min<Millis>(budget.SpreadTime(inHosts, cRecordBytes), 2000) : 0;
 		for (Host &host : this->hosts)
 		{
 			host.follow_at = static_cast<Millis>(this->random.Below(cWaitMs));
@@ -122,7 +122,7 @@
 		const bool answered = ioHost.follow_answer_at > 0 && this->now >= ioHost.follow_answer_at;
 		if (!answered && this->now < ioHost.follow_timeout_at)
 			return;
-		ioHost.trust.OnOver(&ioHost.follow_at);
+		ioHost.trust.OnFinished(&ioHost.follow_at);
 		if (answered && this->carries_change[&ioHost])
 		{
 			ioHost.is_informed = true;
@@ -143,7 +143,7 @@
 		}
 		if (ioHost.small_answer_at < 0 || this->now < ioHost.small_answer_at)
 			return;
-		ioHost.trust.OnOver(&ioHost.small_at);
+		ioHost.trust.OnFinished(&ioHost.small_at);
 		ioHost.trust.OnAnswered(this->now - ioHost.small_sent_at);
 		ioHost.small_answer_at = -1;
 		ioHost.small_at = this->now + cSmallReadIntervalMs;
@@ -156,7 +156,7 @@
 		const std::optional<Millis> overdue = ioHost.trust.OverdueAt();
 		if (!overdue.has_value() || this->now < *overdue)
 			return;
-		ioHost.trust.OnGivenUp();
+		ioHost.trust.OnConnectionsClosed();
 		// A read that waits is repeated over another connection. The store can't know that the first answer is not wanted any more
 		const bool waits = ioHost.follow_at < 0 && this->interval_ms == 0 && !ioHost.is_repeated;
 		if (!waits)
@@ -206,12 +206,12 @@
 	const StoreBudget budget({16'000, 80'000});
 	for (const size_t hosts : {585u, 1170u, 2340u, 3215u})
 	{
-		const Millis interval_ms = budget.RoundGap(hosts, 4);
+		const Millis interval_ms = budget.RoundInterval(hosts, 4);
 		EXPECT_LE(static_cast<int64>(hosts) * 4 * 1000 / interval_ms, 4100) << hosts;
-		EXPECT_LE(static_cast<int64>(hosts) * cRecordBytes / budget.Spread(hosts, cRecordBytes), 20'100) << hosts;
+		EXPECT_LE(static_cast<int64>(hosts) * cRecordBytes / budget.SpreadTime(hosts, cRecordBytes), 20'100) << hosts;
 	}
 	// A small fleet hardly waits
-	EXPECT_LT(budget.RoundGap(9, 4), 20);
+	EXPECT_LT(budget.RoundInterval(9, 4), 20);
 }
 
 } // namespace Loomreach::Jobs
