--- a/Loomreach/Entry/EndsHandIn.h
+++ b/Loomreach/Entry/EndsSubmitter.h
@@ -48,4 +48,4 @@
 
 } // namespace Loomreach::Jobs
 
-#include <Loomreach/Entry/EndsHandIn.inl>
+#include <Loomreach/Entry/EndsSubmitter.inl>
--- a/Loomreach/Entry/JobHost.h
+++ b/Loomreach/Entry/JobHost.h
@@ -4,7 +4,7 @@
 #pragma once
 
 #include <Loomreach/Core/Random.h>
-#include <Loomreach/Entry/EndsHandIn.h>
+#include <Loomreach/Entry/EndsSubmitter.h>
 #include <Loomreach/Entry/FleetSeat.h>
 #include <Loomreach/Entry/HelperSearch.h>
 #include <Loomreach/Entry/InboxWriter.h>
--- a/UnitTests/EndsSubmitterTests.cpp
+++ b/UnitTests/EndsSubmitterTests.cpp
@@ -2,7 +2,7 @@
 
 #include <Loomreach/Loomreach.h>
 
-#include <Loomreach/Entry/EndsHandIn.h>
+#include <Loomreach/Entry/EndsSubmitter.h>
 #include <Loomreach/Ownership/CellNames.h>
 #include <Loomreach/State/Codec.h>
 #include <UnitTests/CellWorld.h>
